--- a/src/mimosafork/gateway/attempt.py
+++ b/src/mimosafork/gateway/attempt.py
@@ -27,14 +27,21 @@
 from ..kernel.messages.requests import Repeatability
 from ..telemetry.catalogue.lifecycle import EFFECT_FAULT
 from ..telemetry.logs import log_event
-from .answer_reader import AnswerHead
-from .call import Call, WholeAnswer
-from .dialect import AnswerMarks, AttemptMarks, Dialect
+from .call import Call, CompleteResponse
+from .dialect import AttemptMetadata, Dialect, ResponseMetadata
 from .event_stream import EVENT_STREAM, EventSplitter
-from .heads import CONTENT_LENGTH, HEAD, Header, end_to_end, first_value, render_head
-from .pool import ConnectionPool, Wanted
-from .problems import PROMISES
-from .upstream import CallSink, ConnectionLoss, EndpointConnection, loss_of
+from .heads import (
+    CONTENT_LENGTH,
+    HEAD,
+    Header,
+    end_to_end_headers,
+    first_header_value,
+    render_head,
+)
+from .pool import ConnectionPool, ConnectionRequest
+from .problems import NOT_RUN_STATUSES
+from .response_reader import ResponseHead
+from .upstream import CallSink, ConnectionLoss, EndpointConnection, connection_loss_of
 
 logger = getLogger(__name__)
 
@@ -47,24 +54,24 @@
 
 SUCCESS = range(200, 300)
 
-MOST_HELD = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 """Bytes of one answer that wait here for the rest of it, or of an event."""
 
 
-class Reading(Enum):
+class ResponseMode(Enum):
     """What an attempt does with the answer's bytes."""
 
     HEAD = "head"
     STREAM = "stream"
     WHOLE = "whole"
-    PASSING = "passing"
+    PASSTHROUGH = "passing"
     """A whole answer too long to be held: it goes on to the caller as it comes."""
     REFUSAL = "refusal"
     FOREIGN = "foreign"
     """An answer to another call; it is skipped."""
 
 
-class AttemptTools(msgspec.Struct, frozen=True):
+class AttemptContext(msgspec.Struct, frozen=True):
     """What attempts share."""
 
     clock: Clock
@@ -80,26 +87,26 @@
     unless it is cancelled.
     """
 
-    def __init__(self, call: Call, dispatch: Dispatch, tools: AttemptTools) -> None:
+    def __init__(self, call: Call, dispatch: Dispatch, tools: AttemptContext) -> None:
         self.call = call
         self.dispatch = dispatch
-        self.tools = tools
-        self.reading = Reading.HEAD
+        self.context = tools
+        self.mode = ResponseMode.HEAD
         self.connection: EndpointConnection | None = None
-        self.opening: asyncio.Task[None] | None = None
+        self.connecting: asyncio.Task[None] | None = None
         self.splitter = EventSplitter()
-        self.head: AnswerHead | None = None
-        self.marks: AnswerMarks | None = None
-        self.parts: list[bytes] = []
-        self.held = 0
+        self.head: ResponseHead | None = None
+        self.metadata: ResponseMetadata | None = None
+        self.chunks: list[bytes] = []
+        self.buffered_bytes = 0
         self.ended = False
         self.first_reported = False
         self.hedged = False
-        self.heard_at = tools.clock.monotonic()
+        self.last_event_at = tools.clock.monotonic()
         self.paused = False
-        self.silence_due = self.heard_at
+        self.silence_due = self.last_event_at
         self.reused = False
-        self.notes = call.notes
+        self.diagnostics = call.diagnostics
 
     @property
     def without_body(self) -> bool:
@@ -114,40 +121,40 @@
     @property
     def event_received_at(self) -> timedelta | None:
         """When the latest event came; None before the first, and while not read on."""
-        return self.heard_at if self.first_reported and not self.paused else None
+        return self.last_event_at if self.first_reported and not self.paused else None
 
     def start(self) -> None:
         """Take or open a connection and send."""
         once = self.call.request.repeatability is Repeatability.NON_IDEMPOTENT
-        wanted = Wanted(
+        wanted = ConnectionRequest(
             self.dispatch.endpoint,
             self.dispatch.address,
             FRESH_FOR_ONCE if once else None,
-            proven=once or self.dispatch.attempt > 1,
+            proven_since_break=once or self.dispatch.attempt > 1,
         )
-        kept = self.tools.pool.take(wanted)
+        kept = self.context.pool.acquire(wanted)
         if kept is not None:
             self._opened(kept)
             return
-        self.notes.connecting_since = self.tools.clock.monotonic()
-        self.opening = self.tools.pool.open(wanted, self._opened, self._unreached)
+        self.diagnostics.connecting_since = self.context.clock.monotonic()
+        self.connecting = self.context.pool.open(wanted, self._opened, self._unreached)
         # Should the deadline pass meanwhile, the caller is told that it never ran.
-        self.tools.report(
+        self.context.report(
             ConnectionOpening(self.dispatch.request_id, self.dispatch.attempt)
         )
 
     def cancel(self) -> None:
         """Stop; closing the connection has the endpoint stop too."""
         self.ended = True
-        if self.opening is not None:
-            self.notes.connected(self.tools.clock.monotonic())
-            self.opening.cancel()
+        if self.connecting is not None:
+            self.diagnostics.note_connected(self.context.clock.monotonic())
+            self.connecting.cancel()
         if self.connection is not None:
             self.connection.abort()
-        if self.opening is not None or self.connection is not None:
-            self.notes.ending = ConnectionLoss.OWN
+        if self.connecting is not None or self.connection is not None:
+            self.diagnostics.connection_loss = ConnectionLoss.CLOSED_LOCALLY
 
-    def silent(self, now: timedelta) -> AttemptSilent | None:
+    def check_silence(self, now: timedelta) -> AttemptSilent | None:
         """Return the word that it has been silent for too long, if it has.
 
         The same silence is told again, and more often: what explained it may be over
@@ -155,12 +162,12 @@
         and the endpoint isn't the one that is silent.
         """
         if self.paused:
-            self.heard_at = now
+            self.last_event_at = now
         patience = self.dispatch.patience
-        if patience is None or self.ended or self.reading is Reading.PASSING:
+        if patience is None or self.ended or self.mode is ResponseMode.PASSTHROUGH:
             return None
         allowed = patience.further if self.first_reported else patience.first
-        silence = now - self.heard_at
+        silence = now - self.last_event_at
         if silence < allowed or now < self.silence_due:
             return None
         self.silence_due = now + allowed * TOLD_AGAIN
@@ -179,8 +186,8 @@
             self.connection.transport.resume_reading()
 
     def _opened(self, connection: EndpointConnection) -> None:
-        self.opening = None
-        self.notes.connected(self.tools.clock.monotonic())
+        self.connecting = None
+        self.diagnostics.note_connected(self.context.clock.monotonic())
         if self.ended:
             connection.close()
             return
@@ -192,28 +199,30 @@
             log_event(logger, EFFECT_FAULT, exc_info=True, effect=Dispatch.__name__)
             connection.abort()
             self.ended = True
-            self.tools.report(faulted(self.dispatch, self.connection is not None))
+            self.context.report(
+                dispatch_faulted(self.dispatch, self.connection is not None)
+            )
 
     def _unreached(self, error: OSError) -> None:
-        self.opening = None
-        self.notes.connected(self.tools.clock.monotonic())
-        self.notes.ending = loss_of(error)
+        self.connecting = None
+        self.diagnostics.note_connected(self.context.clock.monotonic())
+        self.diagnostics.connection_loss = connection_loss_of(error)
         self._fail(FailureKind.UNREACHED, Exposure.NEVER_SENT)
 
     def _send(self, connection: EndpointConnection) -> None:
-        time_left = self.dispatch.deadline - self.tools.clock.monotonic()
+        time_left = self.dispatch.deadline - self.context.clock.monotonic()
         # The process may have been frozen while the connection was opened: a call
         # whose time is over must not be run for a caller that has been told so.
         if time_left <= timedelta(0):
-            self.tools.pool.put_back(self.dispatch.endpoint, connection)
+            self.context.pool.release(self.dispatch.endpoint, connection)
             self._fail(FailureKind.DEADLINE, Exposure.NEVER_SENT)
             return
         request = self._request(time_left)
         self.connection = connection
-        self.reused = connection.used > 0
+        self.reused = connection.use_count > 0
         if not self.reused:
             # Before the first byte: a promise made after it would be none.
-            self.tools.report(
+            self.context.report(
                 AttemptSent(self.dispatch.request_id, self.dispatch.attempt)
             )
             if self.ended:
@@ -221,66 +230,66 @@
         sink = CallSink(self._on_head, self._on_data, self._on_end, self._on_lost)
         connection.send(request, sink, self.without_body)
         # A caller that an earlier attempt has left behind says so only once.
-        if self.call.behind:
+        if self.call.caller_stalled:
             self.pause()
 
     def _request(self, time_left: timedelta) -> bytes:
         head, body = self.call.message.head, self.call.message.body
-        marks = AttemptMarks(
+        marks = AttemptMetadata(
             endpoint=self.dispatch.endpoint,
             time_left=time_left,
             account=self.call.account,
-            last_event=self.call.last_event,
+            last_event_id=self.call.last_event_id,
             priority=self.dispatch.priority,
             helpers=self.dispatch.helpers,
         )
-        headers = self.tools.dialect.endpoint_headers(head, marks)
+        headers = self.context.dialect.endpoint_headers(head, marks)
         if body or head.content_length != 0 or head.method not in {b"GET", HEAD}:
             headers.append(Header(b"Content-Length", b"%d" % len(body)))
         first_line = b"%s %s HTTP/1.1" % (head.method, head.target)
         return render_head(first_line, headers) + body
 
-    def _on_head(self, head: AnswerHead) -> None:
-        marks = self.tools.dialect.read_answer(head)
+    def _on_head(self, head: ResponseHead) -> None:
+        marks = self.context.dialect.parse_response_metadata(head)
         # An endpoint may answer an earlier call of the connection a second time,
         # just where this one's answer is awaited; the id tells them apart.
-        if marks.call_id is not None and marks.call_id != self.call.marks.call_id:
-            self.reading = Reading.FOREIGN
+        if marks.call_id is not None and marks.call_id != self.call.metadata.call_id:
+            self.mode = ResponseMode.FOREIGN
             if self.connection is not None:
                 self.connection.reusable = False
             return
         self.head = head
-        self.marks = marks
-        self.parts.clear()
-        self.held = 0
+        self.metadata = marks
+        self.chunks.clear()
+        self.buffered_bytes = 0
         if marks.not_run:
-            self.reading = Reading.REFUSAL
+            self.mode = ResponseMode.REFUSAL
         elif head.status in SUCCESS and not marks.signed:
             self._abort(FailureKind.INVALID)
         elif head.status in SUCCESS and is_stream(head) and not self.without_body:
-            self.reading = Reading.STREAM
-            self.call.begin_stream(head, end_to_end(head.headers))
+            self.mode = ResponseMode.STREAM
+            self.call.begin_stream(head, end_to_end_headers(head.headers))
         else:
-            self.reading = Reading.WHOLE
+            self.mode = ResponseMode.WHOLE
 
     def _on_data(self, data: bytes) -> None:
-        if self.reading is Reading.STREAM:
-            now = self.tools.clock.monotonic()
-            self.heard_at = now
+        if self.mode is ResponseMode.STREAM:
+            now = self.context.clock.monotonic()
+            self.last_event_at = now
             for event in self.splitter.feed(data):
                 self._report_heard()
                 self._report_first()
-                self.call.pass_event(event, now)
+                self.call.forward_event(event, now)
             # An event that never ends would fill the memory; it is never passed on.
-            if len(self.splitter.buffer) > MOST_HELD:
+            if len(self.splitter.buffer) > MAX_BUFFERED_BYTES:
                 self._abort(FailureKind.INVALID)
-        elif self.reading is Reading.WHOLE:
-            self.parts.append(data)
-            self.held += len(data)
-            if self.held > MOST_HELD:
+        elif self.mode is ResponseMode.WHOLE:
+            self.chunks.append(data)
+            self.buffered_bytes += len(data)
+            if self.buffered_bytes > MAX_BUFFERED_BYTES:
                 self._hold_no_more()
-        elif self.reading is Reading.PASSING:
-            self.call.responder.part(data)
+        elif self.mode is ResponseMode.PASSTHROUGH:
+            self.call.responder.send_body(data)
 
     def _hold_no_more(self) -> None:
         """Pass on what was held, and the rest as it comes.
@@ -294,13 +303,13 @@
         if self.head.status not in SUCCESS or self.call.head_sent:
             self._abort(FailureKind.INVALID)
             return
-        self.reading = Reading.PASSING
+        self.mode = ResponseMode.PASSTHROUGH
         self._report_first()
-        self.call.first_sent_at = self.tools.clock.monotonic()
-        self.call.begin_stream(self.head, end_to_end(self.head.headers))
-        for part in self.parts:
-            self.call.responder.part(part)
-        self.parts.clear()
+        self.call.first_sent_at = self.context.clock.monotonic()
+        self.call.begin_stream(self.head, end_to_end_headers(self.head.headers))
+        for part in self.chunks:
+            self.call.responder.send_body(part)
+        self.chunks.clear()
 
     @property
     def may_be_hedged(self) -> bool:
@@ -315,21 +324,21 @@
     def _report_heard(self) -> None:
         if self.hedged:
             heard = HedgedAttemptHeard(self.dispatch.request_id, self.dispatch.attempt)
-            self.tools.report(heard)
+            self.context.report(heard)
 
     def _report_first(self) -> None:
         if self.first_reported:
             return
         self.first_reported = True
         first = FirstToken(self.dispatch.request_id, self.dispatch.attempt)
-        self.tools.report(first)
+        self.context.report(first)
 
     def _on_end(self) -> None:
-        if self.reading is Reading.FOREIGN:
+        if self.mode is ResponseMode.FOREIGN:
             connection, self.connection = self.connection, None
             self._await_own(connection)
         elif self.connection is not None:
-            self.connection.when_read(self._after_end)
+            self.connection.after_parsing(self._after_end)
 
     def _after_end(self) -> None:
         # The caller may have fallen behind with these very bytes. Its call is over,
@@ -338,13 +347,13 @@
         self.resume()
         connection, self.connection = self.connection, None
         if connection is not None:
-            self.tools.pool.put_back(self.dispatch.endpoint, connection)
-        if self.reading is Reading.REFUSAL:
+            self.context.pool.release(self.dispatch.endpoint, connection)
+        if self.mode is ResponseMode.REFUSAL:
             self._refuse()
-        elif self.reading is Reading.STREAM:
+        elif self.mode is ResponseMode.STREAM:
             self._finish_stream()
-        elif self.reading is Reading.PASSING:
-            self.call.responder.end()
+        elif self.mode is ResponseMode.PASSTHROUGH:
+            self.call.responder.end_response()
             self._finish()
         else:
             self._finish_whole()
@@ -353,79 +362,79 @@
         if connection is None or connection.transport is None:
             self._fail(FailureKind.BROKEN, Exposure.POSSIBLE)
             return
-        self.reading = Reading.HEAD
+        self.mode = ResponseMode.HEAD
         self.connection = connection
         connection.sink = CallSink(
             self._on_head, self._on_data, self._on_end, self._on_lost
         )
-        connection.expect_again()
+        connection.expect_another_response()
 
     def _finish_stream(self) -> None:
         # Without an empty line at its end the last piece is no event; the endpoint
         # says that its answer is whole, so it is passed on as it came.
         if self.splitter.remainder:
-            self.call.responder.part(self.splitter.remainder)
-        self.call.responder.end()
+            self.call.responder.send_body(self.splitter.remainder)
+        self.call.responder.end_response()
         self._finish()
 
     def _finish_whole(self) -> None:
         assert self.head is not None
-        answer = WholeAnswer(self.head, b"".join(self.parts))
+        answer = CompleteResponse(self.head, b"".join(self.chunks))
         if answer.head.status in SUCCESS and not self.call.head_sent:
             self._deliver(answer)
             self._finish()
             return
         # A status that promises "not run" without the endpoint's own statement
         # promises what nobody knows: a caller would send again what may have run.
-        if answer.head.status in PROMISES:
+        if answer.head.status in NOT_RUN_STATUSES:
             self._fail(FailureKind.INVALID, Exposure.POSSIBLE)
             return
-        self.call.failure = answer
+        self.call.endpoint_failure = answer
         self._fail(
             FailureKind.ENGINE_FAILED, Exposure.POSSIBLE, status=answer.head.status
         )
 
-    def _deliver(self, answer: WholeAnswer) -> None:
+    def _deliver(self, answer: CompleteResponse) -> None:
         self._report_first()
-        self.call.first_sent_at = self.tools.clock.monotonic()
-        deliver(self.call, answer)
+        self.call.first_sent_at = self.context.clock.monotonic()
+        send_complete_response(self.call, answer)
 
     def _finish(self) -> None:
         self.ended = True
-        self.tools.report(
+        self.context.report(
             AttemptFinished(self.dispatch.request_id, self.dispatch.attempt)
         )
 
     def _refuse(self) -> None:
         assert self.head is not None
-        assert self.marks is not None
+        assert self.metadata is not None
         self._fail(
             FailureKind.REFUSED,
             Exposure.REFUSED,
             status=self.head.status,
-            refusal="elsewhere" if self.marks.elsewhere else "not-run",
-            fault_at=self.marks.fault_at,
+            refusal="elsewhere" if self.metadata.endpoint_moved else "not-run",
+            fault_at=self.metadata.fault_at,
         )
 
     def _on_lost(self, loss: ConnectionLoss) -> None:
         self.connection = None
-        self.notes.ending = loss
-        if self.reading is Reading.REFUSAL:
+        self.diagnostics.connection_loss = loss
+        if self.mode is ResponseMode.REFUSAL:
             self._refuse()
             return
-        garbled = loss is ConnectionLoss.GARBLED
+        garbled = loss is ConnectionLoss.MALFORMED
         if not garbled:
-            self.tools.pool.note_broken()
+            self.context.pool.note_connection_broken()
         kind = FailureKind.INVALID if garbled else FailureKind.BROKEN
         # The caller has the status; told of it, no policy sends the call again.
-        final = self.head if self.reading is Reading.PASSING else None
+        final = self.head if self.mode is ResponseMode.PASSTHROUGH else None
         status = None if final is None else final.status
         self._fail(kind, Exposure.POSSIBLE, status=status)
 
     def _abort(self, kind: FailureKind) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
-            self.notes.ending = ConnectionLoss.OWN
+            self.diagnostics.connection_loss = ConnectionLoss.CLOSED_LOCALLY
             connection.abort()
         self._fail(kind, Exposure.POSSIBLE)
 
@@ -440,13 +449,13 @@
         if self.ended:
             return
         self.ended = True
-        self.tools.report(
+        self.context.report(
             AttemptFailed(
                 self.dispatch.request_id,
                 self.dispatch.attempt,
                 kind,
                 exposure,
-                delivered_tokens=self.call.events,
+                delivered_tokens=self.call.events_sent,
                 refusal=refusal,
                 status=status,
                 fault_at=fault_at,
@@ -456,7 +465,7 @@
         )
 
 
-def faulted(dispatch: Dispatch, sent: bool) -> DispatchFaulted:
+def dispatch_faulted(dispatch: Dispatch, sent: bool) -> DispatchFaulted:
     """Return the word that an attempt could not be made for a fault in the code."""
     return DispatchFaulted(
         AttemptFailed(
@@ -468,18 +477,20 @@
     )
 
 
-def is_stream(head: AnswerHead) -> bool:
+def is_stream(head: ResponseHead) -> bool:
     """Return whether an answer is a series of events."""
-    kind = first_value(head.headers, b"content-type") or b""
+    kind = first_header_value(head.headers, b"content-type") or b""
     return kind.split(b";")[0].strip().lower() == EVENT_STREAM
 
 
-def deliver(call: Call, answer: WholeAnswer) -> None:
+def send_complete_response(call: Call, answer: CompleteResponse) -> None:
     """Send an endpoint's whole answer to the caller, unchanged."""
     call.head_sent = True
     call.status = answer.head.status
-    headers = end_to_end(answer.head.headers)
-    length = first_value(answer.head.headers, CONTENT_LENGTH)
+    headers = end_to_end_headers(answer.head.headers)
+    length = first_header_value(answer.head.headers, CONTENT_LENGTH)
     if call.message.head.method == HEAD and length is not None:
         headers.append(Header(b"Content-Length", length))
-    call.responder.answer(answer.head.status, answer.head.reason, headers, answer.body)
+    call.responder.send_response(
+        answer.head.status, answer.head.reason, headers, answer.body
+    )
--- a/src/mimosafork/gateway/attempt_notes.py
+++ b/src/mimosafork/gateway/attempt_diagnostics.py
@@ -11,7 +11,7 @@
 """Stands in a list of zones for an endpoint that is no longer known."""
 
 
-class Names(msgspec.Struct, frozen=True):
+class NameList(msgspec.Struct, frozen=True):
     """Names that become one text where a line is written, and only there."""
 
     names: tuple[str | None, ...]
@@ -21,7 +21,7 @@
         return ",".join(name or UNNAMED for name in self.names)
 
 
-class Spread(msgspec.Struct, frozen=True):
+class AttemptPlacement(msgspec.Struct, frozen=True):
     """Where an attempt goes, and what placement expects of it.
 
     Attributes
@@ -39,7 +39,7 @@
     first_token_at: timedelta | None = None
 
 
-class AttemptNotes(msgspec.Struct):
+class AttemptDiagnostics(msgspec.Struct):
     """What is noted of a call's latest attempt.
 
     Attributes
@@ -54,12 +54,12 @@
         How its connection ended; None if it was not, or goes on.
     """
 
-    spread: Spread = Spread()
+    placement: AttemptPlacement = AttemptPlacement()
     connecting_since: timedelta | None = None
     connect_time: timedelta | None = None
-    ending: ConnectionLoss | None = None
+    connection_loss: ConnectionLoss | None = None
 
-    def connected(self, now: timedelta) -> None:
+    def note_connected(self, now: timedelta) -> None:
         """Note that a connection that was wanted is open, or never will be."""
         if self.connecting_since is not None and self.connect_time is None:
             self.connect_time = now - self.connecting_since
--- a/src/mimosafork/gateway/call.py
+++ b/src/mimosafork/gateway/call.py
@@ -9,40 +9,40 @@
 from ..kernel.messages.dispatch import Helper
 from ..kernel.messages.requests import Request
 from ..routing.table import Route
-from .answer_reader import AnswerHead
-from .attempt_notes import AttemptNotes
-from .dialect import CallMarks
-from .event_stream import StreamEvent
+from .attempt_diagnostics import AttemptDiagnostics
+from .dialect import CallMetadata
+from .event_stream import RawStreamEvent
 from .heads import Header
 from .outlook import Inputs
 from .request_reader import RequestMessage
+from .response_reader import ResponseHead
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
+class CompleteResponse(msgspec.Struct, frozen=True):
     """An endpoint's answer, read to its end."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
 class Responder(Protocol):
     """The caller's connection, as a call sees it."""
 
-    def answer(
+    def send_response(
         self, status: int, reason: bytes, headers: list[Header], body: bytes
     ) -> None:
         """Send a whole answer."""
 
-    def begin(self, status: int, reason: bytes, headers: list[Header]) -> None:
+    def begin_response(self, status: int, reason: bytes, headers: list[Header]) -> None:
         """Send the head of an answer whose body comes in parts."""
 
-    def part(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send a part of a body that was begun."""
 
-    def end(self) -> None:
+    def end_response(self) -> None:
         """End a body that was begun; it is whole."""
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Close the connection so that the answer can't look whole."""
 
 
@@ -61,7 +61,7 @@
         Number of the last event that the caller has: sent to it, or named by it.
     events : int
         Events sent to the caller.
-    failure : WholeAnswer or None
+    endpoint_failure : CompleteResponse or None
         An endpoint's own answer that tells of a failure, for the caller if nothing
         better follows.
     first_sent_at, last_sent_at : timedelta or None
@@ -82,7 +82,7 @@
         By which it was last given one.
     behind : bool
         The caller doesn't keep up: nothing more should be read for it.
-    notes : AttemptNotes
+    diagnostics : AttemptDiagnostics
         Of the latest attempt.
     zones : list of AvailabilityZoneId or None
         Of `endpoints`, in their order.
@@ -93,29 +93,29 @@
 
     request_id: RequestId
     message: RequestMessage
-    marks: CallMarks
+    metadata: CallMetadata
     route: Route
     account: AccountId | None
     request: Request
     responder: Responder
     arrived_at: timedelta
     head_sent: bool = False
-    last_event: int | None = None
-    events: int = 0
-    failure: WholeAnswer | None = None
+    last_event_id: int | None = None
+    events_sent: int = 0
+    endpoint_failure: CompleteResponse | None = None
     first_sent_at: timedelta | None = None
     status: int = 0
     concluded: bool = False
     cut: bool = False
     last_sent_at: timedelta | None = None
     longest_pause: timedelta | None = None
-    version: int | None = None
+    table_version: int | None = None
     endpoints: list[EndpointId] = msgspec.field(default_factory=list)
     helpers: tuple[Helper, ...] = ()
     placed_at: timedelta | None = None
     inputs: Inputs | None = None
-    behind: bool = False
-    notes: AttemptNotes = msgspec.field(default_factory=AttemptNotes)
+    caller_stalled: bool = False
+    diagnostics: AttemptDiagnostics = msgspec.field(default_factory=AttemptDiagnostics)
     zones: list[AvailabilityZoneId | None] = msgspec.field(default_factory=list)
     first_token_at: timedelta | None = None
 
@@ -124,7 +124,7 @@
         """Whether the caller has got a part of its answer."""
         return self.head_sent
 
-    def begin_stream(self, head: AnswerHead, headers: list[Header]) -> None:
+    def begin_stream(self, head: ResponseHead, headers: list[Header]) -> None:
         """Send the head of a stream, unless an earlier attempt has.
 
         The caller keeps the head and the signature of the first endpoint when
@@ -134,21 +134,21 @@
             return
         self.head_sent = True
         self.status = head.status
-        self.responder.begin(head.status, head.reason, headers)
+        self.responder.begin_response(head.status, head.reason, headers)
 
-    def pass_event(self, event: StreamEvent, now: timedelta) -> None:
+    def forward_event(self, event: RawStreamEvent, now: timedelta) -> None:
         """Send an event, unless the caller has it already.
 
         An endpoint that goes on with a stream may begin too early; an event that
         came twice would double its text.
         """
         if event.number is not None:
-            if self.last_event is not None and event.number <= self.last_event:
+            if self.last_event_id is not None and event.number <= self.last_event_id:
                 return
-            self.last_event = event.number
+            self.last_event_id = event.number
         self._note_pause(now)
-        self.events += 1
-        self.responder.part(event.data)
+        self.events_sent += 1
+        self.responder.send_body(event.data)
 
     def _note_pause(self, now: timedelta) -> None:
         if self.first_sent_at is None:
--- a/src/mimosafork/gateway/call_lines.py
+++ b/src/mimosafork/gateway/call_log.py
@@ -22,11 +22,11 @@
     CALL_REFUSED,
 )
 from ..telemetry.logs import log_event
-from .attempt_notes import AttemptNotes, Names
+from .attempt_diagnostics import AttemptDiagnostics, NameList
 from .call import Call
-from .dialect import CallMarks
-from .failure_words import OUT_OF_TIME, failure_word
-from .intake import Refusal
+from .dialect import CallMetadata
+from .failure_labels import OUT_OF_TIME, failure_label
+from .intake import CallRefusal
 from .meters import CallMeter
 from .outlook import LineFields, Look, Unknown, milliseconds
 from .policies.placing import WorkPlacer
@@ -53,7 +53,7 @@
 LIST_MARK = ","
 
 
-class CallLines:
+class CallLog:
     """Writes one line for each attempt that failed and for each call's end.
 
     Parameters
@@ -71,7 +71,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.look: Look = Unknown()
+        self.instance_view: Look = Unknown()
         self.meter: CallMeter | None = None
 
     def placed(self, call: Call, dispatch: Dispatch) -> None:
@@ -80,26 +80,26 @@
             call.placed_at = self.clock.monotonic()
         call.endpoints.append(dispatch.endpoint)
         call.helpers = dispatch.helpers
-        spread = self.look.spread(dispatch)
-        call.notes = AttemptNotes(spread)
+        spread = self.instance_view.spread(dispatch)
+        call.diagnostics = AttemptDiagnostics(spread)
         call.zones.append(spread.zone)
         if call.first_sent_at is None:
             call.first_token_at = spread.first_token_at
-        call.inputs = self.look.inputs(ServiceId(call.request.target))
+        call.inputs = self.instance_view.inputs(ServiceId(call.request.target))
         if self.meter is not None:
             self.meter.placed(call)
 
     def refused(
         self,
         message: RequestMessage,
-        marks: CallMarks,
-        refusal: Refusal,
+        marks: CallMetadata,
+        refusal: CallRefusal,
         table: RoutingTable | None,
     ) -> None:
         """Tell of a call that no route or key fits."""
         if self.meter is not None:
             self.meter.refused(refusal.reason)
-        inputs = self.look.inputs(ServiceId(""))
+        inputs = self.instance_view.inputs(ServiceId(""))
         log_event(
             logger,
             CALL_REFUSED,
@@ -128,17 +128,17 @@
         """
         now = self.clock.monotonic()
         left = call.request.deadline - now
-        word = failure_word(failure, left)
+        word = failure_label(failure, left)
         if self.meter is not None:
             self.meter.attempt_failed(call, word)
         log_event(
             logger,
             ATTEMPT_OUT_OF_TIME if word == OUT_OF_TIME else ATTEMPT_FAILED,
-            call=call.marks.call_id,
+            call=call.metadata.call_id,
             **self._whose(call),
             endpoint=failure.endpoint,
-            zone=call.notes.spread.zone,
-            own_zone=self.look.own_zone,
+            zone=call.diagnostics.placement.zone,
+            own_zone=self.instance_view.own_zone,
             helpers=helpers_of(call),
             helper_zones=helper_zones_of(call),
             attempt=failure.attempt,
@@ -149,7 +149,7 @@
             status=failure.status,
             refusal=failure.refusal,
             fault_at=failure.fault_at,
-            events=call.events,
+            events=call.events_sent,
             reused=reused,
             **connection_fields(call),
             after_ms=milliseconds(now - call.arrived_at),
@@ -159,7 +159,7 @@
             left_ms=milliseconds(left),
             rule=BudgetedRetry.name,
             then=decided(then),
-            **self.look.inputs(ServiceId(call.request.target)).fields(),
+            **self.instance_view.inputs(ServiceId(call.request.target)).fields(),
         )
 
     def restored(self, call: Call, dispatch: Dispatch) -> None:
@@ -167,11 +167,11 @@
         log_event(
             logger,
             ATTEMPT_RESTORED,
-            call=call.marks.call_id,
+            call=call.metadata.call_id,
             **self._whose(call),
             endpoint=dispatch.endpoint,
             attempt=dispatch.attempt,
-            events=call.events,
+            events=call.events_sent,
             after_ms=milliseconds(self.clock.monotonic() - call.arrived_at),
             since_event_ms=since_event(call, self.clock.monotonic()),
         )
@@ -190,7 +190,7 @@
         log_event(
             logger,
             CALL_ENDED,
-            call=call.marks.call_id,
+            call=call.metadata.call_id,
             **self._whose(call),
             status=call.status,
             attempts=conclusion.attempts,
@@ -204,7 +204,7 @@
         log_event(
             logger,
             CALL_NOT_SERVED,
-            call=call.marks.call_id,
+            call=call.metadata.call_id,
             **self._whose(call),
             outcome=conclusion.outcome.value,
             status=call.status,
@@ -216,11 +216,11 @@
             content=call.request.body_digest,
             allowed_ms=milliseconds(call.request.deadline - call.arrived_at),
             attempts=conclusion.attempts,
-            own_zone=self.look.own_zone,
+            own_zone=self.instance_view.own_zone,
             **self._course(call),
             since_event_ms=since_event(call, self.clock.monotonic()),
-            load_age_ms=milliseconds(self.look.load_age()),
-            **self.look.inputs(ServiceId(call.request.target)).fields(),
+            load_age_ms=milliseconds(self.instance_view.load_age()),
+            **self.instance_view.inputs(ServiceId(call.request.target)).fields(),
         )
 
     def _whose(self, call: Call) -> LineFields:
@@ -228,7 +228,7 @@
             "route": call.route.name,
             "account": call.account,
             "service": call.request.target,
-            "version": call.version,
+            "version": call.table_version,
         }
 
     def _course(self, call: Call) -> LineFields:
@@ -239,12 +239,12 @@
             if terms is None
             else milliseconds(terms.longest_pause),
             "endpoints": LIST_MARK.join(call.endpoints),
-            "zones": Names(tuple(call.zones)) if any(call.zones) else None,
+            "zones": NameList(tuple(call.zones)) if any(call.zones) else None,
             "helpers": helpers_of(call),
             "helper_zones": helper_zones_of(call),
             **connection_fields(call),
             "prompt_tokens": call.request.prompt_tokens,
-            "events": call.events,
+            "events": call.events_sent,
             "waited_ms": since_arrival(call, call.placed_at),
             "first_ms": since_arrival(call, call.first_sent_at),
             "expected_ms": since_arrival(call, call.first_token_at),
@@ -258,18 +258,18 @@
     return LIST_MARK.join(each.endpoint for each in call.helpers) or None
 
 
-def helper_zones_of(call: Call) -> Names | None:
+def helper_zones_of(call: Call) -> NameList | None:
     """Return the zones of a call's last helpers, in their order; None without any."""
-    zones = call.notes.spread.helper_zones
-    return Names(zones) if any(zones) else None
+    zones = call.diagnostics.placement.helper_zones
+    return NameList(zones) if any(zones) else None
 
 
 def connection_fields(call: Call) -> LineFields:
     """Return how the last attempt's connection came to be, and how it ended."""
-    notes = call.notes
+    notes = call.diagnostics
     return {
         "connect_ms": milliseconds(notes.connect_time),
-        "ending": notes.ending,
+        "ending": notes.connection_loss,
     }
 
 
--- a/src/mimosafork/gateway/client_connection.py
+++ b/src/mimosafork/gateway/client_connection.py
@@ -13,16 +13,21 @@
 from ..clock import Clock
 from ..routing.table import ClientLimits
 from .errors import BadRequestError
-from .heads import CONTENT_LENGTH, HEAD, Header, first_value, render_head
+from .heads import CONTENT_LENGTH, HEAD, Header, first_header_value, render_head
 from .request_reader import RequestMessage, RequestReader
-from .unanswered import Ending, Unanswered, bytes_waiting, holds_whole_request
+from .unanswered_request import (
+    CloseReason,
+    UnansweredRequest,
+    has_complete_request,
+    unread_socket_bytes,
+)
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LINGER = timedelta(milliseconds=500)
 """After an error, bytes that still come are read for so long: closing with unread
 bytes resets the connection, and the caller might not see the answer."""
 
-KEEP_SLACK = timedelta(seconds=2)
+IDLE_TIMEOUT_SLACK = timedelta(seconds=2)
 """Beyond the promised time: a request that crosses the close would be lost."""
 
 FAULT = BadRequestError(
@@ -44,7 +49,7 @@
 FIRST_FINAL = 200
 
 
-class Front(Protocol):
+class RequestHandler(Protocol):
     """Who takes the requests of callers' connections."""
 
     @property
@@ -60,26 +65,32 @@
     ) -> None:
         """Take a whole request; `at` is the instant of its first byte."""
 
-    def gone(self, connection: "ClientConnection") -> None:
+    def caller_disconnected(self, connection: "ClientConnection") -> None:
         """Note that a caller has closed its connection."""
 
-    def stalled(self, connection: "ClientConnection", stalled: bool) -> None:
+    def caller_stalled(self, connection: "ClientConnection", stalled: bool) -> None:
         """Note that a caller doesn't keep up, or does again."""
 
-    def refused(self, connection: "ClientConnection", error: BadRequestError) -> None:
+    def malformed_request(
+        self, connection: "ClientConnection", error: BadRequestError
+    ) -> None:
         """Note that a caller's bytes were no proper request."""
 
-    def come_back_headers(self) -> list[Header]:
+    def retry_after_headers(self) -> list[Header]:
         """Return what tells a caller that is refused when to come back."""
 
-    def unanswered(self, connection: "ClientConnection", left: Unanswered) -> None:
+    def request_unanswered(
+        self, connection: "ClientConnection", left: UnansweredRequest
+    ) -> None:
         """Note that a connection ends with a request that got no answer."""
 
-    def faulted(self, connection: "ClientConnection", error: BaseException) -> None:
+    def intake_faulted(
+        self, connection: "ClientConnection", error: BaseException
+    ) -> None:
         """Note a fault in the code while a caller's bytes were taken."""
 
 
-class Exchange(msgspec.Struct):
+class ActiveRequest(msgspec.Struct):
     """The request that is being answered."""
 
     message: RequestMessage
@@ -102,7 +113,7 @@
 
     def __init__(
         self,
-        front: Front,
+        front: RequestHandler,
         clock: Clock,
         registry: "set[ClientConnection]",
     ) -> None:
@@ -111,15 +122,15 @@
         self.registry = registry
         self.reader = RequestReader(front.limits)
         self.transport: asyncio.Transport | None = None
-        self.exchange: Exchange | None = None
+        self.exchange: ActiveRequest | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.first_byte_at: timedelta | None = None
         self.lingering = False
         self.continued = False
         self.left = 0
-        self.behind = False
-        self.heard_at = clock.monotonic()
-        self.promised = timedelta(0)
+        self.write_paused = False
+        self.last_activity_at = clock.monotonic()
+        self.advertised_idle_timeout = timedelta(0)
         self.dropped = 0
         self.refused = False
         self.owes_refusal = False
@@ -131,8 +142,8 @@
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.registry.add(self)
-        self.promised = self.front.limits.idle_timeout
-        self.heard_at = self.clock.monotonic()
+        self.advertised_idle_timeout = self.front.limits.idle_timeout
+        self.last_activity_at = self.clock.monotonic()
         self._await_request()
 
     @property
@@ -146,7 +157,7 @@
         for it, and a longer time that came into force since holds too, as callers may
         go by the configuration.
         """
-        return max(self.promised, self.front.limits.idle_timeout)
+        return max(self.advertised_idle_timeout, self.front.limits.idle_timeout)
 
     @property
     def idle(self) -> bool:
@@ -154,28 +165,28 @@
         return self.exchange is None and not self.reader.begun
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Whether bytes of an answer still wait for a caller that is slow."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
-    def leave(self) -> None:
+    def stop_intake(self) -> None:
         """Take no further request, between two of them.
 
         Guard: a request may lie in the socket already. A close would reset it unread,
         though the connection was to be kept; it is read and refused instead, with an
         answer that ends the connection.
         """
-        if self.idle and not self.lingering and not self.unread:
-            self.close(Ending.INTAKE)
+        if self.idle and not self.lingering and not self.has_unread_bytes:
+            self.close(CloseReason.INTAKE_ENDED)
 
     @property
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether bytes of the caller lie in the socket."""
         if self.transport is None or self.transport.is_closing():
             return False
-        return bytes_waiting(self.transport.get_extra_info("socket")) > 0
+        return unread_socket_bytes(self.transport.get_extra_info("socket")) > 0
 
-    def close(self, ending: Ending) -> None:
+    def close(self, ending: CloseReason) -> None:
         """Close after what has been written.
 
         Guard: a whole request may wait behind an answer that ended in this very turn
@@ -188,7 +199,7 @@
             self._note_unanswered(ending)
             self.transport.close()
 
-    def _note_unanswered(self, ending: Ending) -> None:
+    def _note_unanswered(self, ending: CloseReason) -> None:
         """Tell of a request that was read, or lies in the socket, and is given up.
 
         An answer that is broken off is told with its call, and what lies behind a
@@ -197,23 +208,23 @@
         if self.transport is None or self.transport.is_closing() or self.refused:
             return
         read = len(self.reader.buffer) + self.dropped
-        waiting = bytes_waiting(self.transport.get_extra_info("socket"))
+        waiting = unread_socket_bytes(self.transport.get_extra_info("socket"))
         unsent = self.transport.get_write_buffer_size()
         awaits_answer = self.exchange is not None and not self.exchange.begun
         begun = awaits_answer or self.reader.awaits_body
         if not (read or waiting or unsent or begun):
             return
-        whole = awaits_answer or holds_whole_request(self.reader)
-        self.front.unanswered(
+        whole = awaits_answer or has_complete_request(self.reader)
+        self.front.request_unanswered(
             self,
-            Unanswered(
+            UnansweredRequest(
                 ending,
                 read,
                 waiting,
                 unsent,
                 whole if whole or not self.dropped else None,
-                self.clock.monotonic() - self.heard_at,
-                self.promised,
+                self.clock.monotonic() - self.last_activity_at,
+                self.advertised_idle_timeout,
             ),
         )
 
@@ -228,7 +239,7 @@
         if self.transport is not None:
             left = self.transport.get_write_buffer_size()
         if left and left == self.left:
-            self._note_unanswered(Ending.NOT_TAKEN)
+            self._note_unanswered(CloseReason.CALLER_NOT_READING)
             self._reset()
         elif left:
             self.left = left
@@ -236,10 +247,12 @@
         elif self.left and not self.lingering:
             # Its rest was taken since the last look: the time that was told begins.
             self.left = 0
-            self.heard_at = self.clock.monotonic()
+            self.last_activity_at = self.clock.monotonic()
             self._await_request()
         else:
-            self.close(Ending.LAST_ANSWER if self.lingering else Ending.IDLE)
+            self.close(
+                CloseReason.LAST_RESPONSE if self.lingering else CloseReason.IDLE
+            )
 
     def data_received(self, data: bytes) -> None:
         """Read on, unless the connection only waits to be closed."""
@@ -252,7 +265,7 @@
             self._fail(error)
 
     def _take(self, data: bytes) -> None:
-        self.heard_at = self.clock.monotonic()
+        self.last_activity_at = self.clock.monotonic()
         if self.first_byte_at is None and self.exchange is None:
             self._begin_request()
         self.reader.feed(data)
@@ -281,7 +294,7 @@
     def _begin_request(self) -> None:
         self.first_byte_at = self.clock.monotonic()
         self.reader.limits = self.front.limits
-        self.promised = self.idle_time
+        self.advertised_idle_timeout = self.idle_time
         self._wait(self.front.limits.header_timeout, self._too_slow)
 
     def _read(self) -> None:
@@ -297,14 +310,14 @@
         at = self.first_byte_at or self.clock.monotonic()
         self.first_byte_at = None
         self.continued = False
-        self.exchange = exchange = Exchange(message)
+        self.exchange = exchange = ActiveRequest(message)
         try:
             self.front.accept(self, message, at)
         except Exception as error:
             if self.exchange is exchange:
                 self._fail(error)
             else:
-                self.front.faulted(self, error)
+                self.front.intake_faulted(self, error)
 
     def _fail(self, error: Exception) -> None:
         """End a request for a fault in the code; its caller is told.
@@ -315,17 +328,17 @@
         a request has no answer yet; the front then ends what it had begun of it.
         """
         if self.exchange is not None:
-            self.break_off()
+            self.abort_response()
         elif self.reader.begun and not self.lingering:
             self._refuse(FAULT)
         else:
             self._wait(LINGER, self._abort)
-        self.front.faulted(self, error)
+        self.front.intake_faulted(self, error)
 
     def _tell_fault(self) -> None:
         self.reader.closing = True
         phrase = FAULT.status.phrase.encode()
-        self.answer(int(FAULT.status), phrase, [], b"")
+        self.send_response(int(FAULT.status), phrase, [], b"")
 
     def _abort(self) -> None:
         if self.transport is not None:
@@ -348,7 +361,7 @@
         # Blank lines between requests begin none: one that was counted from such a
         # line had its time cut, or its idle connection got a 408 nobody asked for.
         self.first_byte_at = None
-        self._wait(self.idle_time + KEEP_SLACK, self._idle_over)
+        self._wait(self.idle_time + IDLE_TIMEOUT_SLACK, self._idle_over)
 
     def _idle_over(self) -> None:
         """Let the caller go, unless a configuration gave it more time meanwhile.
@@ -357,11 +370,11 @@
         timers. A request that came in between was reset unread; what lies in the
         socket now is read first.
         """
-        due_at = self.heard_at + self.idle_time + KEEP_SLACK
+        due_at = self.last_activity_at + self.idle_time + IDLE_TIMEOUT_SLACK
         left = due_at - self.clock.monotonic()
         if left > timedelta(0):
             self._wait(left, self._idle_over)
-        elif self.unread:
+        elif self.has_unread_bytes:
             self._wait(READ_SOON, self._idle_over)
         else:
             self._let_go()
@@ -376,12 +389,12 @@
         phrase = error.status.phrase.encode()
         headers = [Header(b"Content-Length", b"0"), Header(b"Connection", b"close")]
         if error.status is HTTPStatus.SERVICE_UNAVAILABLE:
-            headers += self.front.come_back_headers()
+            headers += self.front.retry_after_headers()
         line = b"HTTP/1.1 %d %s" % (error.status, phrase)
         self._write(render_head(line, headers))
         self._linger()
         # Last: whatever becomes of the line, the caller has its answer.
-        self.front.refused(self, error)
+        self.front.malformed_request(self, error)
 
     def _linger(self) -> None:
         self.lingering = True
@@ -390,7 +403,7 @@
             self.transport.write_eof()
         self._wait(LINGER, self._let_go)
 
-    def answer(
+    def send_response(
         self, status: int, reason: bytes, headers: list[Header], body: bytes
     ) -> None:
         """Send a whole answer; to a HEAD request its head, with the length told."""
@@ -398,14 +411,14 @@
             return
         framing = []
         without_body = self.exchange.message.head.method == HEAD
-        told = first_value(headers, CONTENT_LENGTH) is not None
+        told = first_header_value(headers, CONTENT_LENGTH) is not None
         if status not in BODYLESS and not told:
             framing.append(Header(b"Content-Length", b"%d" % len(body)))
         head = self._head(status, reason, headers + framing)
         self._write(head if without_body else head + body)
         self._done()
 
-    def begin(self, status: int, reason: bytes, headers: list[Header]) -> None:
+    def begin_response(self, status: int, reason: bytes, headers: list[Header]) -> None:
         """Send the head of an answer whose body comes in parts."""
         if self.exchange is None:
             return
@@ -418,7 +431,7 @@
             self.reader.closing = True
         self._write(self._head(status, reason, headers + framing))
 
-    def part(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send a part of a body that was begun."""
         if self.exchange is None or not data:
             return
@@ -426,7 +439,7 @@
             data = b"%x\r\n%s\r\n" % (len(data), data)
         self._write(data)
 
-    def end(self) -> None:
+    def end_response(self) -> None:
         """End a body that was begun; it is whole."""
         if self.exchange is None:
             return
@@ -434,7 +447,7 @@
             self._write(b"0\r\n\r\n")
         self._done()
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Close the connection so that the answer can't look whole.
 
         Guard: where the answer could not be made at all, nothing of it has been sent,
@@ -465,8 +478,8 @@
             self.reader.closing = True
             headers = [*headers, Header(b"Connection", b"close")]
         else:
-            self.promised = self.front.limits.idle_timeout
-            seconds = int(self.promised.total_seconds())
+            self.advertised_idle_timeout = self.front.limits.idle_timeout
+            seconds = int(self.advertised_idle_timeout.total_seconds())
             headers = [*headers, Header(b"Keep-Alive", b"timeout=%d" % seconds)]
         return render_head(b"HTTP/1.1 %d %s" % (status, reason), headers)
 
@@ -478,7 +491,7 @@
     def _done(self) -> None:
         self.exchange = None
         self.left = 0
-        self.heard_at = self.clock.monotonic()
+        self.last_activity_at = self.clock.monotonic()
         if self.owes_refusal:
             self._refuse(TOO_FAR_AHEAD)
             return
@@ -505,13 +518,13 @@
 
     def pause_writing(self) -> None:
         """Have no more read from the endpoint for now."""
-        self.behind = True
-        self.front.stalled(self, True)
+        self.write_paused = True
+        self.front.caller_stalled(self, True)
 
     def resume_writing(self) -> None:
         """Read from the endpoint again."""
-        self.behind = False
-        self.front.stalled(self, False)
+        self.write_paused = False
+        self.front.caller_stalled(self, False)
 
     def eof_received(self) -> bool:
         """Take the end of the caller's bytes for its leaving."""
@@ -521,13 +534,13 @@
         """Tell that the caller is gone."""
         # The loop ends a connection whose owner raised, and hands on what it raised.
         if exc is not None and not isinstance(exc, OSError):
-            self.front.faulted(self, exc)
+            self.front.intake_faulted(self, exc)
         self.transport = None
         self.registry.discard(self)
         self._stop_timer()
         if self.exchange is not None:
             self.exchange = None
-            self.front.gone(self)
+            self.front.caller_disconnected(self)
 
     def _wait(self, time: timedelta, then: Callable[[], None]) -> None:
         self._stop_timer()
--- a/src/mimosafork/gateway/dialect.py
+++ b/src/mimosafork/gateway/dialect.py
@@ -10,11 +10,11 @@
 from ..kernel.messages.dispatch import Helper
 from ..kernel.messages.placement import PartFailure
 from ..routing.table import ApiKey
-from .answer_reader import AnswerHead
 from .heads import Header, RequestHead
+from .response_reader import ResponseHead
 
 
-class CallMarks(msgspec.Struct, frozen=True):
+class CallMetadata(msgspec.Struct, frozen=True):
     """What a caller says about its call.
 
     Attributes
@@ -33,25 +33,25 @@
 
     call_id: str
     time_left: timedelta | None = None
-    last_event: int | None = None
+    last_event_id: int | None = None
     key: ApiKey | None = None
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     expected_tokens: int = 0
 
 
-class AttemptMarks(msgspec.Struct, frozen=True):
+class AttemptMetadata(msgspec.Struct, frozen=True):
     """What this instance tells an endpoint about an attempt."""
 
     endpoint: EndpointId
     time_left: timedelta
     account: AccountId | None = None
-    last_event: int | None = None
+    last_event_id: int | None = None
     priority: int | None = None
     helpers: tuple[Helper, ...] = ()
 
 
-class AnswerMarks(msgspec.Struct, frozen=True):
+class ResponseMetadata(msgspec.Struct, frozen=True):
     """What an endpoint says about its answer.
 
     Attributes
@@ -71,7 +71,7 @@
     call_id: str | None
     signed: bool
     not_run: bool
-    elsewhere: bool
+    endpoint_moved: bool
     fault_at: str | None = None
 
 
@@ -85,7 +85,7 @@
 class Dialect(Protocol):
     """Reads and writes the headers of calls, and orders to endpoints."""
 
-    def read_call(self, head: RequestHead) -> CallMarks:
+    def parse_call_metadata(self, head: RequestHead) -> CallMetadata:
         """Return what a caller's headers say.
 
         Raises
@@ -94,13 +94,15 @@
             If a header can't be read.
         """
 
-    def endpoint_headers(self, head: RequestHead, marks: AttemptMarks) -> list[Header]:
+    def endpoint_headers(
+        self, head: RequestHead, metadata: AttemptMetadata
+    ) -> list[Header]:
         """Return the headers of an attempt, but those that frame its body."""
 
-    def read_answer(self, head: AnswerHead) -> AnswerMarks:
+    def parse_response_metadata(self, head: ResponseHead) -> ResponseMetadata:
         """Return what an endpoint's headers say."""
 
-    def own_answer_headers(
+    def local_response_headers(
         self, call_id: str, retry_after: timedelta | None
     ) -> list[Header]:
         """Return the headers of an answer that this instance gives itself."""
--- a/src/mimosafork/gateway/errors.py
+++ b/src/mimosafork/gateway/errors.py
@@ -26,5 +26,5 @@
         self.detail = detail
 
 
-class BadAnswerError(GatewayError):
+class BadResponseError(GatewayError):
     """An endpoint's bytes are no proper answer."""
--- a/src/mimosafork/gateway/event_stream.py
+++ b/src/mimosafork/gateway/event_stream.py
@@ -10,7 +10,7 @@
 EVENT_STREAM = b"text/event-stream"
 
 
-class StreamEvent(msgspec.Struct, frozen=True):
+class RawStreamEvent(msgspec.Struct, frozen=True):
     """One event with the empty line that ends it; `number` is its id, if any."""
 
     data: bytes
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.buffer = bytearray()
 
-    def feed(self, data: bytes) -> list[StreamEvent]:
+    def feed(self, data: bytes) -> list[RawStreamEvent]:
         """Take bytes; return the events that they complete."""
         # No end was found before: a new one ends in the new bytes. Searching all
         # again would make a long event in many pieces cost the square of its length.
@@ -38,7 +38,7 @@
         for match in EVENT_END.finditer(self.buffer, searched):
             block = bytes(self.buffer[start : match.end()])
             start = match.end()
-            events.append(StreamEvent(block, number_of(block)))
+            events.append(RawStreamEvent(block, event_id_of(block)))
         del self.buffer[:start]
         return events
 
@@ -48,7 +48,7 @@
         return bytes(self.buffer)
 
 
-def number_of(block: bytes) -> int | None:
+def event_id_of(block: bytes) -> int | None:
     """Return the id of an event; None if it has none."""
     match = EVENT_ID.search(block)
     return int(match[1]) if match else None
--- a/src/mimosafork/gateway/failure_words.py
+++ b/src/mimosafork/gateway/failure_labels.py
@@ -14,7 +14,7 @@
 sooner has another cause."""
 
 
-def failure_word(failure: AttemptFailed, left: timedelta) -> str:
+def failure_label(failure: AttemptFailed, left: timedelta) -> str:
     """Return how an attempt failed, in a word.
 
     Guard: calls that run out of time at a sound endpoint come all day, and looked like
--- a/src/mimosafork/gateway/gateway.py
+++ b/src/mimosafork/gateway/gateway.py
@@ -37,22 +37,27 @@
 )
 from ..telemetry.catalogue.lifecycle import EFFECT_FAULT
 from ..telemetry.logs import log_event
-from .attempt import AttemptTools, EndpointAttempt, deliver, faulted
+from .attempt import (
+    AttemptContext,
+    EndpointAttempt,
+    dispatch_faulted,
+    send_complete_response,
+)
 from .call import Call, Responder
-from .call_lines import CallLines
+from .call_log import CallLog
 from .client_connection import ClientConnection
-from .dialect import CallMarks, Dialect
+from .dialect import CallMetadata, Dialect
 from .errors import BadRequestError
 from .freeze import FreezeWatch
 from .heads import Header
-from .intake import FAULT, STOPPING, Admission, Refusal, admit
+from .intake import INTERNAL_FAULT, STOPPING, AdmittedCall, CallRefusal, admit
 from .orders import Orders
 from .outlook import milliseconds
 from .policies.fleet_view import FleetView
 from .pool import ConnectionPool
-from .problems import COME_BACK, final_status
+from .problems import DEFAULT_RETRY_AFTER, final_status
 from .request_reader import RequestMessage
-from .unanswered import Ending, Unanswered
+from .unanswered_request import CloseReason, UnansweredRequest
 from .zone_watch import ZoneWatch
 
 logger = getLogger(__name__)
@@ -94,8 +99,8 @@
         self.random = random
         self.table = table
         self.pool = ConnectionPool(clock)
-        self.tools = AttemptTools(clock, self.pool, dialect, self.post)
-        self.lines = CallLines(clock)
+        self.tools = AttemptContext(clock, self.pool, dialect, self.post)
+        self.lines = CallLog(clock)
         self.zones = ZoneWatch(self.post, kernel.plugin(FleetView).zone_of)
         self.freezes = FreezeWatch(clock, BootClock(), TICK)
         self.orders = Orders(clock, self.pool, dialect, self.post)
@@ -132,7 +137,7 @@
         """
         connections = self.connections
         return bool(self.calls) or any(
-            each.unsent or each.unread for each in connections
+            each.has_unsent_bytes or each.has_unread_bytes for each in connections
         )
 
     def start(self) -> None:
@@ -143,7 +148,7 @@
         """Take no further calls: callers in between two go elsewhere."""
         self.intake_ended = True
         for connection in list(self.connections):
-            connection.leave()
+            connection.stop_intake()
 
     def stop(self) -> None:
         """Close everything; open calls should have ended."""
@@ -151,7 +156,7 @@
             self.ticker.cancel()
         self.pool.close()
         for connection in list(self.connections):
-            connection.close(Ending.STOPPED)
+            connection.close(CloseReason.STOPPED)
 
     def _tick(self) -> None:
         planned = self.tick_after
@@ -189,7 +194,7 @@
     def _report_silence(self) -> None:
         now = self.clock.monotonic()
         for attempt in list(self.attempts.values()):
-            silent = attempt.silent(now)
+            silent = attempt.check_silence(now)
             if silent is not None:
                 self.post(silent)
 
@@ -202,10 +207,12 @@
     ) -> None:
         """Take a whole request; `at` is the instant of its first byte."""
         try:
-            marks = self.dialect.read_call(message.head)
+            marks = self.dialect.parse_call_metadata(message.head)
         except BadRequestError as error:
-            self._answer(connection, CallMarks(""), Refusal(error.status, "malformed"))
-            self.refused(connection, error)
+            self._answer(
+                connection, CallMetadata(""), CallRefusal(error.status, "malformed")
+            )
+            self.malformed_request(connection, error)
             return
         try:
             self._take(connection, message, marks, at)
@@ -213,21 +220,21 @@
             # Once the kernel has it, nobody knows whether it runs.
             if connection in self.by_connection:
                 raise
-            self.faulted(connection, error)
-            self._answer(connection, marks, FAULT)
+            self.intake_faulted(connection, error)
+            self._answer(connection, marks, INTERNAL_FAULT)
 
     def _take(
         self,
         connection: ClientConnection,
         message: RequestMessage,
-        marks: CallMarks,
+        marks: CallMetadata,
         at: timedelta,
     ) -> None:
         request_id = RequestId(f"{next(self.numbers)}")
-        found: Admission | Refusal = STOPPING
+        found: AdmittedCall | CallRefusal = STOPPING
         if not self.intake_ended:
             found = admit(message, marks, self.table(), request_id, at, self.random)
-        if isinstance(found, Refusal):
+        if isinstance(found, CallRefusal):
             self._refuse(connection, message, marks, found)
             return
         self._submit(connection, message, marks, found, at)
@@ -236,8 +243,8 @@
         self,
         connection: ClientConnection,
         message: RequestMessage,
-        marks: CallMarks,
-        admission: Admission,
+        marks: CallMetadata,
+        admission: AdmittedCall,
         at: timedelta,
     ) -> None:
         request = admission.request
@@ -250,9 +257,9 @@
             request,
             connection,
             at,
-            last_event=marks.last_event,
-            version=admission.version,
-            behind=connection.behind,
+            last_event_id=marks.last_event_id,
+            table_version=admission.version,
+            caller_stalled=connection.write_paused,
         )
         self.calls[call.request_id] = call
         self.by_connection[connection] = call.request_id
@@ -263,71 +270,79 @@
         self,
         connection: ClientConnection,
         message: RequestMessage,
-        marks: CallMarks,
-        refusal: Refusal,
+        marks: CallMetadata,
+        refusal: CallRefusal,
     ) -> None:
         self._answer(connection, marks, refusal)
         self.lines.refused(message, marks, refusal, self.table())
 
     def _answer(
-        self, connection: ClientConnection, marks: CallMarks, refusal: Refusal
+        self, connection: ClientConnection, marks: CallMetadata, refusal: CallRefusal
     ) -> None:
-        headers = self.dialect.own_answer_headers(marks.call_id, refusal.retry_after)
+        headers = self.dialect.local_response_headers(
+            marks.call_id, refusal.retry_after
+        )
         headers.append(Header(b"Content-Type", b"text/plain"))
         reason = refusal.status.phrase.encode()
-        connection.answer(
+        connection.send_response(
             refusal.status, reason, headers, refusal.reason.encode() + b"\n"
         )
 
-    def refused(self, connection: ClientConnection, error: BadRequestError) -> None:
+    def malformed_request(
+        self, connection: ClientConnection, error: BadRequestError
+    ) -> None:
         """Log that a caller's bytes were no proper request."""
         log_event(logger, MALFORMED_REQUEST, status=int(error.status), why=error.detail)
 
-    def come_back_headers(self) -> list[Header]:
+    def retry_after_headers(self) -> list[Header]:
         """Return what tells a caller that is refused when to come back."""
-        return self.dialect.own_answer_headers("", COME_BACK)
+        return self.dialect.local_response_headers("", DEFAULT_RETRY_AFTER)
 
-    def unanswered(self, connection: ClientConnection, left: Unanswered) -> None:
+    def request_unanswered(
+        self, connection: ClientConnection, left: UnansweredRequest
+    ) -> None:
         """Log what a caller had sent when its connection ends, and got no answer to."""
         table = self.table()
         log_event(
             logger,
             REQUEST_UNANSWERED,
-            why=left.ending.value,
+            why=left.reason.value,
             read=left.bytes_read,
             waiting=left.bytes_waiting,
             unsent=left.bytes_unsent,
             whole=left.whole,
             idle_ms=milliseconds(left.idle),
-            promised_ms=milliseconds(left.promised),
+            promised_ms=milliseconds(left.advertised_idle_timeout),
             version=None if table is None else table.version,
             draining=self.draining,
         )
 
-    def faulted(self, connection: ClientConnection, error: BaseException) -> None:
+    def intake_faulted(
+        self, connection: ClientConnection, error: BaseException
+    ) -> None:
         """Log a fault in the code while a caller's bytes were taken.
 
         A call that was begun of them is ended: its caller has been told, or is gone.
         """
         log_event(logger, INTAKE_FAULT, exc_info=error, fault=type(error).__name__)
         request_id = self.by_connection.get(connection)
-        self.gone(connection)
+        self.caller_disconnected(connection)
         # Left where the kernel never heard of it; nobody else would end it then.
         if request_id is not None:
             self.calls.pop(request_id, None)
 
-    def gone(self, connection: ClientConnection) -> None:
+    def caller_disconnected(self, connection: ClientConnection) -> None:
         """Have the kernel end the call of a caller that has left."""
         request_id = self.by_connection.pop(connection, None)
         if request_id is not None:
             self.post(CallerGone(request_id))
 
-    def stalled(self, connection: ClientConnection, stalled: bool) -> None:
+    def caller_stalled(self, connection: ClientConnection, stalled: bool) -> None:
         """Stop and go on reading from the endpoint as the caller keeps up."""
         request_id = self.by_connection.get(connection)
         if request_id is None:
             return
-        self.calls[request_id].behind = stalled
+        self.calls[request_id].caller_stalled = stalled
         for attempts in (self.attempts, self.hedged):
             attempt = attempts.get(request_id)
             if attempt is not None and stalled:
@@ -385,7 +400,7 @@
         """
         attempt = self.attempts.get(dispatch.request_id)
         sent = attempt is not None and attempt.connection is not None
-        self.inbox.append(faulted(dispatch, sent))
+        self.inbox.append(dispatch_faulted(dispatch, sent))
 
     @singledispatchmethod
     def perform(self, effect: Effect) -> None:
@@ -417,7 +432,7 @@
             attempt.hedged = False
             self.attempts[effect.request_id] = attempt
         if attempt is not None and call is not None:
-            call.notes = attempt.notes
+            call.diagnostics = attempt.diagnostics
             self.lines.restored(call, attempt.dispatch)
 
     @perform.register
@@ -461,7 +476,7 @@
         if effect.problem is not None and not self._guarded(
             effect, self._tell_problem, call
         ):
-            call.responder.break_off()
+            call.responder.abort_response()
             if not call.cut:
                 call.status = int(HTTPStatus.INTERNAL_SERVER_ERROR)
         self.lines.ended(call, effect)
@@ -477,17 +492,19 @@
             return
         if call.head_sent:
             call.cut = True
-            call.responder.break_off()
+            call.responder.abort_response()
             return
-        if call.failure is not None:
-            deliver(call, call.failure)
+        if call.endpoint_failure is not None:
+            send_complete_response(call, call.endpoint_failure)
             return
         final = final_status(conclusion)
         call.status = int(final.status)
         code = ProblemCode.INTERNAL if problem is None else problem.code
-        headers = self.dialect.own_answer_headers(call.marks.call_id, final.retry_after)
+        headers = self.dialect.local_response_headers(
+            call.metadata.call_id, final.retry_after
+        )
         headers.append(Header(b"Content-Type", b"text/plain"))
-        call.responder.answer(
+        call.responder.send_response(
             final.status,
             HTTPStatus(final.status).phrase.encode(),
             headers,
--- a/src/mimosafork/gateway/heads.py
+++ b/src/mimosafork/gateway/heads.py
@@ -74,7 +74,7 @@
     @property
     def host(self) -> str:
         """The Host header without a port, in lower case."""
-        value = first_value(self.headers, HOST) or b""
+        value = first_header_value(self.headers, HOST) or b""
         return value.partition(b":")[0].decode("latin-1").lower()
 
     @property
@@ -88,16 +88,16 @@
     @property
     def expects_continue(self) -> bool:
         """Whether the caller waits for a word before it sends its body."""
-        value = first_value(self.headers, EXPECT)
+        value = first_header_value(self.headers, EXPECT)
         return value is not None and value.lower() == b"100-continue"
 
 
-def values_of(headers: Iterable[Header], name: bytes) -> list[bytes]:
+def header_values(headers: Iterable[Header], name: bytes) -> list[bytes]:
     """Return the values of all headers with a name, given in lower case."""
     return [header.value for header in headers if header.name.lower() == name]
 
 
-def first_value(headers: Iterable[Header], name: bytes) -> bytes | None:
+def first_header_value(headers: Iterable[Header], name: bytes) -> bytes | None:
     """Return the first value of a header, whose name is given in lower case."""
     for header in headers:
         if header.name.lower() == name:
@@ -107,11 +107,11 @@
 
 def connection_tokens(headers: Iterable[Header]) -> frozenset[bytes]:
     """Return what the Connection headers list, in lower case."""
-    joined = b",".join(values_of(headers, CONNECTION)).lower()
+    joined = b",".join(header_values(headers, CONNECTION)).lower()
     return frozenset(part.strip() for part in joined.split(b",") if part.strip())
 
 
-def end_to_end(headers: Iterable[Header]) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header]) -> list[Header]:
     """Return the headers that are passed on: not those of one connection only."""
     headers = tuple(headers)
     dropped = HOP_BY_HOP | connection_tokens(headers) | {CONTENT_LENGTH, EXPECT}
@@ -148,15 +148,15 @@
 
 
 def _check_host(headers: tuple[Header, ...], minor: int) -> None:
-    hosts = values_of(headers, HOST)
+    hosts = header_values(headers, HOST)
     if len(hosts) > 1 or (not hosts and minor == 1):
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "there must be one Host header")
 
 
 def _length(headers: tuple[Header, ...], minor: int) -> int | None:
     """Return the body's length; None if it comes in chunks."""
-    lengths = values_of(headers, CONTENT_LENGTH)
-    codings = values_of(headers, TRANSFER_ENCODING)
+    lengths = header_values(headers, CONTENT_LENGTH)
+    codings = header_values(headers, TRANSFER_ENCODING)
     if codings:
         if lengths or minor == 0 or [c.lower() for c in codings] != [b"chunked"]:
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "the framing is ambiguous")
--- a/src/mimosafork/gateway/intake.py
+++ b/src/mimosafork/gateway/intake.py
@@ -11,8 +11,8 @@
 from ..ids import AccountId, Digest, ModelId, RequestId, ServiceId
 from ..kernel.messages.requests import CallTerms, Repeatability, Request, RequestKind
 from ..routing.table import Account, CallKind, Route, RoutingTable, Split
-from .dialect import CallMarks
-from .problems import COME_BACK
+from .dialect import CallMetadata
+from .problems import DEFAULT_RETRY_AFTER
 from .request_reader import RequestMessage
 
 NO_ACCOUNT = AccountId("")
@@ -20,7 +20,7 @@
 NOT_CONFIGURED_COME_BACK = timedelta(milliseconds=500)
 
 
-class Refusal(msgspec.Struct, frozen=True):
+class CallRefusal(msgspec.Struct, frozen=True):
     """The call ends here, before the kernel has heard of it."""
 
     status: HTTPStatus
@@ -28,17 +28,19 @@
     retry_after: timedelta | None = None
 
 
-STOPPING = Refusal(
+STOPPING = CallRefusal(
     HTTPStatus.SERVICE_UNAVAILABLE, "stopping", timedelta(milliseconds=100)
 )
 """What a caller is told whose request came whole only after the last were taken."""
-NO_CONFIGURATION = Refusal(
+NO_CONFIGURATION = CallRefusal(
     HTTPStatus.SERVICE_UNAVAILABLE, "no-configuration", NOT_CONFIGURED_COME_BACK
 )
-FAULT = Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "fault", COME_BACK)
+INTERNAL_FAULT = CallRefusal(
+    HTTPStatus.SERVICE_UNAVAILABLE, "fault", DEFAULT_RETRY_AFTER
+)
 """A fault in the code before the kernel has heard of the call: it has not run."""
-NO_ROUTE = Refusal(HTTPStatus.NOT_FOUND, "no-route")
-UNKNOWN_KEY = Refusal(HTTPStatus.UNAUTHORIZED, "unknown-key")
+NO_ROUTE = CallRefusal(HTTPStatus.NOT_FOUND, "no-route")
+UNKNOWN_KEY = CallRefusal(HTTPStatus.UNAUTHORIZED, "unknown-key")
 
 
 class Match(msgspec.Struct, frozen=True):
@@ -60,7 +62,7 @@
         return None if self.account is None else self.account.name
 
 
-class Admission(msgspec.Struct, frozen=True):
+class AdmittedCall(msgspec.Struct, frozen=True):
     """What a request asks for, by the routing table in force."""
 
     route: Route
@@ -71,17 +73,17 @@
 
 def admit(
     message: RequestMessage,
-    marks: CallMarks,
+    marks: CallMetadata,
     table: RoutingTable | None,
     request_id: RequestId,
     arrived_at: timedelta,
     random: Random,
-) -> Admission | Refusal:
+) -> AdmittedCall | CallRefusal:
     """Match a request with the routing table.
 
     Parameters
     ----------
-    message, marks : RequestMessage, CallMarks
+    message, marks : RequestMessage, CallMetadata
     table : RoutingTable or None
         None while no version is known.
     request_id : RequestId
@@ -92,7 +94,7 @@
         Chooses among the services of a split route.
     """
     match = matched(message, marks, table)
-    if isinstance(match, Refusal):
+    if isinstance(match, CallRefusal):
         return match
     route = match.route
     service = choose_service(route.splits, random)
@@ -103,18 +105,18 @@
         kind=kind,
         target=service if kind is RequestKind.SERVICE else ModelId(service),
         prompt_tokens=marks.prompt_tokens,
-        max_tokens=marks.most_tokens,
+        max_tokens=marks.max_tokens,
         deadline=arrived_at + time_allowed(route, marks),
-        body_digest=digest_of(message, match.account_name),
+        body_digest=call_digest(message, match.account_name),
         repeatability=repeatability_of(route),
         terms=terms_of(route, match.account, marks),
     )
-    return Admission(route, match.account_name, request, match.table.version)
+    return AdmittedCall(route, match.account_name, request, match.table.version)
 
 
 def matched(
-    message: RequestMessage, marks: CallMarks, table: RoutingTable | None
-) -> Match | Refusal:
+    message: RequestMessage, marks: CallMetadata, table: RoutingTable | None
+) -> Match | CallRefusal:
     """Return the route and account of a request, or why it has none."""
     if table is None:
         return NO_CONFIGURATION
@@ -150,14 +152,14 @@
     return Repeatability.NON_IDEMPOTENT
 
 
-def time_allowed(route: Route, marks: CallMarks) -> timedelta:
+def time_allowed(route: Route, marks: CallMetadata) -> timedelta:
     """Return how long a call may take: as its caller waits and its route allows."""
     if marks.time_left is None:
         return route.timeout
     return min(route.timeout, marks.time_left)
 
 
-def terms_of(route: Route, account: Account | None, marks: CallMarks) -> CallTerms:
+def terms_of(route: Route, account: Account | None, marks: CallMetadata) -> CallTerms:
     """Return what the kernel's plug-ins go by."""
     priority = route.priority
     if account is not None and account.priority is not None:
@@ -173,7 +175,7 @@
     )
 
 
-def digest_of(message: RequestMessage, account: AccountId | None) -> Digest:
+def call_digest(message: RequestMessage, account: AccountId | None) -> Digest:
     """Return a digest of what decides a call's answer, whoever sends it again."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (
--- a/src/mimosafork/gateway/long_sends.py
+++ b/src/mimosafork/gateway/long_send_watch.py
@@ -24,14 +24,14 @@
     """A connection that sends a long request."""
 
     @property
-    def unread(self) -> bool:
+    def send_pending(self) -> bool:
         """Whether a part of the request has not reached the peer's machine."""
 
     @property
-    def awaited(self) -> bool:
+    def awaiting_response(self) -> bool:
         """Whether a call still awaits its answer."""
 
-    def vanish(self) -> None:
+    def abandon(self) -> None:
         """Give the connection up."""
 
 
@@ -77,14 +77,14 @@
             self.timer.cancel()
 
     def _look(self) -> None:
-        if not self.sender.unread:
+        if not self.sender.send_pending:
             self.done()
             return
-        if not self.sender.awaited:
+        if not self.sender.awaiting_response:
             self.rest_left -= LOOK_EVERY
         info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO_SIZE)
         if self.rest_left <= timedelta(0) or silent(info, self.patience):
-            self.sender.vanish()
+            self.sender.abandon()
             return
         self.look_later()
 
--- a/src/mimosafork/gateway/metrics_page.py
+++ b/src/mimosafork/gateway/metrics_page.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from .page_connection import PageAnswer, PageConnection
+from .page_connection import PageConnection, PageResponse
 
 if TYPE_CHECKING:
     from ..telemetry.metrics import Metrics
@@ -37,8 +37,8 @@
         super().__init__()
         self.page = page
 
-    def answer(self, path: str) -> PageAnswer:
+    def respond(self, path: str) -> PageResponse:
         """Answer with the page, as it is now."""
         if path != METRICS_PATH:
-            return PageAnswer(HTTPStatus.NOT_FOUND, content_type=CONTENT_TYPE)
-        return PageAnswer(HTTPStatus.OK, self.page(), CONTENT_TYPE)
+            return PageResponse(HTTPStatus.NOT_FOUND, content_type=CONTENT_TYPE)
+        return PageResponse(HTTPStatus.OK, self.page(), CONTENT_TYPE)
--- a/src/mimosafork/gateway/orders.py
+++ b/src/mimosafork/gateway/orders.py
@@ -20,10 +20,10 @@
 )
 from ..telemetry.catalogue.gateway import MEMORY_NOT_RESERVED
 from ..telemetry.logs import log_event
-from .answer_reader import AnswerHead
 from .dialect import Dialect, OrderMessage
 from .heads import Header, render_head
-from .pool import ConnectionPool, Wanted
+from .pool import ConnectionPool, ConnectionRequest
+from .response_reader import ResponseHead
 from .upstream import CallSink, ConnectionLoss, EndpointConnection
 
 logger = getLogger(__name__)
@@ -77,10 +77,10 @@
         """Send on a kept connection, or on a new one."""
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(ANSWER_WITHIN.total_seconds(), self._too_late)
-        self._try(self.tools.pool.take(self._wanted()))
+        self._try(self.tools.pool.acquire(self._wanted()))
 
-    def _wanted(self) -> Wanted:
-        return Wanted(self.order.endpoint, self.order.address)
+    def _wanted(self) -> ConnectionRequest:
+        return ConnectionRequest(self.order.endpoint, self.order.address)
 
     def _try(self, kept: EndpointConnection | None) -> None:
         if kept is not None:
@@ -108,13 +108,13 @@
         first_line = b"POST %s HTTP/1.1" % message.path.encode()
         return render_head(first_line, headers) + message.body
 
-    def _on_head(self, head: AnswerHead) -> None:
+    def _on_head(self, head: ResponseHead) -> None:
         self.status = head.status
 
     def _on_end(self) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
-            self.tools.pool.put_back(self.order.endpoint, connection)
+            self.tools.pool.release(self.order.endpoint, connection)
         assert self.status is not None
         self._end(self.tools.dialect.order_failure(self.status))
 
--- a/src/mimosafork/gateway/outlook.py
+++ b/src/mimosafork/gateway/outlook.py
@@ -10,7 +10,7 @@
 from ..ids import AvailabilityZoneId, EndpointId, ServiceId
 from ..kernel.core import Kernel
 from ..kernel.messages.dispatch import Dispatch
-from .attempt_notes import Spread
+from .attempt_diagnostics import AttemptPlacement
 from .policies.fleet_view import FleetView
 from .policies.placing import WorkPlacer
 from .policies.retrying import BudgetedRetry
@@ -83,7 +83,7 @@
     def load_age(self) -> timedelta | None:
         """Return the age of the oldest word of a peer that still counts."""
 
-    def spread(self, dispatch: Dispatch) -> Spread:
+    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return the zones of an attempt's endpoints, and what is expected of it."""
 
     @property
@@ -102,9 +102,9 @@
         """Return that no peer is heard."""
         return None
 
-    def spread(self, dispatch: Dispatch) -> Spread:
+    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return nothing known."""
-        return Spread()
+        return AttemptPlacement()
 
     @property
     def own_zone(self) -> AvailabilityZoneId | None:
@@ -166,13 +166,13 @@
             max((peer.age for peer in gossip.peers), default=None) if gossip else None
         )
 
-    def spread(self, dispatch: Dispatch) -> Spread:
+    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return the zones of an attempt's endpoints, and what is expected of it.
 
         They are looked up when it is sent: an endpoint that is gone when its attempt
         fails is no longer known then.
         """
-        return Spread(
+        return AttemptPlacement(
             self.zone_of(dispatch.endpoint),
             tuple(self.zone_of(each.endpoint) for each in dispatch.helpers),
             self.placer.first_token_at.get(dispatch.request_id),
--- a/src/mimosafork/gateway/page_connection.py
+++ b/src/mimosafork/gateway/page_connection.py
@@ -15,7 +15,7 @@
 ANSWER_LIMITS = ClientLimits(header_bytes=4096, body_bytes=0)
 
 
-class PageAnswer(msgspec.Struct, frozen=True):
+class PageResponse(msgspec.Struct, frozen=True):
     """What a question is answered with.
 
     Attributes
@@ -37,7 +37,7 @@
         self.transport: asyncio.Transport | None = None
 
     @abstractmethod
-    def answer(self, path: str) -> PageAnswer:
+    def respond(self, path: str) -> PageResponse:
         """Return the answer to a request for a path."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -49,12 +49,12 @@
         self.reader.feed(data)
         try:
             while (message := self.reader.next_request()) is not None:
-                answer = self.answer(message.head.path)
+                answer = self.respond(message.head.path)
                 self._write(answer, message.head.keeps_alive)
         except BadRequestError:
             self._close()
 
-    def _write(self, answer: PageAnswer, keep: bool) -> None:
+    def _write(self, answer: PageResponse, keep: bool) -> None:
         headers = [Header(b"Content-Length", b"%d" % len(answer.body))]
         if answer.content_type is not None:
             headers.insert(0, Header(b"Content-Type", answer.content_type))
--- a/src/mimosafork/gateway/pool.py
+++ b/src/mimosafork/gateway/pool.py
@@ -22,7 +22,7 @@
 MOST_IDLE = 16
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class ConnectionRequest(msgspec.Struct, frozen=True):
     """A connection that is wanted.
 
     Attributes
@@ -35,8 +35,8 @@
 
     endpoint: EndpointId
     address: str
-    fresh_within: timedelta | None = None
-    proven: bool = False
+    max_idle: timedelta | None = None
+    proven_since_break: bool = False
 
 
 class ConnectionPool:
@@ -54,46 +54,51 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.broke_at: timedelta | None = None
+        self.last_broken_at: timedelta | None = None
         self.idle: dict[EndpointId, list[EndpointConnection]] = {}
-        self.opened = 0
+        self.opened_count = 0
         self.connecting: set[asyncio.Task[None]] = set()
 
-    def take(self, wanted: Wanted) -> EndpointConnection | None:
+    def acquire(self, wanted: ConnectionRequest) -> EndpointConnection | None:
         """Return a kept connection that can still be used, or None."""
         kept = self.idle.get(wanted.endpoint, [])
         now = self.clock.monotonic()
         while kept:
             connection = kept[-1]
             idle = now - connection.idle_since
-            told = connection.keep_for
+            told = connection.keep_alive_timeout
             limit = (DEFAULT_KEEP if told is None else told) - MARGIN
             usable = connection.reusable and connection.transport and idle < limit
             # The others are older still: too old for this call, good for others.
-            if usable and wanted.fresh_within and idle >= wanted.fresh_within:
+            if usable and wanted.max_idle and idle >= wanted.max_idle:
                 return None
             kept.pop()
-            if usable and not (wanted.proven and self.doubtful(connection)):
+            if usable and not (
+                wanted.proven_since_break and self.idle_at_last_break(connection)
+            ):
                 return connection
             connection.close()
         return None
 
-    def note_broken(self) -> None:
+    def note_connection_broken(self) -> None:
         """Note that a connection broke under a call."""
-        self.broke_at = self.clock.monotonic()
+        self.last_broken_at = self.clock.monotonic()
 
-    def doubtful(self, connection: EndpointConnection) -> bool:
+    def idle_at_last_break(self, connection: EndpointConnection) -> bool:
         """Whether a connection was idle when another broke.
 
         Guard: what breaks one may have broken them all, such as a device on the way
         that forgot its connections. An idle one learns of it only by its next call,
         and a call that is sent again would lose its last attempt to it.
         """
-        return self.broke_at is not None and connection.idle_since <= self.broke_at
+        return (
+            self.last_broken_at is not None
+            and connection.idle_since <= self.last_broken_at
+        )
 
     def open(
         self,
-        wanted: Wanted,
+        wanted: ConnectionRequest,
         ready: Callable[[EndpointConnection], None],
         failed: Callable[[OSError], None],
     ) -> asyncio.Task[None]:
@@ -108,7 +113,7 @@
 
     async def _open(
         self,
-        wanted: Wanted,
+        wanted: ConnectionRequest,
         ready: Callable[[EndpointConnection], None],
         failed: Callable[[OSError], None],
     ) -> None:
@@ -132,10 +137,12 @@
             # awaits, it would leave the call without a word until its deadline.
             failed(OSError(str(error)))
             return
-        self.opened += 1
+        self.opened_count += 1
         ready(connection)
 
-    def _forget(self, wanted: Wanted) -> Callable[[EndpointConnection], None]:
+    def _forget(
+        self, wanted: ConnectionRequest
+    ) -> Callable[[EndpointConnection], None]:
         def forget(connection: EndpointConnection) -> None:
             kept = self.idle.get(wanted.endpoint, [])
             if connection in kept:
@@ -146,12 +153,16 @@
 
         return forget
 
-    def put_back(self, endpoint: EndpointId, connection: EndpointConnection) -> None:
+    def release(self, endpoint: EndpointId, connection: EndpointConnection) -> None:
         """Keep a connection whose answer has ended, if it can be used again."""
         # An endpoint may answer before it has read a long body, and read on later. A
         # call that is written behind the rest of it would wait for that; the rest
         # still goes out, whole, before the connection closes.
-        if not connection.reusable or connection.reader.stray or connection.unread:
+        if (
+            not connection.reusable
+            or connection.reader.unexpected_bytes
+            or connection.send_pending
+        ):
             connection.close()
             return
         kept = self.idle.setdefault(endpoint, [])
--- a/src/mimosafork/gateway/problems.py
+++ b/src/mimosafork/gateway/problems.py
@@ -8,10 +8,10 @@
 from ..kernel.messages.outcomes import Conclude, Outcome
 from ..kernel.messages.problems import ProblemCode
 
-COME_BACK = timedelta(milliseconds=500)
+DEFAULT_RETRY_AFTER = timedelta(milliseconds=500)
 """Told where the kernel gives no time of its own."""
 
-PROMISES = frozenset(
+NOT_RUN_STATUSES = frozenset(
     {
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.MISDIRECTED_REQUEST,
@@ -45,7 +45,7 @@
         status = (
             HTTPStatus.TOO_MANY_REQUESTS if limited else HTTPStatus.SERVICE_UNAVAILABLE
         )
-        return FinalStatus(status, asked or COME_BACK)
+        return FinalStatus(status, asked or DEFAULT_RETRY_AFTER)
     if code in TIMED_OUT:
         return FinalStatus(HTTPStatus.GATEWAY_TIMEOUT, None)
     return FinalStatus(HTTPStatus.BAD_GATEWAY, None)
--- a/src/mimosafork/gateway/ready.py
+++ b/src/mimosafork/gateway/ready.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from .page_connection import PageAnswer, PageConnection
+from .page_connection import PageConnection, PageResponse
 
 
 class ReadyConnection(PageConnection):
@@ -17,7 +17,7 @@
         super().__init__()
         self.is_ready = is_ready
 
-    def answer(self, path: str) -> PageAnswer:
+    def respond(self, path: str) -> PageResponse:
         """Answer by the status alone, whatever the path."""
         ready = self.is_ready()
-        return PageAnswer(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
+        return PageResponse(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/src/mimosafork/gateway/answer_reader.py
+++ b/src/mimosafork/gateway/response_reader.py
@@ -5,24 +5,24 @@
 import httptools
 import msgspec
 
-from .errors import BadAnswerError
+from .errors import BadResponseError
 from .heads import (
     CONTENT_LENGTH,
     TRANSFER_ENCODING,
     Header,
     connection_tokens,
-    first_value,
+    first_header_value,
 )
 
-NO_BODY = frozenset({204, 304})
-FIRST_FINAL = 200
+BODILESS_STATUSES = frozenset({204, 304})
+FIRST_FINAL_STATUS = 200
 
-MOST_OUTSIDE = 64 * 1024
+MAX_NON_BODY_BYTES = 64 * 1024
 """Bytes of an answer in a row that belong to no body: its head with the interim ones
 before it, its trailers, a chunk's extensions. Real ones have a few hundred."""
 
 
-class AnswerHead(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """An answer's status and headers.
 
     Attributes
@@ -42,41 +42,41 @@
         return not self.framed or b"close" in connection_tokens(self.headers)
 
 
-class AnswerSink(msgspec.Struct, frozen=True):
+class ResponseSink(msgspec.Struct, frozen=True):
     """Who hears of an answer's parts."""
 
-    head: Callable[[AnswerHead], None]
+    head: Callable[[ResponseHead], None]
     data: Callable[[bytes], None]
     end: Callable[[], None]
 
 
-class AnswerReader:
+class ResponseReader:
     """Parses the answers on one connection.
 
     Attributes
     ----------
-    sink : AnswerSink or None
+    sink : ResponseSink or None
         None while no answer is awaited.
     stray : bool
         Bytes came that belong to no request; the connection must not be used again.
     """
 
     def __init__(self) -> None:
-        self.sink: AnswerSink | None = None
-        self.stray = False
-        self.without_body = False
+        self.sink: ResponseSink | None = None
+        self.unexpected_bytes = False
+        self.bodiless = False
         self.open = False
         self.framed = True
         self.status = 0
         self.reason = b""
         self.headers: list[Header] = []
-        self.outside = 0
+        self.non_body_bytes = 0
         self.parser = httptools.HttpResponseParser(self)
 
-    def expect(self, sink: AnswerSink, without_body: bool) -> None:
+    def expect(self, sink: ResponseSink, without_body: bool) -> None:
         """Await an answer; `without_body` for one to a HEAD request."""
         self.sink = sink
-        self.without_body = without_body
+        self.bodiless = without_body
 
     def feed(self, data: bytes) -> None:
         """Take bytes.
@@ -90,12 +90,12 @@
         BadAnswerError
             If an answer is awaited and these bytes are none.
         """
-        self.outside += len(data)
+        self.non_body_bytes += len(data)
         self._parse(data)
-        if self.outside > MOST_OUTSIDE:
-            self.stray = True
+        if self.non_body_bytes > MAX_NON_BODY_BYTES:
+            self.unexpected_bytes = True
             if self.sink is not None:
-                raise BadAnswerError("a head or trailers without end")
+                raise BadResponseError("a head or trailers without end")
 
     def _parse(self, data: bytes) -> None:
         try:
@@ -103,12 +103,12 @@
         except httptools.HttpParserCallbackError as error:
             # The parser wraps what its callbacks raise. That is a fault of this
             # program: taken for the endpoint's bytes it would never be seen.
-            self.stray = True
+            self.unexpected_bytes = True
             raise error.__context__ or error from None
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.stray = True
+            self.unexpected_bytes = True
             if self.sink is not None:
-                raise BadAnswerError(f"no answer in the protocol: {error}") from None
+                raise BadResponseError(f"no answer in the protocol: {error}") from None
 
     def finish(self) -> bool:
         """Note the connection's orderly end; return whether it ended an answer."""
@@ -120,7 +120,7 @@
     def on_message_begin(self) -> None:
         """Begin an answer."""
         if self.sink is None:
-            self.stray = True
+            self.unexpected_bytes = True
         self.headers = []
         self.reason = b""
 
@@ -137,26 +137,28 @@
     def on_headers_complete(self) -> None:
         """Hand the head on, unless it is an interim one."""
         self.status = self.parser.get_status_code()
-        if self.sink is None or self.status < FIRST_FINAL:
+        if self.sink is None or self.status < FIRST_FINAL_STATUS:
             return
-        length = first_value(self.headers, CONTENT_LENGTH)
-        coding = first_value(self.headers, TRANSFER_ENCODING)
-        bodiless = self.without_body or self.status in NO_BODY
+        length = first_header_value(self.headers, CONTENT_LENGTH)
+        coding = first_header_value(self.headers, TRANSFER_ENCODING)
+        bodiless = self.bodiless or self.status in BODILESS_STATUSES
         self.framed = bodiless or length is not None or coding is not None
         self.open = True
-        head = AnswerHead(self.status, self.reason, tuple(self.headers), self.framed)
+        head = ResponseHead(self.status, self.reason, tuple(self.headers), self.framed)
         self.sink.head(head)
-        if self.without_body:
+        if self.bodiless:
             # The parser doesn't know that the request was HEAD. Unless the head
             # itself rules a body out, it would take the next answer for this one's
             # body: a call whose answer never comes. The connection ends instead.
-            ruled_out = self.status in NO_BODY or (length == b"0" and coding is None)
-            self.stray = self.stray or not ruled_out
+            ruled_out = self.status in BODILESS_STATUSES or (
+                length == b"0" and coding is None
+            )
+            self.unexpected_bytes = self.unexpected_bytes or not ruled_out
             self._end()
 
     def on_body(self, body: bytes) -> None:
         """Hand a part of the body on."""
-        self.outside = 0
+        self.non_body_bytes = 0
         if self.open and self.sink is not None:
             self.sink.data(body)
 
@@ -167,7 +169,7 @@
 
     def _end(self) -> None:
         self.open = False
-        self.outside = 0
+        self.non_body_bytes = 0
         sink, self.sink = self.sink, None
         if sink is not None:
             sink.end()
--- a/src/mimosafork/gateway/server.py
+++ b/src/mimosafork/gateway/server.py
@@ -122,7 +122,7 @@
         self.kernel.plugin(WorkPlacer).narrowed = neighbours.narrowed
         self.gateway.on_effect = self.sharing.tell
         self.outlook = Outlook(self.kernel, directory, self.sharing, clock.monotonic)
-        self.gateway.lines.look = self.outlook
+        self.gateway.lines.instance_view = self.outlook
         self.store_counts: StoreCounts | None = None
         self.peer_rows = peer_rows
         self._apply_bounds(settings.bounds)
--- a/src/mimosafork/gateway/unanswered.py
+++ b/src/mimosafork/gateway/unanswered_request.py
@@ -15,22 +15,22 @@
 INT_BYTES = 4
 
 
-class Ending(Enum):
+class CloseReason(Enum):
     """Why this instance ends a caller's connection."""
 
     IDLE = "idle"
     """Nothing came for its time."""
-    LAST_ANSWER = "last-answer"
+    LAST_RESPONSE = "last-answer"
     """An answer had said that it would be the last."""
-    INTAKE = "intake-ended"
+    INTAKE_ENDED = "intake-ended"
     """The instance stops, and takes no further calls."""
     STOPPED = "stopped"
     """The process ends."""
-    NOT_TAKEN = "not-taken"
+    CALLER_NOT_READING = "not-taken"
     """The caller took no more of its answer."""
 
 
-class Unanswered(msgspec.Struct, frozen=True):
+class UnansweredRequest(msgspec.Struct, frozen=True):
     """What a caller had sent, and got no answer to.
 
     Attributes
@@ -47,16 +47,16 @@
         How long it was told that its connection is kept when idle.
     """
 
-    ending: Ending
+    reason: CloseReason
     bytes_read: int
     bytes_waiting: int
     bytes_unsent: int
     whole: bool | None
     idle: timedelta
-    promised: timedelta
+    advertised_idle_timeout: timedelta
 
 
-def holds_whole_request(reader: RequestReader) -> bool:
+def has_complete_request(reader: RequestReader) -> bool:
     """Return whether a whole request was read and not handed on."""
     if reader.head is not None:
         return False
@@ -68,7 +68,7 @@
         return False
 
 
-def bytes_waiting(sock: socket.socket | None) -> int:
+def unread_socket_bytes(sock: socket.socket | None) -> int:
     """Return how many bytes the system holds that were not read; 0 if it can't say."""
     if sock is None:
         return 0
--- a/src/mimosafork/gateway/upstream.py
+++ b/src/mimosafork/gateway/upstream.py
@@ -15,17 +15,17 @@
 import msgspec
 
 from ..clock import Clock
-from .answer_reader import AnswerHead, AnswerReader, AnswerSink
-from .errors import BadAnswerError
-from .heads import first_value
-from .long_sends import LongSend
+from .errors import BadResponseError
+from .heads import first_header_value
+from .long_send_watch import LongSend
+from .response_reader import ResponseHead, ResponseReader, ResponseSink
 
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-UNACKNOWLEDGED_MS = 2000
+TCP_USER_TIMEOUT_MS = 2000
 
-LONG_REQUEST = 64 * 1024
+LONG_REQUEST_BYTES = 64 * 1024
 """A shorter one fits into the endpoint's buffers, whether it reads or not."""
 
 NO_WAY_ERRORS = frozenset({EHOSTUNREACH, ENETUNREACH, EHOSTDOWN, ENETDOWN})
@@ -39,22 +39,22 @@
 
     CLOSED = "closed"
     RESET = "reset"
-    GARBLED = "garbled"
+    MALFORMED = "garbled"
     """Its bytes were no answer in the protocol."""
     TIMED_OUT = "timed-out"
     """Nothing was acknowledged for too long, or it could not be opened in time."""
-    NO_WAY = "no-way"
+    NO_ROUTE = "no-way"
     """The network has no way to the endpoint's address."""
     REFUSED = "refused"
     """The endpoint's machine refused to open it."""
-    OWN = "own-end"
+    CLOSED_LOCALLY = "own-end"
     """This instance closed it."""
 
 
 class CallSink(msgspec.Struct, frozen=True):
     """Who hears of a call's answer on a connection."""
 
-    head: Callable[[AnswerHead], None]
+    head: Callable[[ResponseHead], None]
     data: Callable[[bytes], None]
     end: Callable[[], None]
     lost: Callable[[ConnectionLoss], None]
@@ -77,13 +77,13 @@
     def __init__(self, clock: Clock, on_idle_loss: Callable[..., None]) -> None:
         self.clock = clock
         self.on_idle_loss = on_idle_loss
-        self.reader = AnswerReader()
+        self.reader = ResponseReader()
         self.sink: CallSink | None = None
         self.transport: asyncio.Transport | None = None
         self.idle_since = clock.monotonic()
-        self.keep_for: timedelta | None = None
+        self.keep_alive_timeout: timedelta | None = None
         self.reusable = True
-        self.used = 0
+        self.use_count = 0
         self.request_size = 0
         self.feeding = False
         self.after_feeding: Callable[[], None] | None = None
@@ -92,19 +92,19 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set the socket so that a peer that has vanished is found."""
         self.transport = cast(asyncio.Transport, transport)
-        watch_peer(transport.get_extra_info("socket"))
+        enable_peer_probes(transport.get_extra_info("socket"))
 
     def send(self, request: bytes, sink: CallSink, without_body: bool) -> None:
         """Send a whole request and await its answer."""
         assert self.transport is not None
         self.sink = sink
-        self.used += 1
+        self.use_count += 1
         self.request_size = len(request)
         self.reader.expect(
-            AnswerSink(self._on_head, sink.data, self._on_end), without_body
+            ResponseSink(self._on_head, sink.data, self._on_end), without_body
         )
         self.transport.write(request)
-        if self.request_size >= LONG_REQUEST:
+        if self.request_size >= LONG_REQUEST_BYTES:
             self._watch_long_send(self.transport.get_extra_info("socket"))
 
     def _watch_long_send(self, sock: socket.socket | None) -> None:
@@ -113,36 +113,36 @@
         if self.long_send is not None:
             self.long_send.stop()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
-        patience = timedelta(milliseconds=UNACKNOWLEDGED_MS)
+        patience = timedelta(milliseconds=TCP_USER_TIMEOUT_MS)
         self.long_send = LongSend(self, sock, patience, self._long_send_done)
         self.long_send.look_later()
 
     def _long_send_done(self) -> None:
         self.long_send = None
         if self.transport is not None:
-            watch_peer(self.transport.get_extra_info("socket"))
+            enable_peer_probes(self.transport.get_extra_info("socket"))
 
     @property
-    def awaited(self) -> bool:
+    def awaiting_response(self) -> bool:
         """Whether a call awaits its answer on it."""
         return self.sink is not None
 
-    def vanish(self) -> None:
+    def abandon(self) -> None:
         """Give the connection up: its peer is gone without a word."""
         self.long_send = None
         self._lose(ConnectionLoss.RESET)
 
-    def expect_again(self) -> None:
+    def expect_another_response(self) -> None:
         """Await a further answer: the last one belonged to another call."""
         assert self.sink is not None
         self.reader.expect(
-            AnswerSink(self._on_head, self.sink.data, self._on_end), False
+            ResponseSink(self._on_head, self.sink.data, self._on_end), False
         )
 
     @property
-    def unread(self) -> bool:
+    def send_pending(self) -> bool:
         """Whether a part of the last request has not reached the endpoint's machine."""
-        if self.transport is None or self.request_size < LONG_REQUEST:
+        if self.transport is None or self.request_size < LONG_REQUEST_BYTES:
             return False
         if self.transport.get_write_buffer_size():
             return True
@@ -150,7 +150,7 @@
         queued = ioctl(sock.fileno(), TIOCOUTQ, bytes(INT_BYTES))
         return int.from_bytes(queued, sys.byteorder) > 0
 
-    def when_read(self, then: Callable[[], None]) -> None:
+    def after_parsing(self, then: Callable[[], None]) -> None:
         """Call something once all bytes in hand have been parsed.
 
         An answer's end is parsed before the bytes behind it. Whoever put the
@@ -182,11 +182,11 @@
         self.feeding = True
         try:
             self.reader.feed(data)
-        except BadAnswerError:
-            self._lose(ConnectionLoss.GARBLED)
+        except BadResponseError:
+            self._lose(ConnectionLoss.MALFORMED)
         finally:
             self.feeding = False
-        if self.reader.stray:
+        if self.reader.unexpected_bytes:
             self.reusable = False
             if self.sink is None:
                 self.abort()
@@ -205,15 +205,15 @@
         self.transport = None
         if self.long_send is not None:
             self.long_send.stop()
-        self._lose(ConnectionLoss.CLOSED if exc is None else loss_of(exc))
+        self._lose(ConnectionLoss.CLOSED if exc is None else connection_loss_of(exc))
 
-    def _on_head(self, head: AnswerHead) -> None:
+    def _on_head(self, head: ResponseHead) -> None:
         if head.closes:
             self.reusable = False
         # 0 s is a word too: such a connection may be closed at once.
-        told = keep_alive_of(head)
+        told = parse_keep_alive_timeout(head)
         if told is not None:
-            self.keep_for = told
+            self.keep_alive_timeout = told
         if self.sink is not None:
             self.sink.head(head)
 
@@ -235,18 +235,18 @@
             self.on_idle_loss(self)
 
 
-def loss_of(error: BaseException) -> ConnectionLoss:
+def connection_loss_of(error: BaseException) -> ConnectionLoss:
     """Return how a connection ended, or was not opened, by its error."""
     if isinstance(error, TimeoutError):
         return ConnectionLoss.TIMED_OUT
     if isinstance(error, ConnectionRefusedError):
         return ConnectionLoss.REFUSED
     if isinstance(error, OSError) and error.errno in NO_WAY_ERRORS:
-        return ConnectionLoss.NO_WAY
+        return ConnectionLoss.NO_ROUTE
     return ConnectionLoss.RESET
 
 
-def watch_peer(sock: socket.socket | None) -> None:
+def enable_peer_probes(sock: socket.socket | None) -> None:
     """Have the system probe a silent peer.
 
     An endpoint without power, or behind a partition, sends nothing: without probes a
@@ -260,12 +260,12 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
-def keep_alive_of(head: AnswerHead) -> timedelta | None:
+def parse_keep_alive_timeout(head: ResponseHead) -> timedelta | None:
     """Return how long an endpoint says it keeps an idle connection."""
-    value = first_value(head.headers, b"keep-alive")
+    value = first_header_value(head.headers, b"keep-alive")
     if value is None:
         return None
     for part in value.split(b","):
--- a/src/mimosafork/platform/calls.py
+++ b/src/mimosafork/platform/calls.py
@@ -5,10 +5,15 @@
 from http import HTTPStatus
 from typing import NamedTuple
 
-from ..gateway.answer_reader import AnswerHead
-from ..gateway.dialect import AnswerMarks, AttemptMarks, CallMarks, OrderMessage
+from ..gateway.dialect import (
+    AttemptMetadata,
+    CallMetadata,
+    OrderMessage,
+    ResponseMetadata,
+)
 from ..gateway.errors import BadRequestError
-from ..gateway.heads import Header, RequestHead, end_to_end, first_value
+from ..gateway.heads import Header, RequestHead, end_to_end_headers, first_header_value
+from ..gateway.response_reader import ResponseHead
 from ..kernel.messages.base import Effect
 from ..kernel.messages.dispatch import Helper
 from ..kernel.messages.placement import PartFailure
@@ -36,7 +41,7 @@
 class PreparedDialect:
     """The prepared platform's headers."""
 
-    def read_call(self, head: RequestHead) -> CallMarks:
+    def parse_call_metadata(self, head: RequestHead) -> CallMetadata:
         """Return what a caller's headers say.
 
         Raises
@@ -46,51 +51,54 @@
         """
         left_ms = number(head, names.DEADLINE_MS)
         tokens = token_counts(head)
-        return CallMarks(
+        return CallMetadata(
             call_id=text(head, names.REQUEST_ID),
             time_left=None if left_ms is None else left_ms * MILLISECOND,
-            last_event=number(head, names.LAST_EVENT_ID),
+            last_event_id=number(head, names.LAST_EVENT_ID),
             key=api_key(head),
             prompt_tokens=tokens.prompt,
-            most_tokens=tokens.most,
+            max_tokens=tokens.most,
             expected_tokens=number(head, names.LENGTH_HINT) or 0,
         )
 
-    def endpoint_headers(self, head: RequestHead, marks: AttemptMarks) -> list[Header]:
+    def endpoint_headers(
+        self, head: RequestHead, metadata: AttemptMetadata
+    ) -> list[Header]:
         """Return the headers of an attempt, but those that frame its body."""
         kept = [
             header
-            for header in end_to_end(head.headers)
+            for header in end_to_end_headers(head.headers)
             if header.name.lower() not in REPLACED
         ]
-        left_ms = max(1, int(marks.time_left / MILLISECOND))
+        left_ms = max(1, int(metadata.time_left / MILLISECOND))
         kept.append(Header(names.DEADLINE_MS, b"%d" % left_ms))
-        kept.append(Header(names.EXPECT_INSTANCE, marks.endpoint.encode()))
-        if marks.account is not None:
-            kept.append(Header(names.TENANT, marks.account.encode()))
-        if marks.last_event is not None:
-            kept.append(Header(names.LAST_EVENT_ID, b"%d" % marks.last_event))
-        if marks.priority is not None:
-            kept.append(Header(names.REQUEST_PRIORITY, b"%d" % marks.priority))
-        if marks.helpers:
-            kept.append(Header(names.HELPERS, helper_list(marks.helpers)))
+        kept.append(Header(names.EXPECT_INSTANCE, metadata.endpoint.encode()))
+        if metadata.account is not None:
+            kept.append(Header(names.TENANT, metadata.account.encode()))
+        if metadata.last_event_id is not None:
+            kept.append(Header(names.LAST_EVENT_ID, b"%d" % metadata.last_event_id))
+        if metadata.priority is not None:
+            kept.append(Header(names.REQUEST_PRIORITY, b"%d" % metadata.priority))
+        if metadata.helpers:
+            kept.append(Header(names.HELPERS, helper_list(metadata.helpers)))
         return kept
 
-    def read_answer(self, head: AnswerHead) -> AnswerMarks:
+    def parse_response_metadata(self, head: ResponseHead) -> ResponseMetadata:
         """Return what an endpoint's headers say."""
-        call_id = first_value(head.headers, names.REQUEST_ID.lower())
-        fault_at = first_value(head.headers, names.AT_SERVER.lower())
+        call_id = first_header_value(head.headers, names.REQUEST_ID.lower())
+        fault_at = first_header_value(head.headers, names.AT_SERVER.lower())
         elsewhere = head.status == HTTPStatus.MISDIRECTED_REQUEST
-        stated = first_value(head.headers, names.NOT_RUN.lower()) is not None
-        return AnswerMarks(
+        stated = first_header_value(head.headers, names.NOT_RUN.lower()) is not None
+        return ResponseMetadata(
             call_id=None if call_id is None else call_id.decode("latin-1"),
-            signed=first_value(head.headers, names.RESPONSE_SEAL.lower()) is not None,
+            signed=first_header_value(head.headers, names.RESPONSE_SEAL.lower())
+            is not None,
             not_run=stated or elsewhere,
-            elsewhere=elsewhere,
+            endpoint_moved=elsewhere,
             fault_at=None if fault_at is None else fault_at.decode("latin-1"),
         )
 
-    def own_answer_headers(
+    def local_response_headers(
         self, call_id: str, retry_after: timedelta | None
     ) -> list[Header]:
         """Return the headers of an answer that this instance gives itself."""
@@ -113,7 +121,7 @@
 
 def text(head: RequestHead, name: bytes) -> str:
     """Return a header's text; empty if there is none."""
-    value = first_value(head.headers, name.lower())
+    value = first_header_value(head.headers, name.lower())
     return "" if value is None else value.decode("latin-1")
 
 
@@ -124,7 +132,7 @@
     ------
     BadRequestError
     """
-    value = first_value(head.headers, name.lower())
+    value = first_header_value(head.headers, name.lower())
     if value is None:
         return None
     if NUMBER.fullmatch(value) is None:
@@ -142,7 +150,7 @@
 
 def token_counts(head: RequestHead) -> TokenCounts:
     """Return the lengths that a call states; zeros where it states none."""
-    value = first_value(head.headers, names.TOKEN_USAGE.lower()) or b""
+    value = first_header_value(head.headers, names.TOKEN_USAGE.lower()) or b""
     prompt, _, most = value.partition(b",")
     return TokenCounts(count_of(prompt), count_of(most))
 
@@ -155,7 +163,7 @@
 
 def api_key(head: RequestHead) -> ApiKey | None:
     """Return the key that a call carries."""
-    value = first_value(head.headers, names.AUTHORIZATION.lower())
+    value = first_header_value(head.headers, names.AUTHORIZATION.lower())
     if value is None:
         return None
     scheme, _, key = value.partition(b" ")
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -110,15 +110,15 @@
         host, port = self.server.listeners[index].sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
-    def see(self, look: Callable[[], T]) -> T:
+    def call_in_loop(self, look: Callable[[], T]) -> T:
         """Return what a function sees in the loop's thread."""
         return self.thread.call(look)
 
-    def until(self, holds: Callable[[], bool]) -> None:
+    def wait_until(self, holds: Callable[[], bool]) -> None:
         """Wait until something holds of the instance's state."""
         eventually(lambda: self.thread.call(holds))
 
-    def until_known(self, *endpoints: Desk | Engine) -> None:
+    def wait_until_listed(self, *endpoints: Desk | Engine) -> None:
         """Wait until endpoints are listed here as ready."""
 
         def known() -> bool:
@@ -128,7 +128,7 @@
             ready = {n for n, s in states.items() if s is EndpointState.READY}
             return wanted <= ready and self.server.ready
 
-        self.until(known)
+        self.wait_until(known)
 
     def ask(
         self, path: str, request_id: str, body: bytes = b"", **headers: str
@@ -144,12 +144,12 @@
     @property
     def open_calls(self) -> int:
         """Calls that have not been concluded."""
-        return self.see(lambda: len(self.gateway.calls))
+        return self.call_in_loop(lambda: len(self.gateway.calls))
 
-    def check_left_behind(self) -> None:
+    def check_no_leftovers(self) -> None:
         """Wait until nothing of any call is left; fail if something stays."""
         gateway = self.gateway
-        self.until(
+        self.wait_until(
             lambda: (
                 not (
                     gateway.calls
@@ -174,7 +174,7 @@
     def add_desk(self, settings: EndpointSettings | None = None) -> Desk:
         """Start a plain endpoint that the instance knows."""
         desk = self.platform.add_desk(settings or EndpointSettings(DESKS))
-        self.running.until_known(desk)
+        self.running.wait_until_listed(desk)
         return desk
 
     def add_engine(
@@ -185,7 +185,7 @@
         """Start an engine that the instance knows."""
         usual = settings or EndpointSettings(ENGINES)
         engine = self.platform.add_engine(usual, figures)
-        self.running.until_known(engine)
+        self.running.wait_until_listed(engine)
         return engine
 
 
@@ -201,7 +201,7 @@
 
 
 @contextmanager
-def gateway_before(
+def running_gateway(
     platform: Deployment,
     instance: str = "entry-1",
     host: str = "127.0.0.1",
@@ -226,7 +226,7 @@
         running.faults = faults
         try:
             yield running
-            running.check_left_behind()
+            running.check_no_leftovers()
         finally:
             thread.run(stop(running))
     finally:
@@ -272,7 +272,7 @@
 @contextmanager
 def gateway_world(config: ConfigEntry | None = USUAL_CONFIG) -> Iterator[World]:
     """Run a prepared platform without endpoints, and one instance before it."""
-    with deployment(config) as platform, gateway_before(platform) as running:
+    with deployment(config) as platform, running_gateway(platform) as running:
         if config is not None:
-            running.until_known()
+            running.wait_until_listed()
         yield World(platform, running)
--- a/tests/support/gateway_tables.py
+++ b/tests/support/gateway_tables.py
@@ -4,7 +4,7 @@
 
 from mimosafork.directory.errors import UnreadableError
 from mimosafork.directory.rows import Row, RowPage
-from mimosafork.gateway.dialect import CallMarks
+from mimosafork.gateway.dialect import CallMetadata
 from mimosafork.gateway.heads import parse_request_head
 from mimosafork.gateway.request_reader import RequestMessage
 from mimosafork.ids import AccountId, AvailabilityZoneId, EndpointId, Revision
@@ -134,8 +134,8 @@
     return RequestMessage(parse_request_head(lines.encode()), content)
 
 
-def marks_of(route: str, call_id: str, key: str) -> CallMarks:
+def marks_of(route: str, call_id: str, key: str) -> CallMetadata:
     """Return what a caller says about its call."""
     prompt = {"huge": HUGE, "stream": SMALL, "sealed": SMALL}.get(route, 0)
     most = 1_000 if prompt else 0
-    return CallMarks(call_id, key=ApiKey(key), prompt_tokens=prompt, most_tokens=most)
+    return CallMetadata(call_id, key=ApiKey(key), prompt_tokens=prompt, max_tokens=most)
--- a/tests/support/gateway_truth.py
+++ b/tests/support/gateway_truth.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from mimosafork.gateway.problems import PROMISES
+from mimosafork.gateway.problems import NOT_RUN_STATUSES
 from mimosafork.ids import Digest, EndpointId, ServiceId
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.outcomes import Conclude
@@ -209,5 +209,5 @@
     def ended(self, call: ModelCall, conclusion: Conclude) -> None:
         """Check a call's end."""
         assert call.conclusion is None, ("two ends", call)
-        if call.status is not None and call.status in PROMISES and call.once:
+        if call.status is not None and call.status in NOT_RUN_STATUSES and call.once:
             assert not call.possible_runs, ("REFUSED", call.status, conclusion)
--- a/tests/support/gateway_world.py
+++ b/tests/support/gateway_world.py
@@ -20,7 +20,7 @@
     TableChanged,
 )
 from mimosafork.directory.rows import Row
-from mimosafork.gateway.intake import Admission, Refusal, admit
+from mimosafork.gateway.intake import AdmittedCall, CallRefusal, admit
 from mimosafork.gateway.policies import PLUGINS
 from mimosafork.gateway.policies.allowance import SlackShare
 from mimosafork.gateway.policies.retrying import BudgetedRetry
@@ -173,7 +173,7 @@
         self.living: dict[str, EndpointId] = {}
         self.told_draining: set[EndpointId] = set()
         self.calls: dict[RequestId, ModelCall] = {}
-        self.refusals: list[Refusal] = []
+        self.refusals: list[CallRefusal] = []
         self.open: list[Sent] = []
         self.wakes: list[WakeAt] = []
         self.replies: list[Reply] = []
@@ -240,7 +240,7 @@
         """Calls that have no final answer yet."""
         return [call for call in self.calls.values() if call.conclusion is None]
 
-    def call(self, route: str, body: str, key: str) -> ModelCall | Refusal | None:
+    def call(self, route: str, body: str, key: str) -> ModelCall | CallRefusal | None:
         """Let a caller's whole request arrive; None once intake has ended."""
         if self.stopped:
             return None
@@ -253,12 +253,12 @@
             self.now,
             self.random,
         )
-        if isinstance(found, Refusal):
+        if isinstance(found, CallRefusal):
             self.refusals.append(found)
             return found
         return self._submit(route, found)
 
-    def _submit(self, route: str, admission: Admission) -> ModelCall:
+    def _submit(self, route: str, admission: AdmittedCall) -> ModelCall:
         request = admission.request
         call = ModelCall(request, route)
         self.calls[request.request_id] = call
--- a/tests/support/virtual_callers.py
+++ b/tests/support/virtual_callers.py
@@ -10,11 +10,11 @@
 from typing import Any
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.client_connection import ClientConnection, Front
+from mimosafork.gateway.client_connection import ClientConnection, RequestHandler
 from mimosafork.gateway.errors import BadRequestError
 from mimosafork.gateway.heads import Header
 from mimosafork.gateway.request_reader import RequestMessage
-from mimosafork.gateway.unanswered import Unanswered
+from mimosafork.gateway.unanswered_request import UnansweredRequest
 from mimosafork.routing.table import ClientLimits
 
 from .prepared import request_bytes
@@ -58,7 +58,7 @@
         return self.clock.monotonic().total_seconds()
 
 
-class ScriptedFront:
+class ScriptedRequestHandler:
     """Takes whole requests and leaves their answers to the test.
 
     Attributes
@@ -73,7 +73,7 @@
         self.draining = False
         self.taken: list[RequestMessage] = []
         self.refusals: list[BadRequestError] = []
-        self.left: list[Unanswered] = []
+        self.left: list[UnansweredRequest] = []
         self.faults: list[BaseException] = []
         self.answers: Callable[[ClientConnection], None] = lambda connection: None
 
@@ -84,25 +84,31 @@
         self.taken.append(message)
         self.answers(connection)
 
-    def gone(self, connection: ClientConnection) -> None:
+    def caller_disconnected(self, connection: ClientConnection) -> None:
         """Do nothing."""
 
-    def stalled(self, connection: ClientConnection, stalled: bool) -> None:
+    def caller_stalled(self, connection: ClientConnection, stalled: bool) -> None:
         """Do nothing."""
 
-    def refused(self, connection: ClientConnection, error: BadRequestError) -> None:
+    def malformed_request(
+        self, connection: ClientConnection, error: BadRequestError
+    ) -> None:
         """Note a refusal."""
         self.refusals.append(error)
 
-    def come_back_headers(self) -> list[Header]:
+    def retry_after_headers(self) -> list[Header]:
         """Return what a platform's dialect might."""
         return [Header(b"Retry-After", b"0.50")]
 
-    def unanswered(self, connection: ClientConnection, left: Unanswered) -> None:
+    def request_unanswered(
+        self, connection: ClientConnection, left: UnansweredRequest
+    ) -> None:
         """Note a request that got no answer."""
         self.left.append(left)
 
-    def faulted(self, connection: ClientConnection, error: BaseException) -> None:
+    def intake_faulted(
+        self, connection: ClientConnection, error: BaseException
+    ) -> None:
         """Note a fault."""
         self.faults.append(error)
 
@@ -154,7 +160,7 @@
         return [int(found) for found in STATUS.findall(self.read())]
 
 
-class VirtualDoor:
+class VirtualListener:
     """Where callers connect.
 
     Parameters
@@ -168,7 +174,7 @@
         Returns the owner of a connection that was just accepted.
     """
 
-    def __init__(self, loop: VirtualLoop, front: Front) -> None:
+    def __init__(self, loop: VirtualLoop, front: RequestHandler) -> None:
         self.loop = loop
         self.clock = loop.clock
         self.front = front
@@ -178,7 +184,7 @@
             front, self.clock, self.registry
         )
 
-    def caller(self) -> VirtualCaller:
+    def connect(self) -> VirtualCaller:
         """Let a caller connect."""
         with socket.create_server(LOOPBACK) as listener:
             outer = socket.create_connection(listener.getsockname())
@@ -198,7 +204,7 @@
         """Let time pass in which nothing runs here."""
         self.clock.advance(span)
 
-    def within(self, step: Callable[[], None]) -> None:
+    def run_in_loop(self, step: Callable[[], None]) -> None:
         """Run a step in the loop, as a part of the instance would."""
 
         async def once() -> None:
@@ -208,12 +214,14 @@
 
 
 @contextmanager
-def virtual_door(make: Callable[[ManualClock], Front]) -> Iterator[VirtualDoor]:
+def virtual_listener(
+    make: Callable[[ManualClock], RequestHandler],
+) -> Iterator[VirtualListener]:
     """Open a door in virtual time; what its callbacks raise fails the test."""
     loop = VirtualLoop(ManualClock())
     raised: list[dict[str, Any]] = []
     loop.set_exception_handler(lambda _, context: raised.append(context))
-    door = VirtualDoor(loop, make(loop.clock))
+    door = VirtualListener(loop, make(loop.clock))
     try:
         yield door
         assert not raised, raised
--- a/tests/unit/gateway/test_answer_reader.py
+++ b/tests/unit/gateway/test_answer_reader.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 from unittest import TestCase
 
-from mimosafork.gateway.answer_reader import (
-    MOST_OUTSIDE,
-    AnswerHead,
-    AnswerReader,
-    AnswerSink,
+from mimosafork.gateway.errors import BadResponseError
+from mimosafork.gateway.response_reader import (
+    MAX_NON_BODY_BYTES,
+    ResponseHead,
+    ResponseReader,
+    ResponseSink,
 )
-from mimosafork.gateway.errors import BadAnswerError
 
 from ...support.functions import function_tests
 
@@ -26,12 +26,12 @@
 class Heard:
     """What a reader told of one answer."""
 
-    heads: list[AnswerHead] = field(default_factory=list)
+    heads: list[ResponseHead] = field(default_factory=list)
     body: bytes = b""
     ended: int = 0
 
-    def sink(self) -> AnswerSink:
-        return AnswerSink(self.heads.append, self.add, self.end)
+    def sink(self) -> ResponseSink:
+        return ResponseSink(self.heads.append, self.add, self.end)
 
     def add(self, data: bytes) -> None:
         self.body += data
@@ -40,8 +40,8 @@
         self.ended += 1
 
 
-def reader_of(heard: Heard, without_body: bool = False) -> AnswerReader:
-    reader = AnswerReader()
+def reader_of(heard: Heard, without_body: bool = False) -> ResponseReader:
+    reader = ResponseReader()
     reader.expect(heard.sink(), without_body)
     return reader
 
@@ -53,7 +53,9 @@
         for place in range(len(data)):
             case.assertEqual(0, heard.ended)
             reader.feed(data[place : place + 1])
-        case.assertEqual((b"hello", 1, False), (heard.body, heard.ended, reader.stray))
+        case.assertEqual(
+            (b"hello", 1, False), (heard.body, heard.ended, reader.unexpected_bytes)
+        )
         case.assertFalse(reader.finish())
         case.assertTrue(heard.heads[0].framed)
 
@@ -65,7 +67,7 @@
     reader.expect(second.sink(), False)
     reader.feed(CHUNKED)
     case.assertEqual((b"hello", 1), (second.body, second.ended))
-    case.assertEqual((1, False), (first.ended, reader.stray))
+    case.assertEqual((1, False), (first.ended, reader.unexpected_bytes))
 
 
 def test_an_unframed_answer_ends_with_an_orderly_end() -> None:
@@ -97,12 +99,14 @@
         heard = Heard()
         reader = reader_of(heard)
         reader.feed(PLAIN + extra)
-        case.assertEqual((b"hello", 1, True), (heard.body, heard.ended, reader.stray))
+        case.assertEqual(
+            (b"hello", 1, True), (heard.body, heard.ended, reader.unexpected_bytes)
+        )
         later = Heard()
         reader = reader_of(later)
         reader.feed(PLAIN)
         reader.feed(extra)
-        case.assertTrue(reader.stray)
+        case.assertTrue(reader.unexpected_bytes)
         case.assertEqual(1, len(later.heads))
 
 
@@ -117,9 +121,9 @@
     ):
         heard = Heard()
         reader = reader_of(heard)
-        with case.assertRaises(BadAnswerError):
+        with case.assertRaises(BadResponseError):
             reader.feed(data)
-        case.assertEqual((0, True), (heard.ended, reader.stray))
+        case.assertEqual((0, True), (heard.ended, reader.unexpected_bytes))
 
 
 def test_interim_answers_are_passed_over() -> None:
@@ -131,7 +135,7 @@
     case.assertEqual(
         (200, b"hello", 1), (heard.heads[0].status, heard.body, heard.ended)
     )
-    case.assertEqual((b"OK", False), (heard.heads[0].reason, reader.stray))
+    case.assertEqual((b"OK", False), (heard.heads[0].reason, reader.unexpected_bytes))
 
 
 def test_answers_without_a_body() -> None:
@@ -143,7 +147,9 @@
         heard = Heard()
         reader = reader_of(heard)
         reader.feed(data)
-        case.assertEqual((b"", 1, False), (heard.body, heard.ended, reader.stray))
+        case.assertEqual(
+            (b"", 1, False), (heard.body, heard.ended, reader.unexpected_bytes)
+        )
         again = Heard()
         reader.expect(again.sink(), False)
         reader.feed(PLAIN)
@@ -167,7 +173,7 @@
             reader = reader_of(heard, without_body=True)
             reader.feed(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n")
             case.assertEqual((b"", 1), (heard.body, heard.ended))
-            if reader.stray:
+            if reader.unexpected_bytes:
                 continue
             again = Heard()
             reader.expect(again.sink(), False)
@@ -185,9 +191,9 @@
     def fail(_: bytes) -> None:
         raise ZeroDivisionError
 
-    reader = AnswerReader()
+    reader = ResponseReader()
     heard = Heard()
-    reader.expect(AnswerSink(heard.heads.append, fail, heard.end), False)
+    reader.expect(ResponseSink(heard.heads.append, fail, heard.end), False)
     with case.assertRaises(ZeroDivisionError):
         reader.feed(PLAIN)
 
@@ -209,25 +215,25 @@
         heard = Heard()
         reader = reader_of(heard)
         reader.feed(start)
-        with case.assertRaises(BadAnswerError):
-            for _ in range(2 * MOST_OUTSIDE // len(more)):
+        with case.assertRaises(BadResponseError):
+            for _ in range(2 * MAX_NON_BODY_BYTES // len(more)):
                 reader.feed(more)
-        case.assertTrue(reader.stray)
+        case.assertTrue(reader.unexpected_bytes)
         case.assertEqual(0, heard.ended)
 
 
 def test_many_answers_on_one_connection_reach_no_bound() -> None:
-    reader = AnswerReader()
-    for _ in range(2 * MOST_OUTSIDE // len(CHUNKED)):
+    reader = ResponseReader()
+    for _ in range(2 * MAX_NON_BODY_BYTES // len(CHUNKED)):
         heard = Heard()
         reader.expect(heard.sink(), False)
         reader.feed(CHUNKED)
         case.assertEqual(1, heard.ended)
-    for _ in range(2 * MOST_OUTSIDE // len(PLAIN)):
+    for _ in range(2 * MAX_NON_BODY_BYTES // len(PLAIN)):
         heard = Heard()
         reader.expect(heard.sink(), True)
         reader.feed(b"HTTP/1.1 204 No Content\r\n\r\n")
-        case.assertEqual((1, False), (heard.ended, reader.stray))
+        case.assertEqual((1, False), (heard.ended, reader.unexpected_bytes))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_attempt_notes.py
+++ b/tests/unit/gateway/test_attempt_notes.py
@@ -8,13 +8,13 @@
 from unittest.mock import Mock
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.attempt_notes import AttemptNotes, Names
+from mimosafork.gateway.attempt_diagnostics import AttemptDiagnostics, NameList
 from mimosafork.gateway.policies.placing import WorkPlacer
 from mimosafork.gateway.upstream import (
     CallSink,
     ConnectionLoss,
     EndpointConnection,
-    loss_of,
+    connection_loss_of,
 )
 from mimosafork.kernel.messages.attempts import FailureKind
 from mimosafork.standins.prepared.endpoint_settings import EndpointSettings
@@ -72,11 +72,11 @@
         ConnectionRefusedError(): ConnectionLoss.REFUSED,
         TimeoutError(ETIMEDOUT, "unacknowledged"): ConnectionLoss.TIMED_OUT,
         TimeoutError("no connection in time"): ConnectionLoss.TIMED_OUT,
-        OSError(EHOSTUNREACH, "no way"): ConnectionLoss.NO_WAY,
-        OSError(ENETDOWN, "no way"): ConnectionLoss.NO_WAY,
+        OSError(EHOSTUNREACH, "no way"): ConnectionLoss.NO_ROUTE,
+        OSError(ENETDOWN, "no way"): ConnectionLoss.NO_ROUTE,
         OSError("the address makes no sense"): ConnectionLoss.RESET,
     }
-    assert {error: loss_of(error) for error in endings} == endings
+    assert {error: connection_loss_of(error) for error in endings} == endings
 
 
 def test_failed_attempt_names_both_zones_and_the_reset() -> None:
@@ -192,16 +192,16 @@
 
 
 def test_names_are_joined_only_when_a_line_is_written() -> None:
-    assert str(Names(("zone-a", None, "zone-b"))) == "zone-a,?,zone-b"
+    assert str(NameList(("zone-a", None, "zone-b"))) == "zone-a,?,zone-b"
 
 
 def test_time_to_connect_is_noted_once() -> None:
-    notes = AttemptNotes()
-    notes.connected(5 * MS)
+    notes = AttemptDiagnostics()
+    notes.note_connected(5 * MS)
     assert notes.connect_time is None
     notes.connecting_since = 5 * MS
-    notes.connected(12 * MS)
-    notes.connected(90 * MS)
+    notes.note_connected(12 * MS)
+    notes.note_connected(90 * MS)
     assert notes.connect_time == 7 * MS
 
 
--- a/tests/unit/gateway/test_budget_bounds.py
+++ b/tests/unit/gateway/test_budget_bounds.py
@@ -6,7 +6,7 @@
 from mimosafork.clock import ManualClock
 from mimosafork.gateway.policies.allowance import SlackShare
 from mimosafork.gateway.policies.retrying import RATIO, BudgetedRetry
-from mimosafork.gateway.upstream import UNACKNOWLEDGED_MS
+from mimosafork.gateway.upstream import TCP_USER_TIMEOUT_MS
 from mimosafork.gossip.census import STARTED_TOGETHER
 from mimosafork.gossip.finding import READ_AGAIN
 from mimosafork.gossip.members import Address
@@ -103,7 +103,7 @@
     """
     fleet = RepeatingFleet(24, 124.0)
     fleet.run(CALM)
-    fleet.hold_up(ms(UNACKNOWLEDGED_MS))
+    fleet.hold_up(ms(TCP_USER_TIMEOUT_MS))
     for number in range(300):
         fleet.call(number % 24)
     fleet.run(FLOOD, 80.0)
--- a/tests/unit/gateway/test_call_lines.py
+++ b/tests/unit/gateway/test_call_lines.py
@@ -7,13 +7,13 @@
 from msgspec.structs import replace
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.attempt_notes import Spread
+from mimosafork.gateway.attempt_diagnostics import AttemptPlacement
 from mimosafork.gateway.call import Call
-from mimosafork.gateway.call_lines import CallLines
-from mimosafork.gateway.dialect import CallMarks
-from mimosafork.gateway.event_stream import StreamEvent
+from mimosafork.gateway.call_log import CallLog
+from mimosafork.gateway.dialect import CallMetadata
+from mimosafork.gateway.event_stream import RawStreamEvent
 from mimosafork.gateway.heads import Header, RequestHead
-from mimosafork.gateway.intake import Refusal
+from mimosafork.gateway.intake import CallRefusal
 from mimosafork.gateway.outlook import Inputs
 from mimosafork.gateway.request_reader import RequestMessage
 from mimosafork.ids import (
@@ -59,21 +59,21 @@
 class Caller:
     """Takes an answer and keeps nothing of it."""
 
-    def answer(
+    def send_response(
         self, status: int, reason: bytes, headers: list[Header], body: bytes
     ) -> None:
         """Take a whole answer."""
 
-    def begin(self, status: int, reason: bytes, headers: list[Header]) -> None:
+    def begin_response(self, status: int, reason: bytes, headers: list[Header]) -> None:
         """Take a head."""
 
-    def part(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Take a part."""
 
-    def end(self) -> None:
+    def end_response(self) -> None:
         """Take the end."""
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Take a break."""
 
 
@@ -99,9 +99,9 @@
         """Return some age."""
         return 400 * MS
 
-    def spread(self, dispatch: Dispatch) -> Spread:
+    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return two zones, and a first token 250 ms after the clock's start."""
-        return Spread(ZONE_B, (ZONE_A,) * len(dispatch.helpers), 250 * MS)
+        return AttemptPlacement(ZONE_B, (ZONE_A,) * len(dispatch.helpers), 250 * MS)
 
     @property
     def own_zone(self) -> AvailabilityZoneId | None:
@@ -132,13 +132,13 @@
     return Call(
         request.request_id,
         RequestMessage(HEAD, b""),
-        CallMarks("c0ffee"),
+        CallMetadata("c0ffee"),
         route,
         request.account,
         request,
         Caller(),
         clock.monotonic(),
-        version=7,
+        table_version=7,
     )
 
 
@@ -165,9 +165,9 @@
     )
 
 
-def lines_at(clock: ManualClock) -> CallLines:
-    lines = CallLines(clock)
-    lines.look = Known()
+def lines_at(clock: ManualClock) -> CallLog:
+    lines = CallLog(clock)
+    lines.instance_view = Known()
     return lines
 
 
@@ -183,7 +183,7 @@
         lines.placed(call, dispatch_to("e1"))
         for gap in (100, 20, 900, 20):
             clock.advance(gap * MS)
-            call.pass_event(StreamEvent(b"data", None), clock.monotonic())
+            call.forward_event(RawStreamEvent(b"data", None), clock.monotonic())
         lines.ended(call, ended_as(None, Outcome.COMPLETED))
     return caught
 
@@ -262,7 +262,7 @@
     with caught_lines() as caught:
         lines.placed(call, dispatch_to("e1"))
         clock.advance(100 * MS)
-        call.pass_event(StreamEvent(b"data", None), clock.monotonic())
+        call.forward_event(RawStreamEvent(b"data", None), clock.monotonic())
         clock.advance(900 * MS)
         lines.attempt_failed(call, failed_at("e1"), False, [])
         call.first_token_at = None
@@ -311,10 +311,10 @@
 
 
 def test_refusal_by_routing_tells_the_version_and_its_age() -> None:
-    refusal = Refusal(HTTPStatus.NOT_FOUND, "no-route")
+    refusal = CallRefusal(HTTPStatus.NOT_FOUND, "no-route")
     with caught_lines() as caught:
         lines_at(ManualClock()).refused(
-            RequestMessage(HEAD, b""), CallMarks("c0ffee"), refusal, None
+            RequestMessage(HEAD, b""), CallMetadata("c0ffee"), refusal, None
         )
     fields = caught.one(CALL_REFUSED)
     assert (fields["rule"], fields["reason"]) == ("routing", "no-route")
--- a/tests/unit/gateway/test_doubtful_connections.py
+++ b/tests/unit/gateway/test_doubtful_connections.py
@@ -9,13 +9,18 @@
 from msgspec.structs import replace
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.answer_reader import AnswerHead
-from mimosafork.gateway.attempt import AttemptTools, EndpointAttempt
+from mimosafork.gateway.attempt import AttemptContext, EndpointAttempt
 from mimosafork.gateway.call import Call
-from mimosafork.gateway.dialect import AnswerMarks, AttemptMarks, CallMarks, Dialect
+from mimosafork.gateway.dialect import (
+    AttemptMetadata,
+    CallMetadata,
+    Dialect,
+    ResponseMetadata,
+)
 from mimosafork.gateway.heads import Header, RequestHead
-from mimosafork.gateway.pool import ConnectionPool, Wanted
+from mimosafork.gateway.pool import ConnectionPool, ConnectionRequest
 from mimosafork.gateway.request_reader import RequestMessage
+from mimosafork.gateway.response_reader import ResponseHead
 from mimosafork.gateway.upstream import EndpointConnection
 from mimosafork.ids import (
     AccountId,
@@ -66,13 +71,15 @@
 class PlainDialect:
     """Says and reads nothing of its own."""
 
-    def endpoint_headers(self, head: RequestHead, marks: AttemptMarks) -> list[Header]:
+    def endpoint_headers(
+        self, head: RequestHead, metadata: AttemptMetadata
+    ) -> list[Header]:
         """Return no headers."""
         return []
 
-    def read_answer(self, head: AnswerHead) -> AnswerMarks:
+    def parse_response_metadata(self, head: ResponseHead) -> ResponseMetadata:
         """Return that an endpoint ran it."""
-        return AnswerMarks(None, signed=True, not_run=False, elsewhere=False)
+        return ResponseMetadata(None, signed=True, not_run=False, endpoint_moved=False)
 
 
 class CountingPool(ConnectionPool):
@@ -84,7 +91,7 @@
 
     def open(
         self,
-        wanted: Wanted,
+        wanted: ConnectionRequest,
         ready: Callable[[EndpointConnection], None],
         failed: Callable[[OSError], None],
     ) -> asyncio.Task[None]:
@@ -101,14 +108,14 @@
         self.pool = CountingPool(self.clock)
         self.told: list[Message] = []
         dialect = cast(Dialect, PlainDialect())
-        self.tools = AttemptTools(self.clock, self.pool, dialect, self.told.append)
+        self.tools = AttemptContext(self.clock, self.pool, dialect, self.told.append)
 
     def keep(self, endpoint: EndpointId) -> EndpointConnection:
         """Keep a connection whose answer has just ended."""
         connection = EndpointConnection(self.clock, lambda lost: None)
         connection.connection_made(cast(asyncio.Transport, Wire()))
-        connection.used = 1
-        self.pool.put_back(endpoint, connection)
+        connection.use_count = 1
+        self.pool.release(endpoint, connection)
         return connection
 
     def attempt(
@@ -143,7 +150,7 @@
     return Call(
         request.request_id,
         message,
-        CallMarks("c1"),
+        CallMetadata("c1"),
         route,
         None,
         request,
--- a/tests/unit/gateway/test_event_stream.py
+++ b/tests/unit/gateway/test_event_stream.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mimosafork.gateway.event_stream import EventSplitter, StreamEvent, number_of
+from mimosafork.gateway.event_stream import EventSplitter, RawStreamEvent, event_id_of
 
 from ...support.functions import function_tests
 
@@ -27,7 +27,7 @@
 """Of processor time; the bytes themselves take some hundredths."""
 
 
-def split(data: bytes, cuts: list[int]) -> tuple[list[StreamEvent], bytes]:
+def split(data: bytes, cuts: list[int]) -> tuple[list[RawStreamEvent], bytes]:
     splitter = EventSplitter()
     places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
     events = []
@@ -55,10 +55,10 @@
 
 
 def test_numbers_of_events() -> None:
-    numbers = [number_of(block) for block in BLOCKS]
+    numbers = [event_id_of(block) for block in BLOCKS]
     case.assertEqual([1, 2, 3, 4, None, None, 12], numbers)
-    case.assertIsNone(number_of(b"id: x\n\n"))
-    case.assertIsNone(number_of(b"id: " + b"1" * 30 + b"\n\n"))
+    case.assertIsNone(event_id_of(b"id: x\n\n"))
+    case.assertIsNone(event_id_of(b"id: " + b"1" * 30 + b"\n\n"))
 
 
 def test_a_long_event_in_many_pieces_costs_what_its_bytes_cost() -> None:
--- a/tests/unit/gateway/test_gateway_callers.py
+++ b/tests/unit/gateway/test_gateway_callers.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.gateway.attempt import Reading
+from mimosafork.gateway.attempt import ResponseMode
 from mimosafork.gateway.client_connection import ClientConnection
 from mimosafork.standins.prepared.desk import expected_body
 from mimosafork.standins.prepared.documents import LimitsEntry, beat_document
@@ -95,7 +95,7 @@
         headers = {REQUEST_ID: "c2", **BEARER}
         channel.send("POST", "/unsafe/2", headers, b"x" * FAR_AHEAD)
         buffered = accepted(world).reader.buffer
-        case.assertLess(world.running.see(lambda: len(buffered)), AHEAD)
+        case.assertLess(world.running.call_in_loop(lambda: len(buffered)), AHEAD)
         desk.let_go()
         result = channel.read_answer()
         case.assertEqual((200, True), (result.status, result.complete))
@@ -122,9 +122,9 @@
     with gateway_world() as world:
         channel = world.running.channel()
         send(channel, "/safe/1", "c1")
-        world.running.until(lambda: len(world.running.gateway.calls) == 1)
+        world.running.wait_until(lambda: len(world.running.gateway.calls) == 1)
         channel.hang_up()
-        world.running.until(lambda: not world.running.gateway.calls)
+        world.running.wait_until(lambda: not world.running.gateway.calls)
         world.add_desk()
         case.assertEqual(200, world.running.ask("/safe/1", "c2").status)
         case.assertEqual([], world.platform.log.visits_of("c1"))
@@ -143,9 +143,11 @@
     document = beat_document(desk, 1, False)
     document["address"] = f"127.0.0.1:{listener.getsockname()[1]}"
     world.platform.delist(desk)
-    world.running.until(lambda: not world.running.server.directory.endpoints)
+    world.running.wait_until(lambda: not world.running.server.directory.endpoints)
     world.platform.store.put(TABLE_SERVERS, "i-deaf", document)
-    world.running.until(lambda: "i-deaf" in world.running.server.directory.endpoints)
+    world.running.wait_until(
+        lambda: "i-deaf" in world.running.server.directory.endpoints
+    )
 
 
 def test_a_caller_that_leaves_while_a_connection_is_opened() -> None:
@@ -160,21 +162,21 @@
         gateway = world.running.gateway
         channel = world.running.channel()
         send(channel, "/safe/1", "c1")
-        world.running.until(lambda: len(gateway.pool.connecting) == 1)
+        world.running.wait_until(lambda: len(gateway.pool.connecting) == 1)
         channel.hang_up()
-        world.running.until(lambda: not gateway.calls)
-        world.running.until(lambda: not gateway.pool.connecting)
+        world.running.wait_until(lambda: not gateway.calls)
+        world.running.wait_until(lambda: not gateway.pool.connecting)
         result = world.running.ask("/unsafe/1", "c2", X_Deadline_Ms="150")
         case.assertEqual(503, result.status)
         case.assertIn(RETRY_AFTER.lower(), result.headers)
-        world.running.until(lambda: not gateway.pool.connecting)
+        world.running.wait_until(lambda: not gateway.pool.connecting)
 
 
 def accepted(world: World) -> ClientConnection:
     """Return the instance's side of the only caller's connection."""
     connections = world.running.gateway.connections
-    world.running.until(lambda: len(connections) == 1)
-    return world.running.see(lambda: next(iter(connections)))
+    world.running.wait_until(lambda: len(connections) == 1)
+    return world.running.call_in_loop(lambda: next(iter(connections)))
 
 
 def set_buffers(world: World, channel: Channel, size: int) -> None:
@@ -202,10 +204,10 @@
         world.add_engine().play(Garbage(whole_stream(EVENTS)))
         set_buffers(world, channel, NARROW)
         send(channel, "/stream/1", "c1")
-        world.running.until(lambda: any_paused(world))
+        world.running.wait_until(lambda: any_paused(world))
         transport = accepted(world).transport
         assert transport is not None
-        buffered = world.running.see(transport.get_write_buffer_size)
+        buffered = world.running.call_in_loop(transport.get_write_buffer_size)
         case.assertLess(buffered, HIGH_WATER)
         set_buffers(world, channel, WIDE)
         result = channel.read_answer()
@@ -225,14 +227,14 @@
     with gateway_world() as world, world.running.channel() as channel:
         world.add_engine().play(Garbage(whole_stream(EVENTS)))
         connection, running = accepted(world), world.running
-        running.see(connection.pause_writing)
+        running.call_in_loop(connection.pause_writing)
         send(channel, "/resume/1", "c1")
-        running.until(lambda: any_paused(world))
+        running.wait_until(lambda: any_paused(world))
         (attempt,) = running.gateway.attempts.values()
         later = running.gateway.clock.monotonic() + LONG_AFTER
-        case.assertIsNone(running.see(lambda: attempt.silent(later)))
-        case.assertIs(attempt.reading, Reading.HEAD)
-        running.see(connection.resume_writing)
+        case.assertIsNone(running.call_in_loop(lambda: attempt.check_silence(later)))
+        case.assertIs(attempt.mode, ResponseMode.HEAD)
+        running.call_in_loop(connection.resume_writing)
         result = channel.read_answer()
         case.assertTrue(result.complete)
         case.assertEqual(EVENTS, len(result.events))
@@ -248,21 +250,22 @@
     with gateway_world() as world, world.running.channel() as channel:
         world.add_engine(EngineFigures(events=2)).play(Garbage(whole_stream(1)))
         connection = accepted(world)
-        passed_on = connection.part
+        passed_on = connection.send_body
 
         def fill(data: bytes) -> None:
             passed_on(data)
             connection.pause_writing()
             world.running.thread.loop.call_soon(connection.resume_writing)
 
-        world.running.see(lambda: setattr(connection, "part", fill))
+        world.running.call_in_loop(lambda: setattr(connection, "send_body", fill))
         send(channel, "/stream/1", "c1")
         case.assertTrue(channel.read_answer().complete)
-        world.running.see(lambda: setattr(connection, "part", passed_on))
+        world.running.call_in_loop(lambda: setattr(connection, "send_body", passed_on))
         result = world.running.ask("/stream/1", "c2", X_Deadline_Ms="2000")
         case.assertEqual((200, True), (result.status, result.complete))
         case.assertEqual(
-            1, world.running.see(lambda: world.running.gateway.pool.opened)
+            1,
+            world.running.call_in_loop(lambda: world.running.gateway.pool.opened_count),
         )
 
 
@@ -305,12 +308,12 @@
         transport = connection.transport
         assert transport is not None
         # The endpoint isn't held back: all of its answer waits in this instance.
-        world.running.see(lambda: transport.set_write_buffer_limits(WIDE))
+        world.running.call_in_loop(lambda: transport.set_write_buffer_limits(WIDE))
         headers = {REQUEST_ID: "c1", "Connection": "close", **BEARER}
         channel.send("POST", "/stream/1", headers)
-        world.running.until(lambda: not world.running.gateway.calls)
-        case.assertTrue(world.running.see(lambda: connection.unsent))
-        world.running.until(lambda: not world.running.gateway.connections)
+        world.running.wait_until(lambda: not world.running.gateway.calls)
+        case.assertTrue(world.running.call_in_loop(lambda: connection.has_unsent_bytes))
+        world.running.wait_until(lambda: not world.running.gateway.connections)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_gateway_failures.py
+++ b/tests/unit/gateway/test_gateway_failures.py
@@ -196,7 +196,7 @@
             channel.send("POST", "/stream/1", headers, b"b")
             if number == 0:
                 world.platform.log.wait_until(lambda log: len(log.of("c0")) == 1)
-        world.running.until(lambda: any(waiting.values()))
+        world.running.wait_until(lambda: any(waiting.values()))
         engine.let_go()
         case.assertEqual(b"ok", channels[0].read_answer().body)
         second = channels[1].read_answer()
@@ -222,10 +222,10 @@
         desk = world.add_desk()
         old, old_id = desk.address, desk.id
         world.platform.remove(desk)
-        world.running.until(lambda: not world.running.server.directory.endpoints)
+        world.running.wait_until(lambda: not world.running.server.directory.endpoints)
         port = int(old.rpartition(":")[2])
         new = world.platform.add_desk(EndpointSettings(DESKS), port)
-        world.running.until_known(new)
+        world.running.wait_until_listed(new)
         case.assertNotEqual(old_id, new.id)
         case.assertEqual(200, world.running.ask("/unsafe/1", "c1").status)
         new.thread.call(lambda: setattr(new, "id", "i-other"))
@@ -260,7 +260,7 @@
     with gateway_world() as world:
         retry = world.running.server.settings.bounds
         bounds = retry.model_copy(update={"retry_ratio": 0.0, "retry_slack": 5.0})
-        world.running.see(lambda: world.running.server._apply_bounds(bounds))
+        world.running.call_in_loop(lambda: world.running.server._apply_bounds(bounds))
         for _ in range(3):
             world.add_desk().play(LostAnswer(), None)
         for number in range(6):
@@ -393,10 +393,12 @@
     with gateway_world() as world:
         world.add_desk()
         dialect = world.running.gateway.dialect
-        with patch.object(dialect, "read_answer", side_effect=ZeroDivisionError):
+        with patch.object(
+            dialect, "parse_response_metadata", side_effect=ZeroDivisionError
+        ):
             result = world.running.ask("/unsafe/1", "c1")
         case.assertEqual(502, result.status)
-        world.running.until(lambda: len(world.running.faults) == 1)
+        world.running.wait_until(lambda: len(world.running.faults) == 1)
         raised = world.running.faults.pop()["exception"]
         case.assertIsInstance(raised, ZeroDivisionError)
         case.assertEqual(200, world.running.ask("/unsafe/1", "c2").status)
--- a/tests/unit/gateway/test_gateway_faults.py
+++ b/tests/unit/gateway/test_gateway_faults.py
@@ -82,7 +82,7 @@
                 raise PartBrokenError
 
         gateway = world.running.gateway
-        world.running.see(lambda: setattr(gateway, "on_effect", broken_ear))
+        world.running.call_in_loop(lambda: setattr(gateway, "on_effect", broken_ear))
         desk.hold()
         with world.running.channel() as channel:
             channel.send("POST", "/safe/1", {REQUEST_ID: "c1", **BEARER})
@@ -99,7 +99,7 @@
     sent, so that a failure could still be told.
     """
     with gateway_world() as world, world.running.channel() as channel:
-        with broken(PreparedDialect, "own_answer_headers") as faults:
+        with broken(PreparedDialect, "local_response_headers") as faults:
             headers = {REQUEST_ID: "c1", "X-Deadline-Ms": "100", **BEARER}
             channel.send("POST", "/safe/1", headers)
             result = channel.read_answer()
--- a/tests/unit/gateway/test_gateway_passing.py
+++ b/tests/unit/gateway/test_gateway_passing.py
@@ -77,7 +77,8 @@
             case.assertEqual(200, result.status)
             case.assertIn("timeout=", result.headers["keep-alive"])
         case.assertEqual(
-            1, world.running.see(lambda: world.running.gateway.pool.opened)
+            1,
+            world.running.call_in_loop(lambda: world.running.gateway.pool.opened_count),
         )
         case.assertEqual(1, desk.open_connections)
 
@@ -90,7 +91,8 @@
             case.assertEqual(200, world.running.ask("/unsafe/1", f"c{number}").status)
         case.assertEqual([], world.platform.log.ran_twice())
         case.assertEqual(
-            3, world.running.see(lambda: world.running.gateway.pool.opened)
+            3,
+            world.running.call_in_loop(lambda: world.running.gateway.pool.opened_count),
         )
 
 
@@ -132,10 +134,14 @@
     with gateway_world() as world:
         world.add_desk()
         gateway = world.running.gateway
-        world.running.see(lambda: setattr(gateway, "by_connection", Unscanned()))
+        world.running.call_in_loop(
+            lambda: setattr(gateway, "by_connection", Unscanned())
+        )
         for number in range(3):
             case.assertEqual(200, world.running.ask("/safe/1", f"c{number}").status)
-        case.assertEqual(0, world.running.see(lambda: len(gateway.by_connection)))
+        case.assertEqual(
+            0, world.running.call_in_loop(lambda: len(gateway.by_connection))
+        )
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -200,7 +206,7 @@
                 case.assertEqual("close", result.headers["connection"])
                 case.assertTrue(channel.ended())
         case.assertEqual([], world.platform.log.visits)
-        world.running.until(lambda: not world.running.gateway.connections)
+        world.running.wait_until(lambda: not world.running.gateway.connections)
 
 
 def test_an_early_answer_before_a_long_body_is_read() -> None:
@@ -252,7 +258,8 @@
                 200, world.running.ask("/safe/1", f"k{number}", LONG).status
             )
         case.assertEqual(
-            1, world.running.see(lambda: world.running.gateway.pool.opened)
+            1,
+            world.running.call_in_loop(lambda: world.running.gateway.pool.opened_count),
         )
         too_long = world.running.ask("/safe/1", "c2", b"x" * (4_194_304 + 1))
         case.assertEqual(413, too_long.status)
--- a/tests/unit/gateway/test_gateway_peers.py
+++ b/tests/unit/gateway/test_gateway_peers.py
@@ -21,7 +21,7 @@
 from mimosafork.standins.prepared.words import REQUEST_ID, SEAL, TOKEN_USAGE
 
 from ...support.functions import function_tests
-from ...support.gateway import BEARER, RunningGateway, gateway_before
+from ...support.gateway import BEARER, RunningGateway, running_gateway
 from ...support.prepared import DESKS, ENGINES, HOST, USUAL_CONFIG, deployment
 
 case = TestCase()
@@ -52,10 +52,10 @@
             follows = deaf if shut_out and number == 2 else None
             name = f"entry-{number}"
             instances.append(
-                stack.enter_context(gateway_before(platform, name, follows=follows))
+                stack.enter_context(running_gateway(platform, name, follows=follows))
             )
         for each in instances:
-            each.until(lambda each=each: peers_of(each) == 2)  # type: ignore[misc]
+            each.wait_until(lambda each=each: peers_of(each) == 2)  # type: ignore[misc]
         yield Fleet(platform, instances)
 
 
@@ -85,9 +85,9 @@
                     end = running.platform.add_desk(settings)  # type: ignore[assignment]
                 end.hold()
                 for each in running.instances:
-                    each.until_known(end)
+                    each.wait_until_listed(end)
             for number, each in enumerate(running.instances):
-                each.until(lambda e=each, n=number: peer_works(e) == n)  # type: ignore[misc]
+                each.wait_until(lambda e=each, n=number: peer_works(e) == n)  # type: ignore[misc]
                 channel = stack.enter_context(each.channel())
                 headers = {REQUEST_ID: f"c{number}", TOKEN_USAGE: "1000,80", **BEARER}
                 channel.send("POST", path, headers, b"%d" % number)
@@ -100,7 +100,7 @@
                 endpoint.let_go()
             running.platform.log.wait_until(lambda log: not log.at_work())
             for each in running.instances:
-                each.until(lambda e=each: peer_works(e) == 0)  # type: ignore[misc]
+                each.wait_until(lambda e=each: peer_works(e) == 0)  # type: ignore[misc]
 
 
 def test_calls_that_end_at_once_are_not_told_to_peers() -> None:
@@ -114,17 +114,17 @@
     with never, fleet() as running:
         desk = running.platform.add_desk(EndpointSettings(DESKS))
         first, second, _ = running.instances
-        first.until_known(desk)
+        first.wait_until_listed(desk)
         for number in range(3):
             case.assertEqual(200, first.ask("/safe/1", f"q{number}").status)
         # Told later than any word about those calls would be.
         engine = running.platform.add_engine(EndpointSettings(ENGINES))
         engine.hold()
-        first.until_known(engine)
+        first.wait_until_listed(engine)
         with first.channel() as channel:
             headers = {REQUEST_ID: "last", TOKEN_USAGE: "1000,80", **BEARER}
             channel.send("POST", "/stream/1", headers, b"last")
-            second.until(lambda: peer_works(second) == 1)
+            second.wait_until(lambda: peer_works(second) == 1)
             case.assertEqual(1, len(works_heard(second)))
             engine.let_go()
             running.platform.log.wait_until(lambda log: not log.at_work())
@@ -148,18 +148,18 @@
         leaving = running.platform.add_desk(EndpointSettings(DESKS))
         staying = running.platform.add_desk(EndpointSettings(DESKS))
         shut_out = running.shut_out
-        shut_out.until_known(leaving, staying)
+        shut_out.wait_until_listed(leaving, staying)
         case.assertEqual(200, shut_out.ask("/safe/1", "c1").status)
         fresh = RouteEntry("r-new", "/new/", "safe", DESKS, HOST)
         changed = replace(USUAL_CONFIG, routes=(*USUAL_CONFIG.routes, fresh))
         version = running.platform.configure(changed)
         directory = shut_out.server.directory
-        shut_out.until(
+        shut_out.wait_until(
             lambda: directory.table is not None and directory.table.version == version
         )
         case.assertEqual(200, shut_out.ask("/new/1", "c2").status)
         running.platform.drain(leaving)
-        shut_out.until(lambda: not usable_at(shut_out, leaving.id))
+        shut_out.wait_until(lambda: not usable_at(shut_out, leaving.id))
         for number in range(6):
             seal = shut_out.ask("/safe/1", f"s{number}").headers[SEAL.lower()]
             case.assertTrue(seal.startswith(staying.id))
@@ -182,10 +182,10 @@
             desk = running.platform.add_desk(EndpointSettings(DESKS))
             desk.play(LostAnswer(), None)
             for each in running.instances:
-                each.until_known(desk)
+                each.wait_until_listed(desk)
                 set_budget(each)
         for number, each in enumerate(running.instances):
-            each.until(lambda each=each: sharers(each) == 3)  # type: ignore[misc]
+            each.wait_until(lambda each=each: sharers(each) == 3)  # type: ignore[misc]
             for call in range(4):
                 each.ask("/safe/1", f"{number}-{call}", b"%d%d" % (number, call))
         case.assertEqual(12 + 5, len(running.platform.log.runs))
@@ -200,10 +200,10 @@
         desks = [running.platform.add_desk(EndpointSettings(DESKS)) for _ in range(2)]
         for desk in desks:
             desk.play(LostAnswer(), None)
-        again = stack.enter_context(gateway_before(running.platform, "entry-0"))
-        again.until_known(*desks)
+        again = stack.enter_context(running_gateway(running.platform, "entry-0"))
+        again.wait_until_listed(*desks)
         set_budget(again)
-        again.until(lambda: census_of(again).complete)
+        again.wait_until(lambda: census_of(again).complete)
         case.assertEqual(0, sharers(again))
         again.ask("/safe/1", "again", b"again")
         case.assertEqual(1, len(running.platform.log.runs))
@@ -223,7 +223,7 @@
     bounds = running.server.settings.bounds.model_copy(
         update={"retry_ratio": 0.0, "retry_slack": 5.0}
     )
-    running.see(lambda: running.server._apply_bounds(bounds))
+    running.call_in_loop(lambda: running.server._apply_bounds(bounds))
 
 
 def test_a_request_that_crashes_endpoints_is_known_to_all() -> None:
@@ -237,14 +237,14 @@
             desk = running.platform.add_desk(EndpointSettings(DESKS))
             desk.play(CrashOnRun(), None)
             for each in running.instances:
-                each.until_known(desk)
+                each.wait_until_listed(desk)
         first, second, third = running.instances
         for number in range(3):
             asked = (first, second)[number % 2]
             case.assertEqual(502, asked.ask("/unsafe/1", f"c{number}", b"x").status)
         digests = third.server.kernel.plugins
         quarantine = next(p for p in digests if p.name == "crash-quarantine")
-        third.until(
+        third.wait_until(
             lambda: any(
                 len(seen.endpoints) == 3
                 for seen in quarantine.suspicions.values()  # type: ignore[attr-defined]
--- a/tests/unit/gateway/test_gateway_rules.py
+++ b/tests/unit/gateway/test_gateway_rules.py
@@ -37,7 +37,7 @@
 
 def until_version(world: World, version: int) -> None:
     directory = world.running.server.directory
-    world.running.until(
+    world.running.wait_until(
         lambda: directory.table is not None and directory.table.version >= version
     )
 
@@ -124,14 +124,16 @@
             staying = world.add_desk()
             world.platform.drain(leaving, reported)
             directory = world.running.server.directory
-            world.running.until(lambda: not takes_new(directory, leaving.id))  # noqa: B023
+            world.running.wait_until(lambda: not takes_new(directory, leaving.id))  # noqa: B023
             for number in range(6):
                 result = world.running.ask("/safe/1", f"s{number}")
                 case.assertTrue(result.headers[SEAL.lower()].startswith(staying.id))
             leaving.let_go()
             result = channel.read_answer()
             case.assertTrue(result.headers[SEAL.lower()].startswith(leaving.id))
-            idle = world.running.see(lambda: dict(world.running.gateway.pool.idle))
+            idle = world.running.call_in_loop(
+                lambda: dict(world.running.gateway.pool.idle)
+            )
             case.assertEqual([], idle.get(leaving.id, []))  # type: ignore[call-overload]
 
 
@@ -152,19 +154,19 @@
             case.assertEqual(200, world.running.ask("/safe/1", f"c{number}").status)
             world.platform.remove(desk)
             directory = world.running.server.directory
-            world.running.until(lambda: not directory.endpoints)  # noqa: B023
+            world.running.wait_until(lambda: not directory.endpoints)  # noqa: B023
         with world.running.channel() as channel:
             desk = world.add_desk()
             desk.hold()
             channel.send("POST", "/safe/1", {REQUEST_ID: "last", **BEARER})
             world.platform.log.wait_until(lambda log: len(log.of("last")) == 1)
             world.platform.delist(desk)
-            world.running.until(lambda: not directory.endpoints)
+            world.running.wait_until(lambda: not directory.endpoints)
             desk.let_go()
             case.assertEqual(200, channel.read_answer().status)
         desk.stop()
         pool = world.running.gateway.pool
-        world.running.until(lambda: not pool.idle)
+        world.running.wait_until(lambda: not pool.idle)
 
 
 def test_a_connection_that_its_endpoint_closes_when_idle_costs_no_call() -> None:
@@ -179,8 +181,8 @@
         pool = world.running.gateway.pool
         for number in range(3):
             case.assertEqual(200, world.running.ask("/unsafe/1", f"c{number}").status)
-            world.running.until(lambda: not pool.idle)
-        case.assertEqual(3, world.running.see(lambda: pool.opened))
+            world.running.wait_until(lambda: not pool.idle)
+        case.assertEqual(3, world.running.call_in_loop(lambda: pool.opened_count))
         case.assertEqual([], world.platform.log.ran_twice())
 
 
@@ -224,12 +226,14 @@
             desk.let_go()
             case.assertEqual(200, channel.read_answer().status)
             channel.send_bytes(BLANK)
-            connection = world.running.see(
+            connection = world.running.call_in_loop(
                 lambda: next(iter(world.running.gateway.connections))
             )
-            world.running.until(lambda: not connection.reader.begun)
-            case.assertTrue(world.running.see(lambda: connection.idle))
-            case.assertIsNone(world.running.see(lambda: connection.first_byte_at))
+            world.running.wait_until(lambda: not connection.reader.begun)
+            case.assertTrue(world.running.call_in_loop(lambda: connection.idle))
+            case.assertIsNone(
+                world.running.call_in_loop(lambda: connection.first_byte_at)
+            )
             channel.send("POST", "/safe/1", {REQUEST_ID: "c2", **BEARER})
             case.assertEqual(200, channel.read_answer().status)
 
@@ -250,12 +254,12 @@
         head += f"{AUTHORIZATION}: {BEARER[AUTHORIZATION]}\r\nContent-Length: 2\r\n\r\n"
         channel.send_bytes(head.encode())
         connections = world.running.gateway.connections
-        world.running.until(lambda: any(c.reader.awaits_body for c in connections))
-        connection = world.running.see(lambda: next(iter(connections)))
+        world.running.wait_until(lambda: any(c.reader.awaits_body for c in connections))
+        connection = world.running.call_in_loop(lambda: next(iter(connections)))
         first = connection.timer
         channel.send_bytes(b"a")
-        world.running.until(lambda: len(connection.reader.buffer) == 1)
-        case.assertIsNot(first, world.running.see(lambda: connection.timer))
+        world.running.wait_until(lambda: len(connection.reader.buffer) == 1)
+        case.assertIsNot(first, world.running.call_in_loop(lambda: connection.timer))
         channel.send_bytes(b"b")
         case.assertEqual(200, channel.read_answer().status)
 
@@ -280,7 +284,7 @@
             handles = loop._scheduled  # type: ignore[attr-defined]
             return sum(not handle.cancelled() for handle in handles)
 
-        world.running.until(lambda: pending() < 12)
+        world.running.wait_until(lambda: pending() < 12)
 
 
 def test_many_callers_that_leave_at_once_leave_nothing() -> None:
@@ -296,8 +300,8 @@
         world.platform.log.wait_until(lambda log: not log.at_work())
         ends = {run.end for run in world.platform.log.runs}
         case.assertEqual({RunEnd.CANCELLED}, ends)
-        world.running.until(lambda: not world.running.gateway.connections)
-        world.running.until(lambda: not world.running.server.kernel.state.requests)
+        world.running.wait_until(lambda: not world.running.gateway.connections)
+        world.running.wait_until(lambda: not world.running.server.kernel.state.requests)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_gateway_stopping.py
+++ b/tests/unit/gateway/test_gateway_stopping.py
@@ -35,7 +35,7 @@
     with patch.object(server_module, "BALANCER_LAG", lag):
         loop = world.running.thread.loop
         future = asyncio.run_coroutine_threadsafe(server.stop(), loop)
-        world.running.until(lambda: server.gateway.draining)
+        world.running.wait_until(lambda: server.gateway.draining)
         yield future
 
 
@@ -115,10 +115,10 @@
         transport = accepted(world).transport
         assert transport is not None
         # The endpoint isn't held back: all of its answer waits in this instance.
-        world.running.see(lambda: transport.set_write_buffer_limits(WIDE))
+        world.running.call_in_loop(lambda: transport.set_write_buffer_limits(WIDE))
         channel.send("POST", "/stream/1", {REQUEST_ID: "c1", **BEARER})
-        world.running.until(lambda: not world.running.gateway.calls)
-        world.running.until(lambda: transport.get_write_buffer_size() > 0)
+        world.running.wait_until(lambda: not world.running.gateway.calls)
+        world.running.wait_until(lambda: transport.get_write_buffer_size() > 0)
         with stopping(world) as future:
             case.assertFalse(finished(future))
             # Only the caller's side: the instance's own may be gone by the next look.
--- a/tests/unit/gateway/test_heads.py
+++ b/tests/unit/gateway/test_heads.py
@@ -7,7 +7,7 @@
 from mimosafork.gateway.heads import (
     Header,
     RequestHead,
-    end_to_end,
+    end_to_end_headers,
     parse_request_head,
     render_head,
 )
@@ -130,7 +130,7 @@
         b"X-Kept: \xe4",
     )
     expected = [Header(b"Host", b"Front.Example:8080"), Header(b"X-Kept", b"\xe4")]
-    case.assertEqual(expected, end_to_end(head.headers))
+    case.assertEqual(expected, end_to_end_headers(head.headers))
 
 
 def test_a_head_is_rendered_as_it_was_read() -> None:
--- a/tests/unit/gateway/test_hedged_ends.py
+++ b/tests/unit/gateway/test_hedged_ends.py
@@ -174,7 +174,7 @@
             ListedState.READY,
         )
         gateway.post(EndpointUsable(listed))
-        caller = door.caller()
+        caller = door.connect()
         headers = {"X-Request-Id": "q1", "X-Deadline-Ms": "15000"}
         caller.send("/stream/1", b"", **headers)
         door.run(4 * SECOND)
--- a/tests/unit/gateway/test_intake.py
+++ b/tests/unit/gateway/test_intake.py
@@ -5,9 +5,9 @@
 from random import Random
 from unittest import TestCase
 
-from mimosafork.gateway.dialect import CallMarks
+from mimosafork.gateway.dialect import CallMetadata
 from mimosafork.gateway.heads import parse_request_head
-from mimosafork.gateway.intake import Admission, Refusal, admit, digest_of
+from mimosafork.gateway.intake import AdmittedCall, CallRefusal, admit, call_digest
 from mimosafork.gateway.request_reader import RequestMessage
 from mimosafork.ids import AccountId, RequestId, Revision, ServiceId
 from mimosafork.kernel.messages.requests import Repeatability, RequestKind
@@ -81,28 +81,28 @@
     table: RoutingTable | None = TABLE,
     time_left: timedelta | None = None,
     seed: int = 1,
-) -> Admission | Refusal:
+) -> AdmittedCall | CallRefusal:
     head = parse_request_head(message_of(target, host=host))
-    marks = CallMarks("c1", time_left=time_left, key=key, prompt_tokens=7)
+    marks = CallMetadata("c1", time_left=time_left, key=key, prompt_tokens=7)
     message = RequestMessage(head, b"body")
     return admit(message, marks, table, RequestId("1"), NOW, Random(seed))
 
 
-def admitted(target: str, **more: object) -> Admission:
+def admitted(target: str, **more: object) -> AdmittedCall:
     found = asked(target, **more)  # type: ignore[arg-type]
-    assert isinstance(found, Admission), found
+    assert isinstance(found, AdmittedCall), found
     return found
 
 
 def refused(target: str, **more: object) -> HTTPStatus:
     found = asked(target, **more)  # type: ignore[arg-type]
-    assert isinstance(found, Refusal), found
+    assert isinstance(found, CallRefusal), found
     return found.status
 
 
 def test_no_configuration_promises_and_asks_to_come_back() -> None:
     found = asked("/safe/1", table=None)
-    assert isinstance(found, Refusal)
+    assert isinstance(found, CallRefusal)
     case.assertEqual(HTTPStatus.SERVICE_UNAVAILABLE, found.status)
     case.assertIsNotNone(found.retry_after)
 
@@ -167,13 +167,13 @@
     other_path = RequestMessage(parse_request_head(message_of("/safe/2")), b"body")
     other_body = RequestMessage(first.head, b"Body")
     digests = {
-        digest_of(first, account),
-        digest_of(first, None),
-        digest_of(other_path, account),
-        digest_of(other_body, account),
+        call_digest(first, account),
+        call_digest(first, None),
+        call_digest(other_path, account),
+        call_digest(other_body, account),
     }
     case.assertEqual(4, len(digests))
-    case.assertEqual(digest_of(first, account), digest_of(first, account))
+    case.assertEqual(call_digest(first, account), call_digest(first, account))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_kept_promises.py
+++ b/tests/unit/gateway/test_kept_promises.py
@@ -17,14 +17,14 @@
 from msgspec.structs import replace
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.answer_reader import AnswerHead
-from mimosafork.gateway.call_lines import CallLines
-from mimosafork.gateway.client_connection import KEEP_SLACK, ClientConnection
+from mimosafork.gateway.call_log import CallLog
+from mimosafork.gateway.client_connection import IDLE_TIMEOUT_SLACK, ClientConnection
 from mimosafork.gateway.gateway import Gateway
 from mimosafork.gateway.heads import Header
 from mimosafork.gateway.policies import PLUGINS
-from mimosafork.gateway.pool import ConnectionPool, Wanted
+from mimosafork.gateway.pool import ConnectionPool, ConnectionRequest
 from mimosafork.gateway.request_reader import RequestReader
+from mimosafork.gateway.response_reader import ResponseHead
 from mimosafork.gateway.upstream import EndpointConnection
 from mimosafork.ids import (
     AvailabilityZoneId,
@@ -55,10 +55,10 @@
 from ...support.functions import function_tests
 from ...support.prepared import HOST, request_bytes
 from ...support.virtual_callers import (
-    ScriptedFront,
+    ScriptedRequestHandler,
     VirtualCaller,
-    VirtualDoor,
-    virtual_door,
+    VirtualListener,
+    virtual_listener,
 )
 
 case = TestCase()
@@ -68,7 +68,7 @@
 SECOND = timedelta(seconds=1)
 LIMITS = ClientLimits(header_bytes=4096, body_bytes=1 << 20, idle_timeout=LONG)
 SHORTENED = replace(LIMITS, idle_timeout=SHORT)
-ANY_TIME = LONG + KEEP_SLACK + SECOND
+ANY_TIME = LONG + IDLE_TIMEOUT_SLACK + SECOND
 HUGE = b"x" * (8 << 20)
 """Fits into no buffer of a connection."""
 
@@ -80,31 +80,31 @@
 @contextmanager
 def scripted(
     limits: ClientLimits = LIMITS,
-) -> Iterator[tuple[ScriptedFront, VirtualDoor]]:
+) -> Iterator[tuple[ScriptedRequestHandler, VirtualListener]]:
     """Open a door whose requests the test answers."""
-    with virtual_door(lambda _: ScriptedFront(limits)) as door:
-        assert isinstance(door.front, ScriptedFront)
+    with virtual_listener(lambda _: ScriptedRequestHandler(limits)) as door:
+        assert isinstance(door.front, ScriptedRequestHandler)
         yield door.front, door
 
 
 def answer(connection: ClientConnection) -> None:
-    connection.answer(200, b"OK", [], b"ok")
+    connection.send_response(200, b"OK", [], b"ok")
 
 
 def begin(caller: VirtualCaller) -> None:
-    caller.connection.begin(200, b"OK", [])
-    caller.connection.part(b"a part")
+    caller.connection.begin_response(200, b"OK", [])
+    caller.connection.send_body(b"a part")
 
 
-def asked(door: VirtualDoor) -> VirtualCaller:
+def asked(door: VirtualListener) -> VirtualCaller:
     """Return a caller whose request was taken and has no answer yet."""
-    caller = door.caller()
+    caller = door.connect()
     caller.send()
     door.run()
     return caller
 
 
-def answered(door: VirtualDoor, front: ScriptedFront) -> VirtualCaller:
+def answered(door: VirtualListener, front: ScriptedRequestHandler) -> VirtualCaller:
     """Return a caller that got an answer and was told how long it is kept."""
     front.answers = answer
     caller = asked(door)
@@ -112,7 +112,9 @@
     return caller
 
 
-def serves(door: VirtualDoor, front: ScriptedFront, caller: VirtualCaller) -> None:
+def serves(
+    door: VirtualListener, front: ScriptedRequestHandler, caller: VirtualCaller
+) -> None:
     """Fail unless a further request on a caller's connection is answered."""
     front.answers = answer
     before = len(caller.statuses)
@@ -133,10 +135,10 @@
     """
     with scripted() as (front, door):
         caller = asked(door)
-        door.within(lambda: begin(caller))
+        door.run_in_loop(lambda: begin(caller))
         front.limits = SHORTENED
         door.run(SECOND)
-        door.within(caller.connection.end)
+        door.run_in_loop(caller.connection.end_response)
         door.run(LONG)
         serves(door, front, caller)
 
@@ -153,7 +155,7 @@
     with scripted() as (front, door):
         caller = asked(door)
         front.limits = SHORTENED
-        door.within(lambda: answer(caller.connection))
+        door.run_in_loop(lambda: answer(caller.connection))
         door.run()
         case.assertIn(b"Keep-Alive: timeout=1\r\n", caller.read())
         door.run(SHORT)
@@ -165,7 +167,7 @@
         caller = answered(door, front)
         front.limits = SHORTENED
         serves(door, front, caller)
-        door.run(SHORT + KEEP_SLACK + SECOND)
+        door.run(SHORT + IDLE_TIMEOUT_SLACK + SECOND)
         caller.read()
         case.assertTrue(caller.ended)
 
@@ -179,7 +181,7 @@
     for ask_first in (False, True):
         with scripted(SHORTENED) as (front, door):
             front.answers = answer
-            caller = asked(door) if ask_first else door.caller()
+            caller = asked(door) if ask_first else door.connect()
             front.limits = LIMITS
             door.run(LONG)
             serves(door, front, caller)
@@ -194,11 +196,11 @@
     """
     for wish in ("keep-alive", "close"):
         with scripted() as (front, door):
-            caller = door.caller()
+            caller = door.connect()
             caller.send(Connection=wish)
             door.run()
             connection = caller.connection
-            door.within(lambda: connection.answer(200, b"OK", [], HUGE))  # noqa: B023
+            door.run_in_loop(lambda: connection.send_response(200, b"OK", [], HUGE))  # noqa: B023
             front.limits = SHORTENED
             door.run(5 * SECOND)
             while not caller.ended and len(caller.received) <= len(HUGE):
@@ -215,9 +217,9 @@
     """
     with scripted() as (front, door):
         caller = asked(door)
-        door.within(lambda: caller.connection.answer(200, b"OK", [], HUGE))
-        door.run(2 * LONG + KEEP_SLACK - SECOND / 2)
-        while caller.connection.unsent:
+        door.run_in_loop(lambda: caller.connection.send_response(200, b"OK", [], HUGE))
+        door.run(2 * LONG + IDLE_TIMEOUT_SLACK - SECOND / 2)
+        while caller.connection.has_unsent_bytes:
             caller.read()
             door.run(timedelta(microseconds=100))
         door.run(2 * SECOND)
@@ -232,7 +234,7 @@
     """
     with scripted() as (front, door):
         front.answers = answer
-        caller = door.caller()
+        caller = door.connect()
         whole = request_bytes("POST", "/safe/1", {}, b"0123456789", False)
         caller.send_bytes(whole[:-6])
         door.run()
@@ -249,7 +251,7 @@
     for chunked in (False, True):
         with scripted() as (front, door):
             front.answers = answer
-            caller = door.caller()
+            caller = door.connect()
             body = b"x" * 5000
             whole = request_bytes("POST", "/safe/1", {}, body, chunked)
             caller.send_bytes(whole[:30])
@@ -265,14 +267,14 @@
 
 def test_pipelined_requests_are_answered_across_a_change() -> None:
     with scripted() as (front, door):
-        caller = door.caller()
+        caller = door.connect()
         whole = request_bytes("POST", "/safe/1", {}, b"", False)
         caller.send_bytes(whole * 2)
         door.run()
-        door.within(lambda: begin(caller))
+        door.run_in_loop(lambda: begin(caller))
         front.limits = SHORTENED
         front.answers = answer
-        door.within(caller.connection.end)
+        door.run_in_loop(caller.connection.end_response)
         door.run()
         case.assertEqual([200, 200], caller.statuses)
 
@@ -286,10 +288,10 @@
     """
     with scripted() as (_, door):
         caller = asked(door)
-        door.within(lambda: begin(caller))
+        door.run_in_loop(lambda: begin(caller))
         caller.send(body=b"x" * 5000)
         door.run()
-        door.within(caller.connection.end)
+        door.run_in_loop(caller.connection.end_response)
         door.run()
         case.assertEqual([200, 503], caller.statuses)
         last = caller.read().rpartition(b"HTTP/1.1 503")[2].lower()
@@ -303,7 +305,7 @@
         caller = asked(door)
         caller.send(body=b"x" * 5000)
         door.run()
-        door.within(lambda: answer(caller.connection))
+        door.run_in_loop(lambda: answer(caller.connection))
         door.run()
         case.assertEqual([200], caller.statuses)
         case.assertIn(b"Connection: close", caller.read())
@@ -312,7 +314,7 @@
 def test_a_refusal_says_that_nothing_behind_it_is_read() -> None:
     """What looked like one more: whole requests behind it are dropped, as it says."""
     with scripted() as (_, door):
-        caller = door.caller()
+        caller = door.connect()
         caller.send_bytes(b"no request\r\n\r\n")
         caller.send()
         door.run(ANY_TIME)
@@ -328,19 +330,19 @@
     waiting request was looked at.
     """
     with gateway_door(routing_table()) as (gateway, door):
-        caller = door.caller()
+        caller = door.connect()
         caller.send()
         caller.send()
         door.run()
-        door.within(lambda: begin(caller))
+        door.run_in_loop(lambda: begin(caller))
 
         def end_at_once() -> None:
             gateway.draining = True
             gateway.end_intake()
-            caller.connection.end()
+            caller.connection.end_response()
             gateway.stop()
 
-        door.within(end_at_once)
+        door.run_in_loop(end_at_once)
         door.run()
         case.assertEqual([200, 503], caller.statuses)
 
@@ -385,7 +387,7 @@
     lay in the socket of one of them, which had been promised to be kept.
     """
     with gateway_door(routing_table()) as (gateway, door):
-        caller = door.caller()
+        caller = door.connect()
         gateway.draining = True
 
         def close_door() -> None:
@@ -393,7 +395,7 @@
             gateway.end_intake()
             case.assertTrue(gateway.busy)
 
-        door.within(close_door)
+        door.run_in_loop(close_door)
         door.run()
         case.assertEqual([503], caller.statuses)
         case.assertIn(b"retry-after: ", caller.read().lower())
@@ -404,10 +406,10 @@
     """What looked like one more: a stream ends behind the door on a kept connection."""
     with gateway_door(routing_table()) as (gateway, door):
         caller = asked(door)
-        door.within(lambda: begin(caller))
+        door.run_in_loop(lambda: begin(caller))
         gateway.draining = True
-        door.within(gateway.end_intake)
-        door.within(caller.connection.end)
+        door.run_in_loop(gateway.end_intake)
+        door.run_in_loop(caller.connection.end_response)
         caller.send()
         door.run()
         case.assertEqual([200, 503], caller.statuses)
@@ -439,7 +441,7 @@
 
 
 @contextmanager
-def gateway_door(table: RoutingTable) -> Iterator[tuple[Gateway, VirtualDoor]]:
+def gateway_door(table: RoutingTable) -> Iterator[tuple[Gateway, VirtualListener]]:
     """Open the door of a gateway that knows no endpoints."""
     instance, zone = InstanceId("entry-1"), AvailabilityZoneId("zone-a")
 
@@ -448,7 +450,7 @@
         kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
         return Gateway(kernel, PreparedDialect(), clock, Random(1), lambda: table)
 
-    with virtual_door(gateway_of) as door:
+    with virtual_listener(gateway_of) as door:
         gateway = door.front
         assert isinstance(gateway, Gateway)
         door.accepting = gateway.new_connection
@@ -506,11 +508,13 @@
     """
     with gateway_door(routing_table()) as (gateway, door), expected_faults():
         whole = request_bytes("POST", "/safe/1", {}, b"", False)
-        caller = door.caller()
+        caller = door.connect()
         caller.send_bytes(whole * 2)
         door.run()
-        with patch.object(gateway.dialect, "read_call", side_effect=PartBrokenError):
-            door.within(lambda: answer(caller.connection))
+        with patch.object(
+            gateway.dialect, "parse_call_metadata", side_effect=PartBrokenError
+        ):
+            door.run_in_loop(lambda: answer(caller.connection))
             door.run(ANY_TIME)
         case.assertEqual(200, caller.statuses[0])
         case.assertEqual(1, len(caller.statuses[1:]), caller.statuses)
@@ -524,7 +528,7 @@
     """
     table = routing_table(replace(route_to(Split(DESKS, 1.0)), prefix="/other/"))
     with gateway_door(table) as (_, door), expected_faults():
-        with patch.object(CallLines, "refused", side_effect=PartBrokenError):
+        with patch.object(CallLog, "refused", side_effect=PartBrokenError):
             caller = asked(door)
         case.assertEqual([404], caller.statuses)
 
@@ -552,7 +556,7 @@
     table = routing_table(replace(route_to(Split(DESKS, 1.0)), prefix="/other/"))
     with gateway_door(table) as (gateway, door), expected_faults():
         broken = Mock(side_effect=PartBrokenError)
-        with patch.object(gateway.dialect, "own_answer_headers", broken):
+        with patch.object(gateway.dialect, "local_response_headers", broken):
             caller = asked(door)
         case.assertEqual([500], caller.statuses)
 
@@ -565,9 +569,9 @@
     """
     with scripted() as (front, door):
         broken = Mock(side_effect=PartBrokenError)
-        caller = door.caller()
+        caller = door.connect()
         caller.send_bytes(b"POST /safe/1 HT")
-        with patch.object(front, "refused", broken):
+        with patch.object(front, "malformed_request", broken):
             door.run(ANY_TIME)
         case.assertEqual([408], caller.statuses)
         case.assertTrue(caller.ended)
@@ -582,8 +586,8 @@
     with gateway_door(routing_table()) as (gateway, door), expected_faults():
         broken = Mock(side_effect=PartBrokenError)
         caller = asked(door)
-        with patch.object(gateway.dialect, "own_answer_headers", broken):
-            door.within(gateway.start)
+        with patch.object(gateway.dialect, "local_response_headers", broken):
+            door.run_in_loop(gateway.start)
             door.run(ANY_TIME)
         case.assertEqual([500], caller.statuses)
 
@@ -601,9 +605,9 @@
     for drop in dropped:
         with gateway_door(routing_table()) as (gateway, door):
             caller = asked(door)
-            door.within(gateway.start)
+            door.run_in_loop(gateway.start)
             changed = drop(routing_table())
-            door.within(lambda: gateway.post(TableInForce(changed)))  # noqa: B023
+            door.run_in_loop(lambda: gateway.post(TableInForce(changed)))  # noqa: B023
             door.run(LONG)
             check_told(caller, 503)
 
@@ -611,15 +615,15 @@
 # Connections to endpoints
 
 
-def kept_connection(pool: ConnectionPool, *keep_alive: bytes) -> Wanted:
+def kept_connection(pool: ConnectionPool, *keep_alive: bytes) -> ConnectionRequest:
     """Keep a connection whose answers said in turn how long it is kept."""
-    wanted = Wanted(EndpointId("desk-1"), "127.0.0.1:1")
+    wanted = ConnectionRequest(EndpointId("desk-1"), "127.0.0.1:1")
     connection = EndpointConnection(pool.clock, lambda _: None)
     connection.transport = cast(asyncio.Transport, Mock())
     for value in keep_alive:
         headers = (Header(b"Keep-Alive", b"timeout=" + value),)
-        connection._on_head(AnswerHead(200, b"OK", headers, framed=True))
-    pool.put_back(wanted.endpoint, connection)
+        connection._on_head(ResponseHead(200, b"OK", headers, framed=True))
+    pool.release(wanted.endpoint, connection)
     return wanted
 
 
@@ -634,7 +638,7 @@
         pool = ConnectionPool(clock)
         wanted = kept_connection(pool, *before, b"0")
         clock.advance(timedelta(milliseconds=1))
-        case.assertIsNone(pool.take(wanted))
+        case.assertIsNone(pool.acquire(wanted))
 
 
 def test_the_latest_word_of_an_endpoint_is_what_it_keeps() -> None:
@@ -643,7 +647,7 @@
         pool = ConnectionPool(clock)
         wanted = kept_connection(pool, *words)
         clock.advance(3 * SECOND)
-        case.assertEqual(usable, pool.take(wanted) is not None)
+        case.assertEqual(usable, pool.acquire(wanted) is not None)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_long_answers.py
+++ b/tests/unit/gateway/test_long_answers.py
@@ -4,7 +4,7 @@
 from unittest import TestCase
 from unittest.mock import patch
 
-from mimosafork.gateway.attempt import MOST_HELD, Reading
+from mimosafork.gateway.attempt import MAX_BUFFERED_BYTES, ResponseMode
 from mimosafork.gateway.client_connection import ClientConnection
 from mimosafork.standins.prepared.faults import Garbage
 from mimosafork.standins.prepared.sending import chunk_of
@@ -49,7 +49,7 @@
 def held(world: World) -> int:
     """Return the most bytes that an open attempt holds."""
     attempts = world.running.gateway.attempts.values()
-    return max((len(b"".join(each.parts)) for each in attempts), default=0)
+    return max((len(b"".join(each.chunks)) for each in attempts), default=0)
 
 
 def test_what_never_ends_is_given_up() -> None:
@@ -92,7 +92,7 @@
     """The instance runs out of memory for callers that ask much and read little."""
     body = long_body() * 8
     waiting = [0]
-    pass_on = ClientConnection.part
+    pass_on = ClientConnection.send_body
 
     def part(connection: ClientConnection, data: bytes) -> None:
         pass_on(connection, data)
@@ -102,12 +102,14 @@
     with (
         gateway_world() as world,
         world.running.channel() as channel,
-        patch.object(ClientConnection, "part", part),
+        patch.object(ClientConnection, "send_body", part),
     ):
         world.add_desk().play(Garbage(next(framed(body))))
         send(channel, "/safe/1")
-        world.running.until(lambda: max(waiting) > 0)
-        case.assertLessEqual(world.running.see(lambda: held(world)), MOST_HELD)
+        world.running.wait_until(lambda: max(waiting) > 0)
+        case.assertLessEqual(
+            world.running.call_in_loop(lambda: held(world)), MAX_BUFFERED_BYTES
+        )
         case.assertEqual(body, channel.read_answer().body)
         case.assertLess(max(waiting), MOST_WAITING)
 
@@ -127,8 +129,10 @@
         send(channel, "/safe/1")
         case.assertEqual(200, channel.read_head().status)
         attempts = world.running.gateway.attempts
-        world.running.until(
-            lambda: any(each.reading is Reading.PASSING for each in attempts.values())
+        world.running.wait_until(
+            lambda: any(
+                each.mode is ResponseMode.PASSTHROUGH for each in attempts.values()
+            )
         )
         for desk in desks:
             desk.crash()
