--- a/tests/unit/gateway/test_long_sends.py
+++ b/tests/unit/gateway/test_long_sends.py
@@ -10,8 +10,8 @@
 from unittest import TestCase
 from unittest.mock import patch
 
-from mimosafork.gateway import long_sends, upstream
-from mimosafork.gateway.long_sends import (
+from mimosafork.gateway import long_send_watch, upstream
+from mimosafork.gateway.long_send_watch import (
     INFO_SIZE,
     LAST_ACK_OFFSET,
     PROBES_OFFSET,
@@ -78,9 +78,9 @@
     document["address"] = f"127.0.0.1:{reader.listener.getsockname()[1]}"
     known = world.running.server.directory.endpoints
     world.platform.delist(desk)
-    world.running.until(lambda: not known)
+    world.running.wait_until(lambda: not known)
     world.platform.store.put(TABLE_SERVERS, "i-slow", document)
-    world.running.until(lambda: "i-slow" in known)
+    world.running.wait_until(lambda: "i-slow" in known)
     try:
         yield reader
     finally:
@@ -96,7 +96,7 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         with socket.create_connection(listener.getsockname()) as sending:
-            upstream.watch_peer(sending)
+            upstream.enable_peer_probes(sending)
             with case.assertRaises(TimeoutError):
                 while True:
                     sending.sendall(BODY)
@@ -105,7 +105,7 @@
 def any_unread(world: World) -> bool:
     """Whether a part of a body waits for its endpoint to read."""
     attempts = world.running.gateway.attempts.values()
-    return any(each.connection and each.connection.unread for each in attempts)
+    return any(each.connection and each.connection.send_pending for each in attempts)
 
 
 def test_an_endpoint_that_is_slow_to_read_a_long_body_keeps_its_call() -> None:
@@ -115,8 +115,8 @@
     the bound on unacknowledged bytes also counts the time for which a peer's buffers
     are full: the connection was ended, and the call, which may run once, was lost.
     """
-    bound = patch.object(upstream, "UNACKNOWLEDGED_MS", PATIENCE // MILLISECOND)
-    often = patch.object(long_sends, "LOOK_EVERY", PATIENCE / 4)
+    bound = patch.object(upstream, "TCP_USER_TIMEOUT_MS", PATIENCE // MILLISECOND)
+    often = patch.object(long_send_watch, "LOOK_EVERY", PATIENCE / 4)
     with bound, often, gateway_world() as world, slow_reader(world) as reader:
         answers: list[int] = []
         calling = Thread(
@@ -125,7 +125,7 @@
             )
         )
         calling.start()
-        world.running.until(lambda: any_unread(world))
+        world.running.wait_until(lambda: any_unread(world))
         # The second begins when the first has ended: by then the call's would have too.
         for _ in range(2):
             until_the_system_gives_up()
@@ -158,13 +158,13 @@
 class Ended:
     """A connection whose call has ended, and whose peer never reads."""
 
-    unread = True
-    awaited = False
+    send_pending = True
+    awaiting_response = False
 
     def __init__(self) -> None:
         self.given_up = asyncio.Event()
 
-    def vanish(self) -> None:
+    def abandon(self) -> None:
         """Note that it was given up."""
         self.given_up.set()
 
@@ -185,8 +185,8 @@
                 LongSend(sender, sock, PATIENCE, lambda: None).look_later()
                 await asyncio.wait_for(sender.given_up.wait(), WAIT_S)
 
-    bound = patch.object(long_sends, "REST_WITHIN", PATIENCE)
-    with bound, patch.object(long_sends, "LOOK_EVERY", PATIENCE / 4):
+    bound = patch.object(long_send_watch, "REST_WITHIN", PATIENCE)
+    with bound, patch.object(long_send_watch, "LOOK_EVERY", PATIENCE / 4):
         asyncio.run(give_up())
 
 
--- a/tests/unit/gateway/test_moved_streams.py
+++ b/tests/unit/gateway/test_moved_streams.py
@@ -37,7 +37,7 @@
 
 from ...support.functions import function_tests
 from ...support.prepared import HOST
-from ...support.virtual_callers import VirtualCaller, VirtualDoor, virtual_door
+from ...support.virtual_callers import VirtualCaller, VirtualListener, virtual_listener
 
 case = TestCase()
 
@@ -152,7 +152,7 @@
 
 
 @contextmanager
-def engines(served: Endpoints) -> Iterator[VirtualDoor]:
+def engines(served: Endpoints) -> Iterator[VirtualListener]:
     """Open the door of a gateway before two endpoints with free slots."""
 
     def gateway_of(clock: ManualClock) -> Gateway:
@@ -160,14 +160,14 @@
         kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
         return Gateway(kernel, PreparedDialect(), clock, Random(1), lambda: TABLE)
 
-    with virtual_door(gateway_of) as door:
+    with virtual_listener(gateway_of) as door:
         gateway = door.front
         assert isinstance(gateway, Gateway)
         door.accepting = gateway.new_connection
         listening = asyncio.start_server(served.serve, "127.0.0.1", 0)
         listener = door.loop.run_until_complete(listening)
         port = listener.sockets[0].getsockname()[1]
-        door.within(gateway.start)
+        door.run_in_loop(gateway.start)
         gateway.post(TableInForce(TABLE))
         for name in ("a", "b"):
             listed = ListedEndpoint(
@@ -183,13 +183,13 @@
         if gateway.ticker is not None:
             gateway.ticker.cancel()
         listener.close()
-        door.within(gateway.pool.close)
+        door.run_in_loop(gateway.pool.close)
         door.run()
 
 
-def served_whole(door: VirtualDoor) -> VirtualCaller:
+def served_whole(door: VirtualListener) -> VirtualCaller:
     """Return a caller of a stream after the time that it takes."""
-    caller = door.caller()
+    caller = door.connect()
     headers = {"X-Request-Id": "q1", "X-Deadline-Ms": "15000"}
     caller.send("/stream/1", b"", **headers)
     door.run(PAUSE + SECOND)
@@ -239,7 +239,7 @@
 def test_both_attempts_end_when_their_caller_leaves() -> None:
     served = Resuming(before=1, after=5 * SECOND)
     with engines(served) as door:
-        caller = door.caller()
+        caller = door.connect()
         headers = {"X-Request-Id": "q1", "X-Deadline-Ms": "15000"}
         caller.send("/stream/1", b"", **headers)
         door.run(SECOND * 1.2)
--- a/tests/unit/gateway/test_overwritten_rows.py
+++ b/tests/unit/gateway/test_overwritten_rows.py
@@ -33,7 +33,7 @@
         name = RowName(TABLE_SERVERS, "", resting.id)
         value = b64encode(b'{"state":"ready"}').decode()
         world.platform.store.write(Transaction(puts=(Put(name, value),)))
-        world.running.until(lambda: used(world) == {other.id})
+        world.running.wait_until(lambda: used(world) == {other.id})
         for number in range(6):
             result = world.running.ask("/safe/1", f"s{number}")
             case.assertTrue(result.headers[SEAL.lower()].startswith(other.id))
@@ -41,9 +41,9 @@
         result = channel.read_answer()
         case.assertTrue(result.headers[SEAL.lower()].startswith(resting.id))
         world.platform.beat(resting)
-        world.running.until(lambda: used(world) == {resting.id, other.id})
+        world.running.wait_until(lambda: used(world) == {resting.id, other.id})
         world.platform.remove(other)
-        world.running.until(lambda: used(world) == {resting.id})
+        world.running.wait_until(lambda: used(world) == {resting.id})
         result = world.running.ask("/safe/1", "last")
         case.assertTrue(result.headers[SEAL.lower()].startswith(resting.id))
 
--- a/tests/unit/gateway/test_pool.py
+++ b/tests/unit/gateway/test_pool.py
@@ -7,19 +7,19 @@
 from unittest.mock import Mock
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.answer_reader import AnswerHead
 from mimosafork.gateway.heads import Header
 from mimosafork.gateway.pool import (
     DEFAULT_KEEP,
     MARGIN,
     MOST_IDLE,
     ConnectionPool,
-    Wanted,
+    ConnectionRequest,
 )
+from mimosafork.gateway.response_reader import ResponseHead
 from mimosafork.gateway.upstream import (
-    LONG_REQUEST,
+    LONG_REQUEST_BYTES,
     EndpointConnection,
-    keep_alive_of,
+    parse_keep_alive_timeout,
 )
 from mimosafork.ids import EndpointId
 
@@ -29,8 +29,8 @@
 
 DESK = EndpointId("desk-1")
 FRESH = timedelta(milliseconds=1500)
-ANY = Wanted(DESK, "127.0.0.1:1")
-ONCE = Wanted(DESK, "127.0.0.1:1", FRESH)
+ANY = ConnectionRequest(DESK, "127.0.0.1:1")
+ONCE = ConnectionRequest(DESK, "127.0.0.1:1", FRESH)
 
 
 def pool_of(connections: int) -> tuple[ConnectionPool, list[EndpointConnection]]:
@@ -42,7 +42,7 @@
         clock.advance(timedelta(seconds=1))
         connection = EndpointConnection(clock, pool._forget(ANY))
         connection.transport = cast(asyncio.Transport, Mock())
-        pool.put_back(DESK, connection)
+        pool.release(DESK, connection)
         made.append(connection)
     return pool, made
 
@@ -57,23 +57,23 @@
 
 def test_the_newest_connection_goes_first() -> None:
     pool, made = pool_of(3)
-    case.assertIs(made[2], pool.take(ANY))
-    case.assertIs(made[1], pool.take(ANY))
+    case.assertIs(made[2], pool.acquire(ANY))
+    case.assertIs(made[1], pool.acquire(ANY))
 
 
 def test_one_that_its_endpoint_may_be_closing_is_not_used() -> None:
     """A call is lost on a connection that its endpoint closes under it."""
     pool, made = pool_of(1)
     advance(pool, DEFAULT_KEEP - MARGIN)
-    case.assertIsNone(pool.take(ANY))
+    case.assertIsNone(pool.acquire(ANY))
     case.assertEqual([True], closed(made))
 
 
 def test_the_time_that_an_endpoint_states_counts() -> None:
     pool, made = pool_of(1)
-    made[0].keep_for = timedelta(seconds=60)
+    made[0].keep_alive_timeout = timedelta(seconds=60)
     advance(pool, timedelta(seconds=59))
-    case.assertIs(made[0], pool.take(ANY))
+    case.assertIs(made[0], pool.acquire(ANY))
 
 
 def test_a_call_that_needs_a_fresh_one_leaves_the_others() -> None:
@@ -84,29 +84,29 @@
     """
     pool, made = pool_of(2)
     advance(pool, FRESH)
-    case.assertIsNone(pool.take(ONCE))
+    case.assertIsNone(pool.acquire(ONCE))
     case.assertEqual([False, False], closed(made))
-    case.assertIs(made[1], pool.take(ANY))
-    pool.put_back(DESK, made[1])
+    case.assertIs(made[1], pool.acquire(ANY))
+    pool.release(DESK, made[1])
     made[1].idle_since = pool.clock.monotonic()
-    case.assertIs(made[1], pool.take(ONCE))
+    case.assertIs(made[1], pool.acquire(ONCE))
 
 
 def test_what_can_not_be_used_again_is_closed() -> None:
     for spoil in ("reusable", "stray", "unread"):
         pool, made = pool_of(1)
-        taken = pool.take(ANY)
+        taken = pool.acquire(ANY)
         assert taken is not None
         if spoil == "stray":
-            taken.reader.stray = True
+            taken.reader.unexpected_bytes = True
         elif spoil == "unread":
-            taken.request_size = LONG_REQUEST
+            taken.request_size = LONG_REQUEST_BYTES
             cast(Mock, taken.transport).get_write_buffer_size.return_value = 1
         else:
             taken.reusable = False
-        pool.put_back(DESK, taken)
+        pool.release(DESK, taken)
         case.assertEqual([True], closed(made))
-        case.assertIsNone(pool.take(ANY))
+        case.assertIsNone(pool.acquire(ANY))
 
 
 def test_idle_connections_are_bounded_and_go_with_their_endpoint() -> None:
@@ -129,9 +129,9 @@
         (b"", None),
         (b"timeout=" + b"9" * 30, None),
     ):
-        head = AnswerHead(200, b"", (Header(b"Keep-Alive", value),), True)
+        head = ResponseHead(200, b"", (Header(b"Keep-Alive", value),), True)
         told = None if expected is None else timedelta(seconds=expected)
-        case.assertEqual(told, keep_alive_of(head), value)
+        case.assertEqual(told, parse_keep_alive_timeout(head), value)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_problems.py
+++ b/tests/unit/gateway/test_problems.py
@@ -5,7 +5,11 @@
 from itertools import product
 from unittest import TestCase
 
-from mimosafork.gateway.problems import COME_BACK, PROMISES, final_status
+from mimosafork.gateway.problems import (
+    DEFAULT_RETRY_AFTER,
+    NOT_RUN_STATUSES,
+    final_status,
+)
 from mimosafork.ids import RequestId
 from mimosafork.kernel.messages.outcomes import Conclude, Outcome
 from mimosafork.kernel.messages.problems import Problem, ProblemCode
@@ -30,11 +34,11 @@
     """
     for outcome, code in product(Outcome, ProblemCode):
         final = final_status(conclusion(outcome, code))
-        case.assertEqual(outcome is Outcome.NOT_RUN, final.status in PROMISES)
+        case.assertEqual(outcome is Outcome.NOT_RUN, final.status in NOT_RUN_STATUSES)
         promised = final.retry_after is not None
         case.assertEqual(outcome is Outcome.NOT_RUN, promised)
     told = {408, 421, 429, 503}
-    case.assertEqual(told, PROMISES)
+    case.assertEqual(told, NOT_RUN_STATUSES)
     bare = Conclude(RequestId("1"), Outcome.UNKNOWN, 1)
     case.assertEqual(HTTPStatus.BAD_GATEWAY, final_status(bare).status)
 
@@ -60,7 +64,7 @@
     told = final_status(conclusion(Outcome.NOT_RUN, ProblemCode.OVERLOADED, asked))
     case.assertEqual(asked, told.retry_after)
     usual = final_status(conclusion(Outcome.NOT_RUN, ProblemCode.OVERLOADED))
-    case.assertEqual(COME_BACK, usual.retry_after)
+    case.assertEqual(DEFAULT_RETRY_AFTER, usual.retry_after)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_stopping.py
+++ b/tests/unit/gateway/test_stopping.py
@@ -8,7 +8,7 @@
 
 from mimosafork.clock import ManualClock
 from mimosafork.gateway.client_connection import ClientConnection
-from mimosafork.gateway.dialect import CallMarks, Dialect
+from mimosafork.gateway.dialect import CallMetadata, Dialect
 from mimosafork.gateway.gateway import Gateway
 from mimosafork.gateway.heads import Header, RequestHead
 from mimosafork.gateway.server import BALANCER_LAG
@@ -115,11 +115,11 @@
 class PlainDialect:
     """Reads and says nothing of its own."""
 
-    def read_call(self, head: RequestHead) -> CallMarks:
+    def parse_call_metadata(self, head: RequestHead) -> CallMetadata:
         """Return no marks."""
-        return CallMarks("c1")
+        return CallMetadata("c1")
 
-    def own_answer_headers(
+    def local_response_headers(
         self, call_id: str, retry_after: timedelta | None
     ) -> list[Header]:
         """Return when to come back."""
--- a/tests/unit/gateway/test_ticks.py
+++ b/tests/unit/gateway/test_ticks.py
@@ -8,7 +8,7 @@
 from mimosafork.standins.prepared.words import REQUEST_ID
 
 from ...support.functions import function_tests
-from ...support.gateway import BEARER, gateway_before
+from ...support.gateway import BEARER, running_gateway
 from ...support.prepared import DESKS, deployment
 
 
@@ -19,18 +19,18 @@
     """
     with deployment() as platform, ExitStack() as stack:
         desk = platform.add_desk(EndpointSettings(DESKS))
-        running = stack.enter_context(gateway_before(platform))
-        running.until_known(desk)
+        running = stack.enter_context(running_gateway(platform))
+        running.wait_until_listed(desk)
         gateway = running.server.gateway
-        running.until(lambda: gateway.tick_after == IDLE_TICK)
+        running.wait_until(lambda: gateway.tick_after == IDLE_TICK)
         desk.hold()
         channel = stack.enter_context(running.channel())
         channel.send("POST", "/safe/1", {REQUEST_ID: "held", **BEARER}, b"held")
-        running.until(lambda: len(gateway.calls) == 1)
+        running.wait_until(lambda: len(gateway.calls) == 1)
         assert gateway.tick_after == TICK
         desk.let_go()
-        running.until(lambda: not gateway.calls)
-        running.until(lambda: gateway.tick_after == IDLE_TICK)
+        running.wait_until(lambda: not gateway.calls)
+        running.wait_until(lambda: gateway.tick_after == IDLE_TICK)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/platform/test_calls.py
+++ b/tests/unit/platform/test_calls.py
@@ -3,10 +3,10 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.gateway.answer_reader import AnswerHead
-from mimosafork.gateway.dialect import AnswerMarks, AttemptMarks
+from mimosafork.gateway.dialect import AttemptMetadata, ResponseMetadata
 from mimosafork.gateway.errors import BadRequestError
 from mimosafork.gateway.heads import Header, RequestHead, parse_request_head
+from mimosafork.gateway.response_reader import ResponseHead
 from mimosafork.ids import AccountId, EndpointId, ReservationId
 from mimosafork.kernel.messages.dispatch import Helper
 from mimosafork.platform import names
@@ -17,7 +17,7 @@
 case = TestCase()
 
 DIALECT = PreparedDialect()
-BARE = AttemptMarks(EndpointId("i-1"), timedelta(milliseconds=1500.9))
+BARE = AttemptMetadata(EndpointId("i-1"), timedelta(milliseconds=1500.9))
 
 
 def head_of(*headers: Header) -> RequestHead:
@@ -26,7 +26,7 @@
     return parse_request_head(b"\r\n".join(block))
 
 
-def sent(marks: AttemptMarks, *headers: Header) -> dict[bytes, bytes]:
+def sent(marks: AttemptMetadata, *headers: Header) -> dict[bytes, bytes]:
     """Return what an endpoint gets; each header must be there once."""
     found = DIALECT.endpoint_headers(head_of(*headers), marks)
     lowered = [header.name.lower() for header in found]
@@ -59,7 +59,7 @@
 
 
 def test_what_this_system_sets() -> None:
-    marks = AttemptMarks(
+    marks = AttemptMetadata(
         EndpointId("i-1"),
         timedelta(microseconds=10),
         AccountId("account-a"),
@@ -99,7 +99,7 @@
 
 
 def test_what_a_caller_says() -> None:
-    marks = DIALECT.read_call(
+    marks = DIALECT.parse_call_metadata(
         head_of(
             Header(names.REQUEST_ID, b"c1"),
             Header(names.DEADLINE_MS, b"2500"),
@@ -110,48 +110,48 @@
         )
     )
     case.assertEqual(("c1", timedelta(seconds=2.5)), (marks.call_id, marks.time_left))
-    case.assertEqual((4, "key-1"), (marks.last_event, marks.key))
-    tokens = (marks.prompt_tokens, marks.most_tokens, marks.expected_tokens)
+    case.assertEqual((4, "key-1"), (marks.last_event_id, marks.key))
+    tokens = (marks.prompt_tokens, marks.max_tokens, marks.expected_tokens)
     case.assertEqual((1460, 80, 33), tokens)
 
 
 def test_a_caller_that_says_nothing() -> None:
-    marks = DIALECT.read_call(head_of())
+    marks = DIALECT.parse_call_metadata(head_of())
     case.assertEqual(("", None, None), (marks.call_id, marks.time_left, marks.key))
     for value in (b"Basic key-1", b"key-1", b""):
         head = head_of(Header(names.AUTHORIZATION, value))
-        case.assertIsNone(DIALECT.read_call(head).key)
-    odd = DIALECT.read_call(head_of(Header(names.TOKEN_USAGE, b"many,-1")))
-    case.assertEqual((0, 0), (odd.prompt_tokens, odd.most_tokens))
+        case.assertIsNone(DIALECT.parse_call_metadata(head).key)
+    odd = DIALECT.parse_call_metadata(head_of(Header(names.TOKEN_USAGE, b"many,-1")))
+    case.assertEqual((0, 0), (odd.prompt_tokens, odd.max_tokens))
 
 
 def test_times_that_are_no_numbers_are_refused() -> None:
     for value in (b"", b"-1", b"1.5", b"soon", b"1" * 16):
         with case.assertRaises(BadRequestError):
-            DIALECT.read_call(head_of(Header(names.DEADLINE_MS, value)))
+            DIALECT.parse_call_metadata(head_of(Header(names.DEADLINE_MS, value)))
 
 
-def answered(status: int, *headers: Header) -> AnswerMarks:
-    return DIALECT.read_answer(AnswerHead(status, b"", headers, True))
+def answered(status: int, *headers: Header) -> ResponseMetadata:
+    return DIALECT.parse_response_metadata(ResponseHead(status, b"", headers, True))
 
 
 def test_what_an_endpoint_says() -> None:
     seal = Header(names.RESPONSE_SEAL.lower(), b"s")
-    case.assertEqual(AnswerMarks(None, True, False, False), answered(200, seal))
+    case.assertEqual(ResponseMetadata(None, True, False, False), answered(200, seal))
     stated = Header(names.NOT_RUN, b"1")
     at_fault = Header(names.AT_SERVER, b"i-9")
     refused = answered(503, stated, at_fault, Header(names.REQUEST_ID, b"c1"))
-    case.assertEqual(AnswerMarks("c1", False, True, False, "i-9"), refused)
+    case.assertEqual(ResponseMetadata("c1", False, True, False, "i-9"), refused)
     case.assertFalse(answered(503).not_run)
     elsewhere = answered(421)
-    case.assertEqual((True, True), (elsewhere.not_run, elsewhere.elsewhere))
+    case.assertEqual((True, True), (elsewhere.not_run, elsewhere.endpoint_moved))
 
 
 def test_own_answers_bear_no_proof() -> None:
-    found = DIALECT.own_answer_headers("c1", timedelta(milliseconds=20))
+    found = DIALECT.local_response_headers("c1", timedelta(milliseconds=20))
     expected = [Header(names.REQUEST_ID, b"c1"), Header(names.RETRY_AFTER, b"0.02")]
     case.assertEqual(expected, found)
-    case.assertEqual([], DIALECT.own_answer_headers("", None))
+    case.assertEqual([], DIALECT.local_response_headers("", None))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/tooling/test_gateway_page.py
+++ b/tests/unit/tooling/test_gateway_page.py
@@ -6,7 +6,14 @@
 
 from mimosafork.directory.endpoint_book import ROW_EXPIRY
 from mimosafork.directory.settings import DirectorySettings
-from mimosafork.gateway import answer_reader, attempt, pool, server, stopping, upstream
+from mimosafork.gateway import (
+    attempt,
+    pool,
+    response_reader,
+    server,
+    stopping,
+    upstream,
+)
 from mimosafork.gateway.policies import (
     allowance,
     fleet_view,
@@ -38,10 +45,12 @@
     return [
         f"For {s(server.BALANCER_LAG)} calls are served as before",
         f"after {WORDS[stopping.LAST_SHARE]} tenths of `bounds.grace`",
-        f"had no end ({answer_reader.MOST_OUTSIDE // 1024} KiB, "
-        f"{attempt.MOST_HELD // 1024} KiB, {attempt.MOST_HELD // 1024} KiB)",
-        f"whole answer of more than {attempt.MOST_HELD // 1024} KiB is passed on",
-        f"acknowledges nothing for {upstream.UNACKNOWLEDGED_MS / 1000:g} s is taken",
+        f"had no end ({response_reader.MAX_NON_BODY_BYTES // 1024} KiB, "
+        f"{attempt.MAX_BUFFERED_BYTES // 1024} KiB, "
+        f"{attempt.MAX_BUFFERED_BYTES // 1024} KiB)",
+        "whole answer of more than "
+        f"{attempt.MAX_BUFFERED_BYTES // 1024} KiB is passed on",
+        f"acknowledges nothing for {upstream.TCP_USER_TIMEOUT_MS / 1000:g} s is taken",
         f"`bounds.retry_window` and {s(allowance.ARRIVES_WITHIN)} have passed",
         f"for {census.KEPT / HOUR:g} hour after it was last heard",
         f"endpoints refused are at most {WORDS[retrying.MOST_SENDS]}",
