--- a/benchmarks/gateway_size.py
+++ b/benchmarks/gateway_size.py
@@ -19,9 +19,9 @@
 
 from benchmarks.process_usage import Usage, usage_of
 from mimosafork.ids import AvailabilityZoneId, EndpointId, RequestId
-from mimosafork.placement.choice import EngineView, PlacementAsk
+from mimosafork.placement.choice import EngineView, PlacementRequest
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker, PrefillPart
 from mimosafork.placement.policy import choose
-from mimosafork.placement.work import LoadBook, Part, Work
 from mimosafork.platform.configuration import decode_configuration
 from mimosafork.routing.engine import EngineFigures
 from mimosafork.standins.prepared.documents import TenantEntry
@@ -39,7 +39,7 @@
 """Between two events, so that each comes by itself as it does from an engine."""
 KIB = 1024
 NOW = timedelta(seconds=100)
-SHORT = PlacementAsk(
+SHORT = PlacementRequest(
     request=RequestId("asked"),
     prompt_tokens=5_000,
     max_answer_tokens=3_000,
@@ -55,9 +55,9 @@
     step_ms=1.31,
     per_sequence_ms=0.0018,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_m=0.162,
-    chunk=2_048,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_m_pairs=0.162,
+    prefill_chunk_tokens=2_048,
 )
 
 
@@ -168,16 +168,16 @@
     ]
 
 
-def book_of(count: int, engines: list[EngineView]) -> LoadBook:
+def book_of(count: int, engines: list[EngineView]) -> LoadTracker:
     """Return a book with so many works that are being answered."""
-    book = LoadBook()
+    book = LoadTracker()
     for number in range(count):
         host = engines[number % len(engines)].endpoint
-        book.note(
-            Work(
+        book.record(
+            InFlightRequest(
                 request=RequestId(f"entry-{number % 330}/{number}"),
                 host=host,
-                parts=(Part(host, 5_000, 35.0),),
+                parts=(PrefillPart(host, 5_000, 35.0),),
                 prompt_tokens=5_000,
                 answer_tokens=1_200,
                 longest_pause=timedelta(milliseconds=250),
@@ -199,9 +199,9 @@
     return min(tries)
 
 
-def place_anew(book: LoadBook, place: Callable[[], object]) -> None:
+def place_anew(book: LoadTracker, place: Callable[[], object]) -> None:
     """Choose a place after the work on each engine has changed."""
-    book.sums.clear()
+    book.summaries.clear()
     place()
 
 
--- a/benchmarks/passes/ablation.py
+++ b/benchmarks/passes/ablation.py
@@ -15,7 +15,7 @@
 
 from mimosafork.ids import EndpointId
 from mimosafork.placement import forecast, plan, policy, race, spread
-from mimosafork.placement.choice import PlacementAsk
+from mimosafork.placement.choice import PlacementRequest
 from mimosafork.placement.forecast import EngineState
 from mimosafork.placement.plan import Plan
 from mimosafork.routing.engine import EngineFigures
@@ -37,13 +37,13 @@
 """Of values that the placement divides by."""
 
 
-def goes_at_once(ask: PlacementAsk, plan: Plan) -> bool:
+def goes_at_once(ask: PlacementRequest, plan: Plan) -> bool:
     """Let no prompt wait its turn."""
     return False
 
 
 def never_too_late(
-    ask: PlacementAsk,
+    ask: PlacementRequest,
     states: list[EngineState],
     first_token_ms: float,
     host: EngineState,
@@ -67,18 +67,18 @@
 
 
 MECHANISMS: dict[str, Mechanism] = {
-    "races": Mechanism(race, "UNHEARD_S", 0.0),
-    "turns": Mechanism(policy, "waits_its_turn", goes_at_once),
+    "races": Mechanism(race, "REPORT_DELAY_S", 0.0),
+    "turns": Mechanism(policy, "should_wait_for_older_prefill", goes_at_once),
     "order": Mechanism(plan, "ORDER_COST", 0.0),
-    "opening": Mechanism(plan, "OPENING_COST", 0.0),
+    "opening": Mechanism(plan, "PAUSE_LOSS_COST_PER_S", 0.0),
     "noise": Mechanism(plan, "NOISE_COST", 0.0),
     "delay": Mechanism(plan, "DELAY_COST_PER_MS", 0.0),
     "helper-cost": Mechanism(plan, "HELPER_COST", 0.0),
     "pause-slack": Mechanism(forecast, "PAUSE_SLACK_MS", NEARLY_ZERO),
     "first-event-slack": Mechanism(forecast, "FIRST_EVENT_SLACK", NEARLY_ZERO),
-    "too-late": Mechanism(policy, "too_late", never_too_late),
-    "spread": Mechanism(spread, "SPREAD_PER_UNHEARD", 0.0),
-    "rejections": Mechanism(spread, "UNHEARD_PER_REJECTION", 0.0),
+    "too-late": Mechanism(policy, "retry_after_if_late", never_too_late),
+    "spread": Mechanism(spread, "SPREAD_PER_UNREPORTED", 0.0),
+    "rejections": Mechanism(spread, "UNREPORTED_PER_REJECTION", 0.0),
     "fullness": Mechanism(entry, "learn_full", learns_nothing),
 }
 
--- a/benchmarks/passes/as_played.py
+++ b/benchmarks/passes/as_played.py
@@ -6,18 +6,18 @@
 from random import Random
 
 from mimosafork.placement.choice import (
-    Choice,
+    Assignment,
     EngineView,
     Helper,
-    Place,
-    PlacementAsk,
+    PlacementDecision,
+    PlacementRequest,
     Reservation,
     Shortage,
-    WaitForRoom,
+    WaitForCapacity,
 )
-from mimosafork.placement.memory import needs_tickets, shares
-from mimosafork.placement.policy import states_of
-from mimosafork.placement.work import LoadBook, Part
+from mimosafork.placement.load_tracker import LoadTracker, PrefillPart
+from mimosafork.placement.memory import needs_reservations, split_reservations
+from mimosafork.placement.policy import engine_states
 from mimosafork.routing.engine import EngineFigures
 
 
@@ -51,17 +51,17 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         views: tuple[EngineView, ...],
-        book: LoadBook,
+        book: LoadTracker,
         figures: EngineFigures,
         now: timedelta,
         random: Random,
-    ) -> Choice:
+    ) -> PlacementDecision:
         """Return the place that the call had; its last one for further attempts."""
         seen = self.places[int(ask.request.split("-")[0])]
         if not seen.hosts:
-            return WaitForRoom(Shortage.SLOTS)
+            return WaitForCapacity(Shortage.SLOTS)
         tried = [n for n in seen.hosts if views[n].endpoint in ask.avoid]
         host = seen.hosts[min(len(tried), len(seen.hosts) - 1)]
         gang = [host, *(number for number in seen.helpers if number != host)]
@@ -69,23 +69,23 @@
 
 
 def placed_on(
-    ask: PlacementAsk,
+    ask: PlacementRequest,
     gang: Sequence[EngineView],
-    book: LoadBook,
+    book: LoadTracker,
     figures: EngineFigures,
     now: timedelta,
-) -> Place:
+) -> Assignment:
     """Return the place with some host and helpers."""
     part = -(-ask.prompt_tokens // len(gang))
-    read_ms = figures.read_ms(part, ask.prompt_tokens)
+    read_ms = figures.prefill_ms(part, ask.prompt_tokens)
     reservations: tuple[Reservation, ...] = ()
-    if needs_tickets(ask, figures):
-        states = states_of(gang, book, figures, now)
-        reservations = shares(ask, states, figures)
-    return Place(
+    if needs_reservations(ask, figures):
+        states = engine_states(gang, book, figures, now)
+        reservations = split_reservations(ask, states, figures)
+    return Assignment(
         host=gang[0].endpoint,
         address=gang[0].address,
         helpers=tuple(Helper(each.endpoint, each.address) for each in gang[1:]),
         reservations=reservations,
-        parts=tuple(Part(each.endpoint, part, read_ms) for each in gang),
+        parts=tuple(PrefillPart(each.endpoint, part, read_ms) for each in gang),
     )
--- a/benchmarks/passes/engine.py
+++ b/benchmarks/passes/engine.py
@@ -226,7 +226,7 @@
     def start_reading(self, job: Job) -> None:
         """Hand an even part of the prompt to the host and to each helper."""
         tokens = job.prompt_tokens + job.written
-        per_token = self.figures.read_ms(tokens, tokens) / tokens
+        per_token = self.figures.prefill_ms(tokens, tokens) / tokens
         part = tokens / (1 + len(job.helpers))
         job.unread = 1 + len(job.helpers)
         own = Read(job, self, part, per_token)
@@ -254,7 +254,7 @@
             self.in_pass = False
             return
         steps = self.figures.stride if writers else 1
-        read_ms = self.read(reads, steps * self.figures.chunk)
+        read_ms = self.read(reads, steps * self.figures.prefill_chunk_tokens)
         step = self.figures.step_ms
         for job in writers:
             step += self.figures.per_sequence_ms
--- a/benchmarks/passes/entry.py
+++ b/benchmarks/passes/entry.py
@@ -7,14 +7,19 @@
 
 from mimosafork.ids import AvailabilityZoneId, EndpointId, InstanceId, RequestId
 from mimosafork.placement.choice import (
-    Choice,
+    Assignment,
     EngineView,
-    NoRoom,
-    Place,
-    PlacementAsk,
+    PlacementDecision,
+    PlacementRequest,
+    RejectRequest,
+)
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker
+from mimosafork.placement.overload import (
+    LoadCeiling,
+    lower_ceiling,
+    slot_release_time,
+    typical_answer_time,
 )
-from mimosafork.placement.fullness import Crowd, crowd_after, stay_of, turn_of
-from mimosafork.placement.work import LoadBook, Work
 from mimosafork.routing.engine import EngineFigures
 
 from ..virtual_time import EventLoop
@@ -53,13 +58,13 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         views: tuple[EngineView, ...],
-        book: LoadBook,
+        book: LoadTracker,
         figures: EngineFigures,
         now: timedelta,
         random: Random,
-    ) -> Choice:
+    ) -> PlacementDecision:
         """Return where the call goes."""
 
 
@@ -122,7 +127,7 @@
     world: World
     policy: Policy
     random: Random
-    book: LoadBook = field(default_factory=LoadBook)
+    book: LoadTracker = field(default_factory=LoadTracker)
     suspects: Suspects = field(default_factory=Suspects)
     news: bool = False
 
@@ -154,9 +159,9 @@
         """Take the peers of other zones to be gone, as nothing is heard of them."""
         for peer in self.world.entries:
             if peer.zone != self.zone:
-                self.book.forget_peer(peer.name)
+                self.book.remove_peer(peer.name)
 
-    def hear(self, name: InstanceId, works: tuple[Work, ...]) -> None:
+    def hear(self, name: InstanceId, works: tuple[InFlightRequest, ...]) -> None:
         """Take in a peer's snapshot."""
         self.book.replace_peer(name, works, self.world.loop.monotonic())
 
@@ -185,7 +190,7 @@
     over: bool = False
     waiting_since_s: float | None = None
     avoid: frozenset[EndpointId] = frozenset()
-    crowd: Crowd | None = None
+    crowd: LoadCeiling | None = None
 
     @property
     def request(self) -> RequestId:
@@ -197,11 +202,11 @@
         """What becomes of the call."""
         return self.entry.world.outcomes[self.call.number]
 
-    def ask(self) -> PlacementAsk:
+    def ask(self) -> PlacementRequest:
         """Return what placement is asked now."""
         kind = self.call.kind
         gone_ms = (self.entry.world.loop.now_s - self.call.at_s) * 1e3
-        return PlacementAsk(
+        return PlacementRequest(
             request=self.request,
             prompt_tokens=self.call.prompt_tokens,
             max_answer_tokens=self.call.answer_tokens,
@@ -211,7 +216,7 @@
             longest_pause=timedelta(milliseconds=kind.pause_ms),
             avoid=self.avoid,
             zone=self.entry.zone,
-            crowded=self.crowded(),
+            running_ceiling=self.crowded(),
         )
 
     def crowded(self) -> int | None:
@@ -236,15 +241,15 @@
             now,
             self.entry.random,
         )
-        if isinstance(choice, Place):
+        if isinstance(choice, Assignment):
             self.waiting_since_s = None
-            self.entry.book.note(choice.work(ask, now))
+            self.entry.book.record(choice.to_in_flight_request(ask, now))
             self.entry.changed()
             self.outcome.placed(choice, world.loop.now_s)
             delay_s = world.hop_s + (ORDER_S if choice.reservations else 0.0)
             world.loop.after(delay_s, self.send, choice)
-        elif isinstance(choice, NoRoom):
-            self.refuse(choice.come_back.total_seconds())
+        elif isinstance(choice, RejectRequest):
+            self.refuse(choice.retry_after.total_seconds())
         else:
             self.wait()
 
@@ -259,7 +264,7 @@
         else:
             self.entry.world.loop.after(ASK_AGAIN_S, self.place)
 
-    def send(self, place: Place) -> None:
+    def send(self, place: Assignment) -> None:
         """Hand the call to its host."""
         if self.over:
             return
@@ -341,7 +346,7 @@
 
     def leave(self) -> None:
         """Give back what the attempt holds."""
-        self.entry.book.drop(self.request)
+        self.entry.book.remove(self.request)
         self.entry.changed()
         for ticket in self.tickets:
             ticket.engine.release(ticket)
@@ -354,7 +359,9 @@
 
     def learn(self) -> None:
         """Enter the first token into the book."""
-        self.entry.book.first_token(self.request, self.entry.world.loop.monotonic())
+        self.entry.book.record_first_token(
+            self.request, self.entry.world.loop.monotonic()
+        )
         self.entry.changed()
 
     def event(self) -> None:
@@ -412,5 +419,9 @@
     """Correct what is believed of an engine that turned an attempt away."""
     entry = attempt.entry
     figures, now = entry.world.figures, entry.world.loop.monotonic()
-    running = entry.book.turned_away(host, figures.slots, stay_of(figures), now)
-    attempt.crowd = crowd_after(attempt.crowd, running, now + turn_of(figures))
+    running = entry.book.record_rejection(
+        host, figures.slots, typical_answer_time(figures), now
+    )
+    attempt.crowd = lower_ceiling(
+        attempt.crowd, running, now + slot_release_time(figures)
+    )
--- a/benchmarks/passes/faults.py
+++ b/benchmarks/passes/faults.py
@@ -87,7 +87,7 @@
                 pace = fault.strength
         if usable and pace == 1.0:
             return view
-        return replace(view, usable=usable, pace=pace)
+        return replace(view, usable=usable, slowdown=pace)
 
 
 @dataclass(slots=True)
--- a/benchmarks/passes/forecasts.py
+++ b/benchmarks/passes/forecasts.py
@@ -12,8 +12,8 @@
 from mimosafork.ids import AvailabilityZoneId, EndpointId, RequestId
 from mimosafork.placement.choice import EngineView
 from mimosafork.placement.forecast import EngineState
-from mimosafork.placement.policy import states_of
-from mimosafork.placement.work import LoadBook, Part, Work
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker, PrefillPart
+from mimosafork.placement.policy import engine_states
 from mimosafork.routing.engine import EngineFigures
 
 from .played import SeenCall, engines_of
@@ -46,7 +46,7 @@
     at_s = call.at_s + call.waited_ms / 1e3
     book = book_at(at_s, call, calls, figures)
     views = views_of(engines_of(calls), figures)
-    states = states_of(views, book, figures, timedelta(seconds=at_s))
+    states = engine_states(views, book, figures, timedelta(seconds=at_s))
     by_name = {str(state.view.endpoint): state for state in states}
     gang = [by_name[name] for name in call.engines]
     return expected(gang, call, figures)
@@ -57,38 +57,38 @@
 ) -> Forecast:
     """Return the forecast for a host and its helpers."""
     part = -(-call.prompt_tokens // len(gang))
-    read_ms = figures.read_ms(part, call.prompt_tokens)
-    first_ms = max(state.begin_ms + read_ms * state.pace for state in gang)
-    return Forecast(first_ms, gang[0].busy_ms + read_ms * gang[0].pace)
+    read_ms = figures.prefill_ms(part, call.prompt_tokens)
+    first_ms = max(state.prefill_start_ms + read_ms * state.slowdown for state in gang)
+    return Forecast(first_ms, gang[0].busy_ms + read_ms * gang[0].slowdown)
 
 
 def book_at(
     at_s: float, call: SeenCall, calls: Iterable[SeenCall], figures: EngineFigures
-) -> LoadBook:
+) -> LoadTracker:
     """Return the book of all other work that is on the engines at an instant."""
-    book = LoadBook()
+    book = LoadTracker()
     for number, other in enumerate(calls):
         if other is call or other.waited_ms is None or not other.endpoints:
             continue
         placed_s = other.at_s + other.waited_ms / 1e3
         if placed_s <= at_s < other.ended_s:
-            book.note(work_of(other, f"{number}", placed_s, at_s, figures))
+            book.record(work_of(other, f"{number}", placed_s, at_s, figures))
     return book
 
 
 def work_of(
     call: SeenCall, name: str, placed_s: float, at_s: float, figures: EngineFigures
-) -> Work:
+) -> InFlightRequest:
     """Return a call as the work that it is at an instant."""
     part = -(-call.prompt_tokens // len(call.engines))
-    read_ms = figures.read_ms(part, call.prompt_tokens)
+    read_ms = figures.prefill_ms(part, call.prompt_tokens)
     first_at = None
     if call.first_ms is not None and call.at_s + call.first_ms / 1e3 <= at_s:
         first_at = timedelta(seconds=call.at_s + call.first_ms / 1e3)
-    return Work(
+    return InFlightRequest(
         request=RequestId(name),
         host=EndpointId(call.endpoints[-1]),
-        parts=tuple(Part(EndpointId(e), part, read_ms) for e in call.engines),
+        parts=tuple(PrefillPart(EndpointId(e), part, read_ms) for e in call.engines),
         prompt_tokens=call.prompt_tokens,
         started_at=timedelta(seconds=placed_s),
         first_token_at=first_at,
--- a/benchmarks/passes/outcome.py
+++ b/benchmarks/passes/outcome.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from mimosafork.placement.choice import Place
+from mimosafork.placement.choice import Assignment
 
 from .traffic import Call
 
@@ -49,7 +49,7 @@
     forecast_ms: float | None = None
     engines: int = 0
 
-    def placed(self, place: Place, at_s: float) -> None:
+    def placed(self, place: Assignment, at_s: float) -> None:
         """Note what a placement foretells."""
         self.forecast_ms = (at_s - self.call.at_s) * 1e3 + (
             place.predicted_first_token.total_seconds() * 1e3
--- a/benchmarks/passes/policies.py
+++ b/benchmarks/passes/policies.py
@@ -6,15 +6,15 @@
 
 from mimosafork.ids import RequestId
 from mimosafork.placement.choice import (
-    Choice,
+    Assignment,
     EngineView,
-    Place,
-    PlacementAsk,
+    PlacementDecision,
+    PlacementRequest,
     Shortage,
-    WaitForRoom,
+    WaitForCapacity,
 )
+from mimosafork.placement.load_tracker import LoadTracker, PrefillPart
 from mimosafork.placement.policy import choose
-from mimosafork.placement.work import LoadBook, Part
 from mimosafork.routing.engine import EngineFigures
 
 from .entry import ASK_AGAIN_S, Policy
@@ -29,11 +29,13 @@
     return usable or views
 
 
-def alone(view: EngineView, ask: PlacementAsk, figures: EngineFigures) -> Place:
+def alone(
+    view: EngineView, ask: PlacementRequest, figures: EngineFigures
+) -> Assignment:
     """Return a place without helpers."""
     tokens = ask.prompt_tokens
-    part = Part(view.endpoint, tokens, figures.read_ms(tokens, tokens))
-    return Place(view.endpoint, view.address, parts=(part,))
+    part = PrefillPart(view.endpoint, tokens, figures.prefill_ms(tokens, tokens))
+    return Assignment(view.endpoint, view.address, parts=(part,))
 
 
 @dataclass(slots=True)
@@ -44,13 +46,13 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         views: tuple[EngineView, ...],
-        book: LoadBook,
+        book: LoadTracker,
         figures: EngineFigures,
         now: timedelta,
         random: Random,
-    ) -> Choice:
+    ) -> PlacementDecision:
         """Return the next engine."""
         self.turn += 1
         able = sound(views)
@@ -62,13 +64,13 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         views: tuple[EngineView, ...],
-        book: LoadBook,
+        book: LoadTracker,
         figures: EngineFigures,
         now: timedelta,
         random: Random,
-    ) -> Choice:
+    ) -> PlacementDecision:
         """Return the engine with the fewest, by chance on ties."""
         best = min(
             sound(views),
@@ -86,24 +88,24 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         views: tuple[EngineView, ...],
-        book: LoadBook,
+        book: LoadTracker,
         figures: EngineFigures,
         now: timedelta,
         random: Random,
-    ) -> Choice:
+    ) -> PlacementDecision:
         """Return the engine with the least promised reading, then the fewest."""
         needed = ask.prompt_tokens + ask.answer_tokens
         ranked = []
         for view in sound(views):
             load = book.load(view.endpoint, now)
-            free = figures.memory_tokens - load.promised_tokens
+            free = figures.memory_tokens - load.committed_tokens
             if load.running < view.slots and free >= needed:
-                rank = (load.reading_ms, load.running, random.random())
+                rank = (load.prefill_backlog_ms, load.running, random.random())
                 ranked.append((rank, view))
         if not ranked:
-            return WaitForRoom(Shortage.SLOTS)
+            return WaitForCapacity(Shortage.SLOTS)
         return alone(min(ranked, key=lambda each: each[0])[1], ask, figures)
 
 
@@ -122,13 +124,13 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         views: tuple[EngineView, ...],
-        book: LoadBook,
+        book: LoadTracker,
         figures: EngineFigures,
         now: timedelta,
         random: Random,
-    ) -> Choice:
+    ) -> PlacementDecision:
         """Return the least busy engine with room, if it is the call's turn."""
         self.queue[ask.request] = now
         self.queue = {r: at for r, at in self.queue.items() if now - at < LEFT_AFTER}
@@ -138,10 +140,10 @@
             (load.running, random.random(), view)
             for load, view in loads
             if load.running < view.slots
-            and figures.memory_tokens - load.promised_tokens >= needed
+            and figures.memory_tokens - load.committed_tokens >= needed
         ]
         if next(iter(self.queue)) != ask.request or not fitting:
-            return WaitForRoom(Shortage.SLOTS)
+            return WaitForCapacity(Shortage.SLOTS)
         del self.queue[ask.request]
         return alone(min(fitting, key=lambda each: each[:2])[2], ask, figures)
 
@@ -151,13 +153,13 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         views: tuple[EngineView, ...],
-        book: LoadBook,
+        book: LoadTracker,
         figures: EngineFigures,
         now: timedelta,
         random: Random,
-    ) -> Choice:
+    ) -> PlacementDecision:
         """Return the product's choice."""
         return choose(ask, views, book, figures, now, random)
 
--- a/src/mimosafork/directory/endpoint_book.py
+++ b/src/mimosafork/directory/endpoint_book.py
@@ -122,10 +122,10 @@
         # Guard: a late row of a former life says that it leaves, or is ready at an
         # address that is another's by now. It must not act on the present life.
         born_ms = self.latest_birth(endpoint)
-        if listed.precedes(born_ms):
+        if listed.started_before(born_ms):
             return None
         self.note_readable(row)
-        if listed.follows(born_ms):
+        if listed.started_after(born_ms):
             return self.start_incarnation(row, listed, origin)
         if update is not None and update.sure:
             self.note_again(row, listed)
@@ -192,7 +192,7 @@
         """Return when the latest life began that was heard of under an id."""
         known, update = self.entries.get(endpoint), self.gone.get(endpoint)
         if known is not None:
-            return known.listed.born_ms
+            return known.listed.started_ms
         return None if update is None else update.born_ms
 
     def start_incarnation(
@@ -361,7 +361,7 @@
         """
         del self.entries[known.listed.endpoint]
         sure = sure or known.state is EndpointState.DRAINING
-        self.remember(row, sure=sure, born_ms=known.listed.born_ms)
+        self.remember(row, sure=sure, born_ms=known.listed.started_ms)
         gone = replace(known, state=EndpointState.GONE, missing_version=None)
         return EndpointChanged(gone, origin, known)
 
--- a/src/mimosafork/endpoints/connector.py
+++ b/src/mimosafork/endpoints/connector.py
@@ -47,7 +47,7 @@
     cancel_threads: int = 2
 
 
-class Lane:
+class WorkerPool:
     """Threads that take jobs from one queue."""
 
     def __init__(self, name: str, threads: int) -> None:
@@ -100,14 +100,14 @@
     http: HttpClient
     limits: ConnectorLimits = field(default_factory=ConnectorLimits)
     deliver: Callable[[RelayMessage], None] = field(init=False)
-    short: Lane = field(init=False)
-    long: Lane = field(init=False)
-    cancels: Lane = field(init=False)
+    short: WorkerPool = field(init=False)
+    long: WorkerPool = field(init=False)
+    cancels: WorkerPool = field(init=False)
 
     def __post_init__(self) -> None:
-        self.short = Lane("connect-short", self.limits.short_threads)
-        self.long = Lane("connect-long", self.limits.long_threads)
-        self.cancels = Lane("cancel", self.limits.cancel_threads)
+        self.short = WorkerPool("connect-short", self.limits.short_threads)
+        self.long = WorkerPool("connect-long", self.limits.long_threads)
+        self.cancels = WorkerPool("cancel", self.limits.cancel_threads)
 
     def start(self, deliver: Callable[[RelayMessage], None]) -> None:
         """Start the lanes.
--- a/src/mimosafork/endpoints/reservations.py
+++ b/src/mimosafork/endpoints/reservations.py
@@ -29,7 +29,7 @@
 from ..network.http import Answer, HttpClient
 from ..runtime.kernel_task import KernelTask
 from .calls import EndpointCall, ModelCall
-from .connector import Lane
+from .connector import WorkerPool
 from .segments import prompt_part
 from .wire import STREAMS_PATH, OwnerMember, StreamMember, milliseconds, stream_path
 
@@ -83,14 +83,14 @@
         identity: Identity,
         http: HttpClient,
         clock: Clock,
-        tell_kernel: Callable[[Message], None],
+        send_to_kernel: Callable[[Message], None],
     ) -> None:
         self.identity = identity
         self.http = http
         self.clock = clock
-        self.tell_kernel = tell_kernel
-        self.steps = Lane("gang-step", STEP_THREADS)
-        self.prefills = Lane("gang-prefill", PREFILL_THREADS)
+        self.send_to_kernel = send_to_kernel
+        self.steps = WorkerPool("gang-step", STEP_THREADS)
+        self.prefills = WorkerPool("gang-prefill", PREFILL_THREADS)
 
     def register(self, kernel_task: KernelTask) -> None:
         """Register for all steps but the prefill, which comes with its prompt."""
@@ -108,18 +108,18 @@
         self.prefills.stop(timedelta(0))
 
     def _queue(self, effect: Effect) -> None:
-        self.steps.put(lambda: self.carry_out(effect))
+        self.steps.put(lambda: self.execute(effect))
 
     def prefill(self, effect: PrefillSegment, call: EndpointCall) -> None:
         """Queue the prefill of a part of a call's prompt."""
         self.prefills.put(lambda: self._prefill(effect, call))
 
     @singledispatchmethod
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Make the call and tell the kernel what came of it."""
         raise NotImplementedError(type(effect).__name__)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: ReserveMemory) -> None:
         body = {
             "id": effect.reservation,
@@ -131,9 +131,9 @@
         done: Message = MemoryReserved(effect.request_id, effect.reservation)
         if failure is not None:
             done = ReservationFailed(effect.request_id, effect.reservation, failure)
-        self.tell_kernel(done)
+        self.send_to_kernel(done)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: ImportKv) -> None:
         body = {
             "id": effect.import_id,
@@ -146,9 +146,9 @@
         done: Message = KvImported(effect.request_id, effect.import_id)
         if failure is not None:
             done = ImportFailed(effect.request_id, effect.import_id, failure)
-        self.tell_kernel(done)
+        self.send_to_kernel(done)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: FreePart) -> None:
         path = f"/v1/holdings/{effect.kind.value}/{quote(effect.holding_id, safe='')}"
         for _ in range(2):
@@ -177,9 +177,9 @@
         return _refusal(answer)
 
     def _prefill(self, effect: PrefillSegment, call: EndpointCall) -> None:
-        self.tell_kernel(self.prefilled(effect, call))
+        self.send_to_kernel(self.run_prefill(effect, call))
 
-    def prefilled(self, effect: PrefillSegment, call: EndpointCall) -> Message:
+    def run_prefill(self, effect: PrefillSegment, call: EndpointCall) -> Message:
         """Prefill a part and return what came of it; blocks until its end."""
         time_left = effect.deadline - self.clock.monotonic()
         if not isinstance(call, ModelCall) or time_left <= timedelta(0):
@@ -193,7 +193,7 @@
         except NeverSentError:
             return _failed(effect, PartFailure.UNREACHED, Exposure.NEVER_SENT)
         except NetworkError:
-            return self.attached(effect)
+            return self.reattach(effect)
         if answer.status in REFUSALS:
             return _failed(effect, _refusal(answer), Exposure.REFUSED)
         return _ended(effect, answer)
@@ -218,7 +218,7 @@
             reservation=effect.reservation,
         )
 
-    def attached(self, effect: PrefillSegment) -> Message:
+    def reattach(self, effect: PrefillSegment) -> Message:
         """Wait for the end of a prefill whose connection broke."""
         path = f"{stream_path(effect.stream_id)}?offset=0"
         for _ in range(ATTACHMENTS):
--- a/src/mimosafork/gateway/intake.py
+++ b/src/mimosafork/gateway/intake.py
@@ -10,7 +10,7 @@
 
 from ..ids import AccountId, Digest, ModelId, RequestId, ServiceId
 from ..kernel.messages.requests import CallTerms, Repeatability, Request, RequestKind
-from ..routing.table import Account, CallKind, Route, RoutingTable, Split
+from ..routing.table import Account, CallKind, Route, RoutingTable, TrafficSplit
 from .dialect import CallMetadata
 from .problems import DEFAULT_RETRY_AFTER
 from .request_reader import RequestMessage
@@ -129,7 +129,7 @@
     return UNKNOWN_KEY if account is None else Match(table, route, account)
 
 
-def choose_service(splits: tuple[Split, ...], random: Random) -> ServiceId:
+def choose_service(splits: tuple[TrafficSplit, ...], random: Random) -> ServiceId:
     """Draw a service by the weights of a route."""
     if len(splits) == 1:
         return splits[0].service
--- a/src/mimosafork/gateway/neighbours.py
+++ b/src/mimosafork/gateway/neighbours.py
@@ -5,7 +5,7 @@
 from ..ids import EndpointId, InstanceId
 from ..placement.choice import EngineView
 from ..placement.subset import (
-    LEAST_ENGINES,
+    MIN_ENGINES_FOR_SUBSETS,
     InstanceOrder,
     own_engines,
     subset_rank,
@@ -36,7 +36,7 @@
 
     def narrowed(self, views: Sequence[EngineView]) -> Sequence[EngineView]:
         """Return those of a service's engines that this instance uses."""
-        if self.order is None or len(views) < LEAST_ENGINES:
+        if self.order is None or len(views) < MIN_ENGINES_FOR_SUBSETS:
             return views
         return own_engines(self.order, self.own, views)
 
@@ -50,8 +50,8 @@
             if known is None:
                 continue
             listed = self.fleet.of_service(known.listed.service)
-            if len(listed) < LEAST_ENGINES:
-                return frozenset(self.order.places) - {self.own}
+            if len(listed) < MIN_ENGINES_FOR_SUBSETS:
+                return frozenset(self.order.positions) - {self.own}
             ranks = sorted(subset_rank(each.listed.endpoint) for each in listed)
             place = ranks.index(subset_rank(engine))
             users.update(self.order.users(place, len(ranks)))
--- a/src/mimosafork/gateway/policies/fleet_view.py
+++ b/src/mimosafork/gateway/policies/fleet_view.py
@@ -188,11 +188,11 @@
         # One that has started again under its id is another life: neither that word
         # nor what was learned of the former one holds for it.
         if listed.endpoint in self.left:
-            if not listed.follows(self.left[listed.endpoint]):
+            if not listed.started_after(self.left[listed.endpoint]):
                 return
             del self.left[listed.endpoint]
         known = self.endpoints.get(listed.endpoint)
-        if known is None or listed.follows(known.listed.born_ms):
+        if known is None or listed.started_after(known.listed.started_ms):
             known = EndpointBelief(listed, zones=self.zones)
             self.endpoints[listed.endpoint] = known
         known.listed = listed
@@ -205,7 +205,7 @@
         if message.final:
             before = self.left.get(message.endpoint)
             self.left[message.endpoint] = (
-                before if known is None else known.listed.born_ms
+                before if known is None else known.listed.started_ms
             )
         if known is not None:
             known.leaving = True
--- a/src/mimosafork/gateway/policies/place_words.py
+++ b/src/mimosafork/gateway/policies/place_words.py
@@ -4,7 +4,7 @@
 from ...kernel.messages.dispatch import Helper
 from ...kernel.messages.requests import Request
 from ...kernel.plugins import PlaceOn
-from ...placement.choice import Place
+from ...placement.choice import Assignment
 from .patience import patience_of
 
 FIRST_LIFE = Incarnation(1)
@@ -13,7 +13,9 @@
 USUAL_PRIORITY = 5
 
 
-def place_on(place: Place, request: Request, helpers: tuple[Helper, ...]) -> PlaceOn:
+def place_on(
+    place: Assignment, request: Request, helpers: tuple[Helper, ...]
+) -> PlaceOn:
     """Return where a request is dispatched to, and with whose help."""
     terms = request.terms
     return PlaceOn(
@@ -26,6 +28,6 @@
     )
 
 
-def readers(place: Place) -> tuple[Helper, ...]:
+def readers(place: Assignment) -> tuple[Helper, ...]:
     """Return the helpers of a prompt whose memory its host holds."""
     return tuple(Helper(each.endpoint, each.address) for each in place.helpers)
--- a/src/mimosafork/gateway/policies/placing.py
+++ b/src/mimosafork/gateway/policies/placing.py
@@ -33,17 +33,17 @@
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ...placement.choice import (
+    Assignment,
     EngineView,
-    NoRoom,
-    Place,
-    PlacementAsk,
+    PlacementRequest,
+    RejectRequest,
     Shortage,
-    WaitForRoom,
+    WaitForCapacity,
 )
-from ...placement.fullness import stay_of, turn_of
-from ...placement.memory import needs_tickets
+from ...placement.load_tracker import InFlightRequest, LoadTracker
+from ...placement.memory import needs_reservations
+from ...placement.overload import slot_release_time, typical_answer_time
 from ...placement.policy import choose
-from ...placement.work import LoadBook, Work
 from ...routing.engine import EngineFigures
 from .fleet_view import FleetView
 from .place_words import place_on, readers
@@ -84,7 +84,7 @@
         self.memory = MemoryKeeper()
         self.quarantine = CrashQuarantine()
         self.retry = BudgetedRetry()
-        self.book = LoadBook()
+        self.book = LoadTracker()
         self.narrowed: Callable[[Sequence[EngineView]], Sequence[EngineView]] = all_of
         self.waiting_since: dict[RequestId, timedelta] = {}
         self.first_token_at: dict[RequestId, timedelta] = {}
@@ -117,12 +117,12 @@
         engines = views if figures is None else self.narrowed(views)
         ask = self._ask(record, figures, context)
         choice = choose(ask, engines, self.book, figures, context.now, context.random)
-        if isinstance(choice, Place):
+        if isinstance(choice, Assignment):
             if not self.retry.still_paid(record.request, context):
                 return Refuse(overloaded(BUDGET_USED, COME_BACK))
             return self._take(choice, ask, record, context)
-        if isinstance(choice, NoRoom):
-            return Refuse(overloaded(choice.reason.value, choice.come_back))
+        if isinstance(choice, RejectRequest):
+            return Refuse(overloaded(choice.reason.value, choice.retry_after))
         return self._wait(record, choice, context.now)
 
     def places_again(self, record: RequestRecord, context: Context) -> bool:
@@ -143,20 +143,24 @@
         engines = views if figures is None else self.narrowed(views)
         ask = self._ask(record, figures, context)
         avoid = ask.avoid | {record.current.endpoint}
-        ask = replace(ask, avoid=avoid, repeated=True)
+        ask = replace(ask, avoid=avoid, may_have_run=True)
         choice = choose(ask, engines, self.book, figures, context.now, context.random)
         return (
-            isinstance(choice, Place)
+            isinstance(choice, Assignment)
             and choice.host not in avoid
             and not choice.reservations
         )
 
     def _take(
-        self, place: Place, ask: PlacementAsk, record: RequestRecord, context: Context
+        self,
+        place: Assignment,
+        ask: PlacementRequest,
+        record: RequestRecord,
+        context: Context,
     ) -> Placement:
         """Enter a call's work at its place, and tell peers of it."""
-        work = place.work(ask, context.now)
-        self.book.note(work)
+        work = place.to_in_flight_request(ask, context.now)
+        self.book.record(work)
         self.placed_as[work.request] = AttemptNumber(len(record.attempts) + 1)
         self.waiting_since.pop(record.request_id, None)
         self._note_forecast(place, record.request_id, context.now)
@@ -166,7 +170,7 @@
         return place_on(place, record.request, readers(place))
 
     def _note_forecast(
-        self, place: Place, request_id: RequestId, now: timedelta
+        self, place: Assignment, request_id: RequestId, now: timedelta
     ) -> None:
         """Note when the first token is expected, for the log; plain calls have none."""
         self.first_token_at.pop(request_id, None)
@@ -175,16 +179,16 @@
 
     def _ask(
         self, record: RequestRecord, figures: EngineFigures | None, context: Context
-    ) -> PlacementAsk:
+    ) -> PlacementRequest:
         """Return what placement is asked, without engines known to lack memory."""
         crowded = self.turned_away.crowded(record.request_id, context.now)
-        ask = replace(ask_of(record, figures, context), crowded=crowded)
-        if figures is None or not needs_tickets(ask, figures):
+        ask = replace(ask_of(record, figures, context), running_ceiling=crowded)
+        if figures is None or not needs_reservations(ask, figures):
             return ask
         return replace(ask, avoid=ask.avoid | self.memory.short_engines(context.now))
 
     def _wait(
-        self, record: RequestRecord, choice: WaitForRoom, now: timedelta
+        self, record: RequestRecord, choice: WaitForCapacity, now: timedelta
     ) -> Placement:
         """Let a call wait, unless it has waited for long.
 
@@ -214,7 +218,7 @@
     def _(self, message: FirstToken, context: Context) -> None:
         if self.placed_as.get(message.request_id) == message.attempt:
             self._forget_hedged(message.request_id)
-        self.book.first_token(message.request_id, context.now)
+        self.book.record_first_token(message.request_id, context.now)
         work = self.book.own.get(message.request_id)
         if work is not None and reads_long(work):
             context.emit(WorkBegun(work))
@@ -242,7 +246,7 @@
         self.waiting_since.pop(message.request_id, None)
         if self.hedged.pop(message.request_id, None) is None:
             return
-        self.book.drop(message.request_id)
+        self.book.remove(message.request_id)
         work = self.book.rename(beside(message.request_id), message.request_id)
         self.placed_as[message.request_id] = message.attempt
         if work is not None:
@@ -270,7 +274,7 @@
 
         It takes a slot of its engine until it is ended, under a name of its own.
         """
-        self.book.drop(beside(request_id))
+        self.book.remove(beside(request_id))
         return self.hedged.pop(request_id, None) is not None
 
     @handle.register
@@ -279,15 +283,17 @@
 
     @handle.register
     def _(self, message: PeerWorkChanged, context: Context) -> None:
-        self.book.change_peer(
+        self.book.update_peer(
             message.instance, message.works, message.ended, context.now
         )
 
     @handle.register
     def _(self, message: PeerSilent, context: Context) -> None:
-        self.book.forget_peer(message.instance)
+        self.book.remove_peer(message.instance)
 
-    def _note_full(self, work: Work, failure: AttemptFailed, context: Context) -> None:
+    def _note_full(
+        self, work: InFlightRequest, failure: AttemptFailed, context: Context
+    ) -> None:
         """Learn from an engine's word that it has no room, for all calls.
 
         One whose memory is reserved may have lost it, which says nothing of slots.
@@ -298,13 +304,13 @@
         figures = self.figures_of(known.listed.service)
         if figures is None:
             return
-        slots, stay = known.listed.slots, stay_of(figures)
-        running = self.book.turned_away(work.host, slots, stay, context.now)
-        until = context.now + turn_of(figures)
+        slots, stay = known.listed.slots, typical_answer_time(figures)
+        running = self.book.record_rejection(work.host, slots, stay, context.now)
+        until = context.now + slot_release_time(figures)
         self.turned_away.note(work.request, running, until)
 
     def _end(self, request_id: RequestId, context: Context) -> None:
-        self.book.drop(request_id)
+        self.book.remove(request_id)
         if request_id not in self.hedged:
             context.emit(WorkEnded(request_id))
 
@@ -314,26 +320,26 @@
     return RequestId(f"{request_id} hedged")
 
 
-def reads_long(work: Work) -> bool:
+def reads_long(work: InFlightRequest) -> bool:
     """Return whether peers need to hear when a work's prompt has been read.
 
     A short prompt's reading is over for them when it was to be, and as a writer it
     makes a pass longer by less than a millisecond. Not told, its words are two in
     place of three.
     """
-    return any(part.read_ms >= TOLD_READING_MS for part in work.parts)
+    return any(part.prefill_ms >= TOLD_READING_MS for part in work.parts)
 
 
 def ask_of(
     record: RequestRecord, figures: EngineFigures | None, context: Context
-) -> PlacementAsk:
+) -> PlacementRequest:
     """Return what placement is asked for a call."""
     request = record.request
     terms = request.terms
     objective = timedelta(0)
     if terms is not None:
         objective = terms.objective - (context.now - record.submitted_at)
-    return PlacementAsk(
+    return PlacementRequest(
         request=request.request_id,
         prompt_tokens=request.prompt_tokens,
         max_answer_tokens=request.max_tokens,
@@ -344,14 +350,14 @@
         priority=5 if terms is None else terms.priority,
         avoid=frozenset(record.avoid),
         zone=context.state.identity.availability_zone,
-        repeated=any(a.exposure is Exposure.POSSIBLE for a in record.attempts),
+        may_have_run=any(a.exposure is Exposure.POSSIBLE for a in record.attempts),
     )
 
 
 def expected_answer(request: Request, figures: EngineFigures) -> int:
     """Return the tokens that an answer is expected to have."""
     hint = request.terms.expected_tokens if request.terms is not None else 0
-    expected = hint or figures.likely_answer
+    expected = hint or figures.expected_answer_tokens
     return min(expected, request.max_tokens) if request.max_tokens else expected
 
 
--- a/src/mimosafork/gateway/policies/reserving.py
+++ b/src/mimosafork/gateway/policies/reserving.py
@@ -39,7 +39,7 @@
 )
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
-from ...placement.choice import Place
+from ...placement.choice import Assignment
 from .fleet_view import FleetView
 from .place_words import place_on
 from .retrying import BUDGET_USED, BudgetedRetry
@@ -143,7 +143,9 @@
                     tokens[state] += ticket.tokens
         return tokens
 
-    def begin(self, place: Place, record: RequestRecord, context: Context) -> Placement:
+    def begin(
+        self, place: Assignment, record: RequestRecord, context: Context
+    ) -> Placement:
         """Reserve what a place needs; `Placed` or `PlacementFailed` follows."""
         request_id = record.request_id
         self._dissolve(request_id, context)
--- a/src/mimosafork/gateway/policies/silence.py
+++ b/src/mimosafork/gateway/policies/silence.py
@@ -17,8 +17,8 @@
 from ...kernel.plugins import Plugin, PluginFinder
 from ...kernel.records import RequestRecord, RequestState
 from ...kernel.registry import register
-from ...placement.reading import explained_for
-from ...placement.work import LoadBook, Work, engines_of
+from ...placement.load_tracker import InFlightRequest, LoadTracker, engines_of
+from ...placement.prefill_time import prefill_time_left
 from .fleet_view import EndpointBelief, FleetView
 from .patience import longest_silence
 from .placing import WorkPlacer
@@ -61,9 +61,9 @@
         self.placer = find(WorkPlacer)
 
     @property
-    def book(self) -> LoadBook:
+    def book(self) -> LoadTracker:
         """The running work of all instances."""
-        return self.placer.book if self.placer is not None else LoadBook()
+        return self.placer.book if self.placer is not None else LoadTracker()
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -92,7 +92,7 @@
         if not self.fleet.zone_heard(work.host, context.now - message.silence / 2):
             return False
         explained = max(
-            explained_for(engine, self.book.works_on(engine), context.now)
+            prefill_time_left(engine, self.book.requests_on(engine), context.now)
             for engine in awaited(work)
         )
         left = stays_for(record, message, context.now)
@@ -134,13 +134,13 @@
         if not belief.usable(now) or belief.suspect(now):
             return False
         endpoint = belief.listed.endpoint
-        if self.book.believed_running(endpoint, now) >= belief.listed.slots:
+        if self.book.estimated_running(endpoint, now) >= belief.listed.slots:
             return False
         load = self.book.load(endpoint, now)
-        return load.reading_ms <= MOST_READING_MS
+        return load.prefill_backlog_ms <= MOST_READING_MS
 
 
-def awaited(work: Work) -> set[EndpointId]:
+def awaited(work: InFlightRequest) -> set[EndpointId]:
     """Return the engines whose reading a call's next event waits for."""
     return engines_of(work) if work.first_token_at is None else {work.host}
 
--- a/src/mimosafork/gateway/policies/tickets.py
+++ b/src/mimosafork/gateway/policies/tickets.py
@@ -8,7 +8,7 @@
 
 from ...ids import AttemptNumber, EndpointId, RequestId, ReservationId
 from ...kernel.messages.dispatch import Helper
-from ...placement.choice import Place, Reservation
+from ...placement.choice import Assignment, Reservation
 
 
 class Step(Enum):
@@ -101,7 +101,7 @@
 
     request_id: RequestId
     attempt: AttemptNumber
-    place: Place
+    place: Assignment
     begun_at: timedelta
     tickets: list[Ticket] = msgspec.field(default_factory=list)
     step: Step = Step.RESERVING
--- a/src/mimosafork/gateway/policies/turned_away.py
+++ b/src/mimosafork/gateway/policies/turned_away.py
@@ -4,7 +4,7 @@
 
 from ...ids import RequestId
 from ...kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
-from ...placement.fullness import Crowd, crowd_after
+from ...placement.overload import LoadCeiling, lower_ceiling
 from ...routing.listing import ListedEndpoint
 
 FULL_STATUS = 503
@@ -27,12 +27,12 @@
     """What each open call knows of crowded engines."""
 
     def __init__(self) -> None:
-        self.crowds: dict[RequestId, Crowd] = {}
+        self.crowds: dict[RequestId, LoadCeiling] = {}
 
     def note(self, request_id: RequestId, running: int, until: timedelta) -> None:
         """Learn that an engine that seemed to run so many turned a call away."""
         former = self.crowds.get(request_id)
-        self.crowds[request_id] = crowd_after(former, running, until)
+        self.crowds[request_id] = lower_ceiling(former, running, until)
 
     def crowded(self, request_id: RequestId, now: timedelta) -> int | None:
         """Return how many running requests are too many for a call, if any are."""
--- a/src/mimosafork/gateway/sharing.py
+++ b/src/mimosafork/gateway/sharing.py
@@ -32,8 +32,7 @@
     WorkBegun,
     WorkEnded,
 )
-from ..placement.work import Held as HeldTokens
-from ..placement.work import Part, Work
+from ..placement.load_tracker import HeldTokens, InFlightRequest, PrefillPart
 from ..routing.engine import EngineFigures
 from .neighbours import Neighbours
 from .policies.allowance import ARRIVES_WITHIN, SlackShare
@@ -146,7 +145,7 @@
         if self.gossip is not None:
             self.gossip.publish_work_end(int(effect.request_id))
 
-    def _tell_work(self, work: Work) -> None:
+    def _tell_work(self, work: InFlightRequest) -> None:
         """Tell peers of a work."""
         self.untold.pop(work.request, None)
         if self.gossip is not None:
@@ -154,7 +153,7 @@
             note = note_of(work, self.clock.monotonic())
             self.gossip.publish_work(note, audience)
 
-    def _tell_if_it_lasts(self, work: Work) -> None:
+    def _tell_if_it_lasts(self, work: InFlightRequest) -> None:
         """Tell peers of a plain endpoint's call that doesn't end soon."""
         waiting = self.untold.pop(work.request, None)
         if waiting is not None:
@@ -309,7 +308,7 @@
     def _tell_changes(
         self, gossip: Gossip, instance: InstanceId, numbers: tuple[int, ...]
     ) -> None:
-        works: list[Work] = []
+        works: list[InFlightRequest] = []
         ended: list[RequestId] = []
         for number in numbers:
             heard = gossip.work(instance, number)
@@ -329,13 +328,13 @@
             self.current.clear()
         self.shift = shift
 
-    def work_of(self, instance: InstanceId, heard: HeardWork) -> Work:
+    def work_of(self, instance: InstanceId, heard: HeardWork) -> InFlightRequest:
         """Return a peer's work in times of the kernel's clock."""
         note = heard.note
         told_at = self.clock.monotonic() - heard.age
         first = note.writing_ms
         pause = note.longest_pause_ms * MILLISECOND
-        return Work(
+        return InFlightRequest(
             request=request_of(instance, note.number),
             host=note.host,
             parts=self.parts_of(note),
@@ -347,7 +346,7 @@
             first_token_at=None if first is None else told_at - first * MILLISECOND,
         )
 
-    def parts_of(self, note: WorkNote) -> tuple[Part, ...]:
+    def parts_of(self, note: WorkNote) -> tuple[PrefillPart, ...]:
         """Return what each engine reads of a peer's prompt."""
         figures = self.figures_of(note.host)
         if figures is None:
@@ -355,10 +354,10 @@
         helped = sum(part.tokens for part in note.parts)
         shares = [NotedPart(note.host, note.prompt_tokens - helped), *note.parts]
         return tuple(
-            Part(
+            PrefillPart(
                 each.helper,
                 each.tokens,
-                figures.read_ms(each.tokens, note.prompt_tokens),
+                figures.prefill_ms(each.tokens, note.prompt_tokens),
             )
             for each in shares
         )
@@ -390,7 +389,7 @@
     return RequestId(f"{instance}/{number}")
 
 
-def note_of(work: Work, now: timedelta) -> WorkNote:
+def note_of(work: InFlightRequest, now: timedelta) -> WorkNote:
     """Return what peers are told of own work."""
     first = work.first_token_at
     pause = work.longest_pause or timedelta(0)
--- a/src/mimosafork/kernel/messages/routing.py
+++ b/src/mimosafork/kernel/messages/routing.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from ...ids import AvailabilityZoneId, EndpointId, InstanceId, RequestId
-from ...placement.work import Work
+from ...placement.load_tracker import InFlightRequest
 from ...routing.listing import ListedEndpoint
 from ...routing.table import RoutingTable
 from .base import Message
@@ -38,7 +38,7 @@
     """A peer's whole running work, in times of this instance's clock."""
 
     instance: InstanceId
-    works: tuple[Work, ...]
+    works: tuple[InFlightRequest, ...]
 
 
 class PeerWorkChanged(Message, frozen=True):
@@ -52,7 +52,7 @@
     """
 
     instance: InstanceId
-    works: tuple[Work, ...]
+    works: tuple[InFlightRequest, ...]
     ended: tuple[RequestId, ...]
 
 
--- a/src/mimosafork/kernel/messages/sharing.py
+++ b/src/mimosafork/kernel/messages/sharing.py
@@ -1,14 +1,14 @@
 """What the kernel has peers told, and what it hears from them."""
 
 from ...ids import Digest, EndpointId, RequestId
-from ...placement.work import Work
+from ...placement.load_tracker import InFlightRequest
 from .base import Effect, Message
 
 
 class WorkBegun(Effect, frozen=True):
     """Own work was sent, or has written its first token."""
 
-    work: Work
+    work: InFlightRequest
 
 
 class WorkEnded(Effect, frozen=True):
--- a/src/mimosafork/placement/admission.py
+++ b/src/mimosafork/placement/admission.py
@@ -4,28 +4,28 @@
 from datetime import timedelta
 
 from ..routing.engine import EngineFigures
-from .choice import PlacementAsk
+from .choice import PlacementRequest
 from .forecast import EngineState
 
-SURE_SHARE = 0.5
+COUNTED_ANSWER_SHARE = 0.5
 """Share of the expected answer that is counted: the expectation is often far off."""
-TAKEN_SHARE = 0.5
+MIN_TAKEN_SLOT_SHARE = 0.5
 """Nothing is refused while less than this share of all slots is taken."""
 
-HEAVY_READ_MS = 2_000.0
+EXPENSIVE_PREFILL_MS = 2_000.0
 """Reading, on all engines together, that harms others too much to be tried in vain."""
 
 
 def finish_ms(
-    ask: PlacementAsk, first_token_ms: float, step_ms: float, figures: EngineFigures
+    ask: PlacementRequest, first_token_ms: float, step_ms: float, figures: EngineFigures
 ) -> float:
     """Return the milliseconds from now until an answer can be complete at best."""
-    steps = max(0.0, ask.answer_tokens * SURE_SHARE - figures.stride)
+    steps = max(0.0, ask.answer_tokens * COUNTED_ANSWER_SHARE - figures.stride)
     return first_token_ms + steps * step_ms
 
 
-def too_late(
-    ask: PlacementAsk,
+def retry_after_if_late(
+    ask: PlacementRequest,
     states: Sequence[EngineState],
     first_token_ms: float,
     host: EngineState,
@@ -43,17 +43,19 @@
         None if there is time, or if the places are not really taken.
     """
     left_ms = ask.time_left.total_seconds() * 1e3
-    done_ms = finish_ms(ask, first_token_ms, figures.step_ms * host.pace, figures)
+    done_ms = finish_ms(ask, first_token_ms, figures.step_ms * host.slowdown, figures)
     if done_ms <= left_ms:
         return None
     slots = sum(state.view.slots for state in states)
     taken = sum(state.running for state in states)
-    if taken < TAKEN_SHARE * slots and not is_heavy_repeat(ask, figures):
+    if taken < MIN_TAKEN_SLOT_SHARE * slots and not is_expensive_rerun(ask, figures):
         return None
-    return timedelta(milliseconds=max(done_ms - left_ms, host.reading_ms))
+    return timedelta(milliseconds=max(done_ms - left_ms, host.prefill_backlog_ms))
 
 
-def is_heavy_repeat(ask: PlacementAsk, figures: EngineFigures) -> bool:
+def is_expensive_rerun(ask: PlacementRequest, figures: EngineFigures) -> bool:
     """Return whether a prompt that was read before would be dear to read again."""
     prompt = ask.prompt_tokens
-    return ask.repeated and figures.read_ms(prompt, prompt) >= HEAVY_READ_MS
+    return (
+        ask.may_have_run and figures.prefill_ms(prompt, prompt) >= EXPENSIVE_PREFILL_MS
+    )
--- a/src/mimosafork/placement/choice.py
+++ b/src/mimosafork/placement/choice.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from ..ids import AvailabilityZoneId, EndpointId, RequestId
-from .work import Held, Part, Work
+from .load_tracker import HeldTokens, InFlightRequest, PrefillPart
 
 
-class PlacementAsk(msgspec.Struct, frozen=True):
+class PlacementRequest(msgspec.Struct, frozen=True):
     """A request that needs a place.
 
     Attributes
@@ -47,8 +47,8 @@
     priority: int = 5
     avoid: frozenset[EndpointId] = frozenset()
     zone: AvailabilityZoneId | None = None
-    repeated: bool = False
-    crowded: int | None = None
+    may_have_run: bool = False
+    running_ceiling: int | None = None
 
 
 class EngineView(msgspec.Struct, frozen=True):
@@ -72,7 +72,7 @@
     slots: int
     usable: bool = True
     suspect: bool = False
-    pace: float = 1.0
+    slowdown: float = 1.0
     cold: bool = False
 
 
@@ -91,7 +91,7 @@
     tokens: int
 
 
-class Place(msgspec.Struct, frozen=True):
+class Assignment(msgspec.Struct, frozen=True):
     """Where a request goes.
 
     Attributes
@@ -109,12 +109,14 @@
     helpers: tuple[Helper, ...] = ()
     reservations: tuple[Reservation, ...] = ()
     predicted_first_token: timedelta = timedelta(0)
-    parts: tuple[Part, ...] = ()
+    parts: tuple[PrefillPart, ...] = ()
 
-    def work(self, ask: PlacementAsk, now: timedelta) -> Work:
+    def to_in_flight_request(
+        self, ask: PlacementRequest, now: timedelta
+    ) -> InFlightRequest:
         """Return what goes into the book once the request is sent."""
-        held = tuple(Held(r.endpoint, r.tokens) for r in self.reservations)
-        return Work(
+        held = tuple(HeldTokens(r.endpoint, r.tokens) for r in self.reservations)
+        return InFlightRequest(
             request=ask.request,
             host=self.host,
             parts=self.parts,
@@ -137,13 +139,13 @@
     TURN = "older prompts are being read"
 
 
-class WaitForRoom(msgspec.Struct, frozen=True):
+class WaitForCapacity(msgspec.Struct, frozen=True):
     """Nothing is free now; to be asked again when work ends."""
 
     reason: Shortage
 
 
-class NoRoom(msgspec.Struct, frozen=True):
+class RejectRequest(msgspec.Struct, frozen=True):
     """The request can't be done in time; to be refused at once.
 
     Attributes
@@ -152,8 +154,8 @@
         After which there should be room.
     """
 
-    come_back: timedelta
+    retry_after: timedelta
     reason: Shortage
 
 
-Choice = Place | WaitForRoom | NoRoom
+PlacementDecision = Assignment | WaitForCapacity | RejectRequest
--- a/src/mimosafork/placement/forecast.py
+++ b/src/mimosafork/placement/forecast.py
@@ -8,15 +8,15 @@
 
 from ..routing.engine import EngineFigures
 from .choice import EngineView
-from .work import EngineLoad, LoadSum
+from .load_tracker import EngineLoad, LoadSummary
 
 LATE_LOSS = 0.75
 """Share of its worth that a late answer loses."""
-TOKENS_OF_WORTH = 9_000.0
+TOKENS_PER_REQUEST_VALUE = 9_000.0
 """A prompt of so many tokens is worth as much as the request itself."""
 PAUSE_SLACK_MS = 70.0
 """A pass that stays so far below a pause is safe from what is not yet known."""
-COLD_PACE = 1.5
+COLD_SLOWDOWN = 1.5
 """How much slower an engine is taken to be just after its start."""
 FIRST_EVENT_SLACK = 0.3
 """Share of an objective that a prediction must leave to be sure of it."""
@@ -50,25 +50,25 @@
     """
 
     view: EngineView
-    found: LoadSum
-    pace: float
-    reading_ms: float
+    summary: LoadSummary
+    slowdown: float
+    prefill_backlog_ms: float
     order: float
     penalty: float
-    begin_ms: float
+    prefill_start_ms: float
     busy_ms: float
     safe_ms: float
-    unheard: int = 0
+    unreported: int = 0
 
     @property
     def load(self) -> EngineLoad:
         """Its load without reading."""
-        return self.found.standing
+        return self.summary.base_load
 
     @property
     def running(self) -> int:
         """Requests whose host it is, unheard ones counted."""
-        return self.found.standing.running + self.unheard
+        return self.summary.base_load.running + self.unreported
 
     @property
     def has_slot(self) -> bool:
@@ -78,12 +78,12 @@
     @property
     def can_help(self) -> bool:
         """Whether it may read a part of one more request of another host."""
-        return self.found.standing.helping < self.view.slots
+        return self.summary.base_load.helping < self.view.slots
 
 
-def state_of(
+def engine_state(
     view: EngineView,
-    found: LoadSum,
+    found: LoadSummary,
     figures: EngineFigures,
     now_ms: float,
     order: float,
@@ -95,9 +95,9 @@
     A pass that runs already ends before a part is read, on the average half of it is
     left, and the read ends with its own pass.
     """
-    pace = pace_of(view)
-    pass_ms = pass_length(found.standing, figures) * pace
-    reading_ms = found.reading_ms(now_ms)
+    pace = slowdown_of(view)
+    pass_ms = decode_pass_ms(found.base_load, figures) * pace
+    reading_ms = found.prefill_backlog_ms(now_ms)
     return EngineState(
         view,
         found,
@@ -107,17 +107,17 @@
         penalty,
         1.5 * pass_ms + reading_ms,
         pass_ms + reading_ms,
-        found.tightest_ms - PAUSE_SLACK_MS,
+        found.shortest_pause_ms - PAUSE_SLACK_MS,
         unheard,
     )
 
 
-def pace_of(view: EngineView) -> float:
+def slowdown_of(view: EngineView) -> float:
     """Return how many times longer than stated an engine's work takes."""
-    return max(1.0, view.pace) * (COLD_PACE if view.cold else 1.0)
+    return max(1.0, view.slowdown) * (COLD_SLOWDOWN if view.cold else 1.0)
 
 
-def pass_length(load: EngineLoad, figures: EngineFigures) -> float:
+def decode_pass_ms(load: EngineLoad, figures: EngineFigures) -> float:
     """Return the milliseconds of a pass without reading."""
     if not load.running:
         return figures.step_ms
@@ -126,12 +126,12 @@
     return step * max(1, figures.stride)
 
 
-def worth_of(prompt_tokens: int) -> float:
+def value_of(prompt_tokens: int) -> float:
     """Return what an answer that is on time is worth, told by its prompt."""
-    return 1.0 + prompt_tokens / TOKENS_OF_WORTH
+    return 1.0 + prompt_tokens / TOKENS_PER_REQUEST_VALUE
 
 
-def risk(value_ms: float, limit_ms: float, slack_ms: float) -> float:
+def miss_probability(value_ms: float, limit_ms: float, slack_ms: float) -> float:
     """Return the chance, 0 to 1, that a limit is broken.
 
     It grows evenly from `slack_ms`, at least 0, below the limit to the limit itself.
@@ -142,29 +142,29 @@
     return 1.0 if over_ms >= slack_ms else over_ms / slack_ms
 
 
-def harm(state: EngineState, read_ms: float) -> float:
+def interference_cost(state: EngineState, read_ms: float) -> float:
     """Return what a part costs the engine's own requests, beside what is so already."""
     before = state.busy_ms
-    after = before + read_ms * state.pace
+    after = before + read_ms * state.slowdown
     if after <= state.safe_ms:
         return 0.0
     lost = 0.0
-    for pause_ms, requests, prompt_tokens in state.found.alike:
-        chance = risk(after, pause_ms, PAUSE_SLACK_MS)
+    for pause_ms, requests, prompt_tokens in state.summary.pause_groups:
+        chance = miss_probability(after, pause_ms, PAUSE_SLACK_MS)
         if not chance:
             break
         if before > state.safe_ms:
-            chance -= risk(before, pause_ms, PAUSE_SLACK_MS)
-        lost += chance * (requests + prompt_tokens / TOKENS_OF_WORTH)
+            chance -= miss_probability(before, pause_ms, PAUSE_SLACK_MS)
+        lost += chance * (requests + prompt_tokens / TOKENS_PER_REQUEST_VALUE)
     return lost * LATE_LOSS
 
 
-def slack_of(objective_ms: float) -> float:
+def objective_slack_ms(objective_ms: float) -> float:
     """Return how far below an objective a prediction must stay to be sure of it."""
     return FIRST_EVENT_SLACK * max(0.0, objective_ms)
 
 
-def lateness(
+def expected_late_loss(
     done_ms: float, objective_ms: float, slack_ms: float, worth: float
 ) -> float:
     """Return what a request itself is expected to lose by its first event.
@@ -176,4 +176,4 @@
     worth : float
         Of the request, if it is on time.
     """
-    return risk(done_ms, objective_ms, slack_ms) * LATE_LOSS * worth
+    return miss_probability(done_ms, objective_ms, slack_ms) * LATE_LOSS * worth
--- a/src/mimosafork/placement/work.py
+++ b/src/mimosafork/placement/load_tracker.py
@@ -9,11 +9,11 @@
 from msgspec.structs import replace
 
 from ..ids import EndpointId, InstanceId, RequestId
-from .fullness import FULL_SHARE, FullWord, FullWords
-from .rate import BeginRate, WordAge
+from .overload import OVERLOAD_FACTOR, OverloadReport, OverloadReports
+from .rate import DecayingRate, ReportDelay
 
 
-class Part(msgspec.Struct, frozen=True):
+class PrefillPart(msgspec.Struct, frozen=True):
     """What one engine reads of a prompt.
 
     Attributes
@@ -26,17 +26,17 @@
 
     endpoint: EndpointId
     tokens: int
-    read_ms: float
+    prefill_ms: float
 
 
-class Held(msgspec.Struct, frozen=True):
+class HeldTokens(msgspec.Struct, frozen=True):
     """Tokens of a prompt's memory that one engine holds."""
 
     endpoint: EndpointId
     tokens: int
 
 
-class Work(msgspec.Struct, frozen=True):
+class InFlightRequest(msgspec.Struct, frozen=True):
     """One running request on the engines.
 
     Attributes
@@ -61,8 +61,8 @@
 
     request: RequestId
     host: EndpointId
-    parts: tuple[Part, ...] = ()
-    held: tuple[Held, ...] = ()
+    parts: tuple[PrefillPart, ...] = ()
+    held: tuple[HeldTokens, ...] = ()
     prompt_tokens: int = 0
     answer_tokens: int = 0
     longest_pause: timedelta | None = None
@@ -71,7 +71,7 @@
     ended: bool = False
 
 
-class Pace(NamedTuple):
+class PauseLimit(NamedTuple):
     """The longest pause that one request on an engine bears.
 
     Attributes
@@ -108,25 +108,25 @@
     """
 
     running: int = 0
-    writers: int = 0
+    decoding: int = 0
     helping: int = 0
-    reading_ms: float = 0.0
-    promised_tokens: int = 0
+    prefill_backlog_ms: float = 0.0
+    committed_tokens: int = 0
     context_tokens: int = 0
-    paces: tuple[Pace, ...] = ()
+    pause_limits: tuple[PauseLimit, ...] = ()
 
     @property
-    def tightest_pause(self) -> timedelta | None:
+    def shortest_pause(self) -> timedelta | None:
         """Shortest of the longest pauses of its requests."""
-        if not self.paces:
+        if not self.pause_limits:
             return None
-        return timedelta(milliseconds=min(pace.pause_ms for pace in self.paces))
+        return timedelta(milliseconds=min(pace.pause_ms for pace in self.pause_limits))
 
 
-IDLE = EngineLoad()
+IDLE_LOAD = EngineLoad()
 
 
-class AlikePaces(NamedTuple):
+class PauseLimitGroup(NamedTuple):
     """Requests on an engine that bear the same longest pause.
 
     Attributes
@@ -140,7 +140,7 @@
     prompt_tokens: int
 
 
-class LoadSum(msgspec.Struct, frozen=True):
+class LoadSummary(msgspec.Struct, frozen=True):
     """The load of one engine until its work changes.
 
     Attributes
@@ -155,20 +155,20 @@
         Its requests by their longest pause, the shortest first.
     """
 
-    standing: EngineLoad
-    read_until_ms: float = -inf
-    tightest_ms: float = inf
-    alike: tuple[AlikePaces, ...] = ()
+    base_load: EngineLoad
+    prefill_until_ms: float = -inf
+    shortest_pause_ms: float = inf
+    pause_groups: tuple[PauseLimitGroup, ...] = ()
 
-    def reading_ms(self, now_ms: float) -> float:
+    def prefill_backlog_ms(self, now_ms: float) -> float:
         """Return the milliseconds of reading that are promised and not yet done."""
-        return max(0.0, self.read_until_ms - now_ms)
+        return max(0.0, self.prefill_until_ms - now_ms)
 
 
-NOTHING = LoadSum(IDLE)
+EMPTY_SUMMARY = LoadSummary(IDLE_LOAD)
 
 
-class LoadBook(msgspec.Struct):
+class LoadTracker(msgspec.Struct):
     """The running work of this instance and of its peers, by engine.
 
     Adding or ending a request costs the number of its engines. The load of an engine
@@ -176,54 +176,61 @@
     are of this instance's clock.
     """
 
-    own: dict[RequestId, Work] = msgspec.field(default_factory=dict)
-    peers: dict[InstanceId, dict[RequestId, Work]] = msgspec.field(default_factory=dict)
-    by_engine: dict[EndpointId, dict[int, Work]] = msgspec.field(default_factory=dict)
+    own: dict[RequestId, InFlightRequest] = msgspec.field(default_factory=dict)
+    peers: dict[InstanceId, dict[RequestId, InFlightRequest]] = msgspec.field(
+        default_factory=dict
+    )
+    by_engine: dict[EndpointId, dict[int, InFlightRequest]] = msgspec.field(
+        default_factory=dict
+    )
     """Work under its identity, as two instances may name the same request."""
-    sums: dict[EndpointId, LoadSum] = msgspec.field(default_factory=dict)
+    summaries: dict[EndpointId, LoadSummary] = msgspec.field(default_factory=dict)
     """Of engines with work that has not changed since it was summed up."""
-    begun: BeginRate = msgspec.field(default_factory=BeginRate)
+    start_rate: DecayingRate = msgspec.field(default_factory=DecayingRate)
     """Works on engines, of all instances."""
-    age: WordAge = msgspec.field(default_factory=WordAge)
+    report_delay: ReportDelay = msgspec.field(default_factory=ReportDelay)
     """Of peers' works on engines when they were heard of first."""
-    full: FullWords = msgspec.field(default_factory=FullWords)
+    overloads: OverloadReports = msgspec.field(default_factory=OverloadReports)
     """Of engines that turned calls away."""
-    rejected: BeginRate = msgspec.field(default_factory=BeginRate)
+    rejection_rate: DecayingRate = msgspec.field(default_factory=DecayingRate)
     """Calls of this instance that full engines turned away."""
 
-    def note(self, work: Work) -> None:
+    def record(self, work: InFlightRequest) -> None:
         """Add own work, or replace what was known of it; ended work is dropped."""
         if work.parts and work.request not in self.own:
-            self.begun.note(work.started_at)
-        self.drop(work.request)
+            self.start_rate.record(work.started_at)
+        self.remove(work.request)
         if not work.ended:
             self.own[work.request] = work
-            self.link(work)
+            self.add_to_index(work)
 
-    def drop(self, request: RequestId) -> None:
+    def remove(self, request: RequestId) -> None:
         """Forget own work."""
         former = self.own.pop(request, None)
         if former is not None:
-            self.unlink(former)
+            self.remove_from_index(former)
 
-    def rename(self, request: RequestId, name: RequestId) -> Work | None:
+    def rename(self, request: RequestId, name: RequestId) -> InFlightRequest | None:
         """Give own work another name, and return it; nothing else of it changes."""
         former = self.own.pop(request, None)
         if former is None:
             return None
-        self.unlink(former)
+        self.remove_from_index(former)
         work = self.own[name] = replace(former, request=name)
-        self.link(work)
+        self.add_to_index(work)
         return work
 
-    def first_token(self, request: RequestId, now: timedelta) -> None:
+    def record_first_token(self, request: RequestId, now: timedelta) -> None:
         """Learn that own work has been read and writes from now on."""
         work = self.own.get(request)
         if work is not None and work.first_token_at is None:
-            self.note(replace(work, first_token_at=now))
+            self.record(replace(work, first_token_at=now))
 
     def replace_peer(
-        self, instance: InstanceId, works: Iterable[Work], received_at: timedelta
+        self,
+        instance: InstanceId,
+        works: Iterable[InFlightRequest],
+        received_at: timedelta,
     ) -> None:
         """Put a peer's whole snapshot in the place of its former one.
 
@@ -237,7 +244,7 @@
         # All works of a peer that is heard for the first time have run for long.
         is_new = instance not in self.peers
         former = self.peers.get(instance, {})
-        fresh: dict[RequestId, Work] = {}
+        fresh: dict[RequestId, InFlightRequest] = {}
         for told in works:
             if told.ended:
                 continue
@@ -246,29 +253,31 @@
                 work = replace(told, started_at=received_at)
             known = former.get(work.request)
             if known is None:
-                self._hear_first(work, None if is_new else received_at)
+                self._record_first_report(work, None if is_new else received_at)
             fresh[work.request] = known if known == work else work
         for request, work in former.items():
             if fresh.get(request) is not work:
-                self.unlink(work)
+                self.remove_from_index(work)
         for request, work in fresh.items():
             if former.get(request) is not work:
-                self.link(work)
+                self.add_to_index(work)
         self.peers[instance] = fresh
 
-    def _hear_first(self, work: Work, received_at: timedelta | None) -> None:
+    def _record_first_report(
+        self, work: InFlightRequest, received_at: timedelta | None
+    ) -> None:
         """Learn from a peer's work that was not known; when, unless it is old news."""
-        self.full.heard_of(work.host, work.started_at)
+        self.overloads.count_reported(work.host, work.started_at)
         if not work.parts:
             return
-        self.begun.note(work.started_at)
+        self.start_rate.record(work.started_at)
         if received_at is not None:
-            self.age.note(received_at - work.started_at)
+            self.report_delay.record(received_at - work.started_at)
 
-    def change_peer(
+    def update_peer(
         self,
         instance: InstanceId,
-        works: Iterable[Work],
+        works: Iterable[InFlightRequest],
         ended: Iterable[RequestId],
         received_at: timedelta,
     ) -> None:
@@ -285,25 +294,25 @@
         for request in ended:
             former = known.pop(request, None)
             if former is not None:
-                self.unlink(former)
+                self.remove_from_index(former)
         for told in works:
             former = known.get(told.request)
             work = told
             if told.started_at > received_at:
                 work = replace(told, started_at=received_at)
             if former is not None:
-                self.unlink(former)
+                self.remove_from_index(former)
             else:
-                self._hear_first(work, received_at)
+                self._record_first_report(work, received_at)
             known[work.request] = work
-            self.link(work)
+            self.add_to_index(work)
 
-    def forget_peer(self, instance: InstanceId) -> None:
+    def remove_peer(self, instance: InstanceId) -> None:
         """Drop all work of a peer that is gone."""
         for work in self.peers.pop(instance, {}).values():
-            self.unlink(work)
+            self.remove_from_index(work)
 
-    def turned_away(
+    def record_rejection(
         self, endpoint: EndpointId, slots: int, stay: timedelta, now: timedelta
     ) -> int:
         """Learn that an engine is full; return how many it was believed to run.
@@ -315,28 +324,28 @@
         stay : timedelta
             How long a usual answer lasts there.
         """
-        self.rejected.note(now)
-        believed = self.believed_running(endpoint, now)
-        known = self.sum_of(endpoint).standing.running
-        unheard = round(slots * FULL_SHARE) - known
-        self.full.note(endpoint, FullWord(now, max(0, unheard), stay))
+        self.rejection_rate.record(now)
+        believed = self.estimated_running(endpoint, now)
+        known = self.summary_of(endpoint).base_load.running
+        unheard = round(slots * OVERLOAD_FACTOR) - known
+        self.overloads.record(endpoint, OverloadReport(now, max(0, unheard), stay))
         return believed
 
-    def believed_running(self, endpoint: EndpointId, now: timedelta) -> int:
+    def estimated_running(self, endpoint: EndpointId, now: timedelta) -> int:
         """Return how many requests an engine hosts, unheard ones counted."""
-        known = self.sum_of(endpoint).standing.running
-        return known + self.full.unheard(endpoint, now)
+        known = self.summary_of(endpoint).base_load.running
+        return known + self.overloads.unreported(endpoint, now)
 
-    def link(self, work: Work) -> None:
+    def add_to_index(self, work: InFlightRequest) -> None:
         """Enter work under each of its engines."""
         for endpoint in engines_of(work):
             self.by_engine.setdefault(endpoint, {})[id(work)] = work
-            self.sums.pop(endpoint, None)
+            self.summaries.pop(endpoint, None)
 
-    def unlink(self, work: Work) -> None:
+    def remove_from_index(self, work: InFlightRequest) -> None:
         """Take work out from under each of its engines."""
         for endpoint in engines_of(work):
-            self.sums.pop(endpoint, None)
+            self.summaries.pop(endpoint, None)
             works = self.by_engine.get(endpoint)
             if works is None:
                 continue
@@ -344,32 +353,32 @@
             if not works:
                 del self.by_engine[endpoint]
 
-    def works_on(self, endpoint: EndpointId) -> Iterable[Work]:
+    def requests_on(self, endpoint: EndpointId) -> Iterable[InFlightRequest]:
         """Return all works that lie on an engine, whoever runs them."""
         return self.by_engine.get(endpoint, {}).values()
 
     def load(self, endpoint: EndpointId, now: timedelta) -> EngineLoad:
         """Return the load of one engine; an unknown one is idle."""
-        found = self.sum_of(endpoint)
-        reading_ms = found.reading_ms(now.total_seconds() * 1e3)
+        found = self.summary_of(endpoint)
+        reading_ms = found.prefill_backlog_ms(now.total_seconds() * 1e3)
         if reading_ms == 0.0:
-            return found.standing
-        return replace(found.standing, reading_ms=reading_ms)
+            return found.base_load
+        return replace(found.base_load, prefill_backlog_ms=reading_ms)
 
-    def sum_of(self, endpoint: EndpointId) -> LoadSum:
+    def summary_of(self, endpoint: EndpointId) -> LoadSummary:
         """Return the load of one engine as it is until its work changes."""
-        found = self.sums.get(endpoint)
+        found = self.summaries.get(endpoint)
         if found is not None:
             return found
         works = self.by_engine.get(endpoint)
         if works is None:
-            return NOTHING
-        found = summed(endpoint, works.values())
-        self.sums[endpoint] = found
+            return EMPTY_SUMMARY
+        found = summarize(endpoint, works.values())
+        self.summaries[endpoint] = found
         return found
 
 
-def engines_of(work: Work) -> set[EndpointId]:
+def engines_of(work: InFlightRequest) -> set[EndpointId]:
     """Return all engines on which work lies."""
     engines = {part.endpoint for part in work.parts}
     engines.update(held.endpoint for held in work.held)
@@ -377,16 +386,16 @@
     return engines
 
 
-def summed(endpoint: EndpointId, works: Iterable[Work]) -> LoadSum:
+def summarize(endpoint: EndpointId, works: Iterable[InFlightRequest]) -> LoadSummary:
     """Sum up the works on one engine."""
     running = writers = helping = promised = context = 0
-    paces: list[Pace] = []
-    reads: list[Read] = []
+    paces: list[PauseLimit] = []
+    reads: list[PrefillInterval] = []
     for work in works:
         reading = work.first_token_at is None
         hosted = work.host == endpoint
         if work.held:
-            promised += held_at(work, endpoint)
+            promised += held_tokens_on(work, endpoint)
         if hosted:
             running += 1
             if not work.held:
@@ -396,43 +405,45 @@
                 context += work.prompt_tokens
             if work.longest_pause is not None:
                 pause_ms = work.longest_pause.total_seconds() * 1e3
-                paces.append(Pace(pause_ms, work.prompt_tokens))
+                paces.append(PauseLimit(pause_ms, work.prompt_tokens))
         if reading:
             helping += not hosted
-            reads.append(read_of(work, endpoint))
+            reads.append(prefill_of(work, endpoint))
     standing = EngineLoad(
         running, writers, helping, 0.0, promised, context, tuple(paces)
     )
-    read_until_ms = read_until(reads) if reads else -inf
-    alike = alike_paces(paces)
+    read_until_ms = prefill_end_ms(reads) if reads else -inf
+    alike = group_pause_limits(paces)
     tightest_ms = alike[0].pause_ms if alike else inf
-    return LoadSum(standing, read_until_ms, tightest_ms, alike)
+    return LoadSummary(standing, read_until_ms, tightest_ms, alike)
 
 
-def alike_paces(paces: Iterable[Pace]) -> tuple[AlikePaces, ...]:
+def group_pause_limits(paces: Iterable[PauseLimit]) -> tuple[PauseLimitGroup, ...]:
     """Sum up requests that bear the same pause; there are few different ones."""
     tokens: dict[float, list[int]] = {}
     for pace in paces:
         tokens.setdefault(pace.pause_ms, []).append(pace.prompt_tokens)
-    alike = [AlikePaces(each, len(found), sum(found)) for each, found in tokens.items()]
+    alike = [
+        PauseLimitGroup(each, len(found), sum(found)) for each, found in tokens.items()
+    ]
     alike.sort()
     return tuple(alike)
 
 
-class Read(NamedTuple):
+class PrefillInterval(NamedTuple):
     """One engine's reading for one request, in milliseconds; sorts by its start."""
 
     start_ms: float
     length_ms: float
 
 
-def read_of(work: Work, endpoint: EndpointId) -> Read:
+def prefill_of(work: InFlightRequest, endpoint: EndpointId) -> PrefillInterval:
     """Return what an engine reads for a work."""
-    length_ms = sum(part.read_ms for part in work.parts if part.endpoint == endpoint)
-    return Read(work.started_at.total_seconds() * 1e3, length_ms)
+    length_ms = sum(part.prefill_ms for part in work.parts if part.endpoint == endpoint)
+    return PrefillInterval(work.started_at.total_seconds() * 1e3, length_ms)
 
 
-def read_until(reads: list[Read]) -> float:
+def prefill_end_ms(reads: list[PrefillInterval]) -> float:
     """Return the instant, in ms, at which reads one after the other are done."""
     free_at = -inf
     for read in sorted(reads):
@@ -440,6 +451,6 @@
     return free_at
 
 
-def held_at(work: Work, endpoint: EndpointId) -> int:
+def held_tokens_on(work: InFlightRequest, endpoint: EndpointId) -> int:
     """Return the tokens that an engine holds of a work that says who holds it."""
     return sum(held.tokens for held in work.held if held.endpoint == endpoint)
--- a/src/mimosafork/placement/memory.py
+++ b/src/mimosafork/placement/memory.py
@@ -3,38 +3,38 @@
 from collections.abc import Sequence
 
 from ..routing.engine import EngineFigures
-from .choice import PlacementAsk, Reservation
+from .choice import PlacementRequest, Reservation
 from .forecast import EngineState
 
-FULL_SHARE = 0.97
+USABLE_MEMORY_SHARE = 0.97
 """Share of an engine's memory that is given out; blocks round each request up."""
 
-USUAL_SHARE = 0.5
+MAX_PROMPT_MEMORY_SHARE = 0.5
 """Share of an engine's memory that one prompt takes at most, if others have room."""
 
 
-def total_tokens(ask: PlacementAsk) -> int:
+def total_tokens(ask: PlacementRequest) -> int:
     """Return the tokens that a request holds at its end."""
     return ask.prompt_tokens + ask.answer_tokens
 
 
 def free_tokens(state: EngineState, figures: EngineFigures) -> int:
     """Return the tokens of an engine's memory that are promised to nobody."""
-    return most_promised(figures) - state.load.promised_tokens
+    return usable_tokens(figures) - state.load.committed_tokens
 
 
-def most_promised(figures: EngineFigures) -> int:
+def usable_tokens(figures: EngineFigures) -> int:
     """Return the tokens that an engine may promise in all."""
-    return int(figures.memory_tokens * FULL_SHARE)
+    return int(figures.memory_tokens * USABLE_MEMORY_SHARE)
 
 
-def needs_tickets(ask: PlacementAsk, figures: EngineFigures) -> bool:
+def needs_reservations(ask: PlacementRequest, figures: EngineFigures) -> bool:
     """Return whether a request is larger than one engine's memory."""
-    return total_tokens(ask) > most_promised(figures)
+    return total_tokens(ask) > usable_tokens(figures)
 
 
-def shares(
-    ask: PlacementAsk, gang: Sequence[EngineState], figures: EngineFigures
+def split_reservations(
+    ask: PlacementRequest, gang: Sequence[EngineState], figures: EngineFigures
 ) -> tuple[Reservation, ...]:
     """Spread a request's tokens over as few engines as hold it without being full.
 
@@ -47,13 +47,13 @@
         The host first; together they have room enough.
     """
     total = total_tokens(ask)
-    part = int(figures.memory_tokens * USUAL_SHARE)
-    holders = emptiest(gang, figures)
+    part = int(figures.memory_tokens * MAX_PROMPT_MEMORY_SHARE)
+    holders = by_free_memory(gang, figures)
     rooms = [max(0, free_tokens(state, figures)) for state in holders]
     count = min(len(holders), -(-total // part))
     while count < len(holders) and sum(rooms[:count]) < total:
         count += 1
-    taken = levelled(total, rooms[:count])
+    taken = split_evenly(total, rooms[:count])
     tokens = {
         state.view.endpoint: share for state, share in zip(holders, taken, strict=False)
     }
@@ -66,12 +66,14 @@
     )
 
 
-def emptiest(gang: Sequence[EngineState], figures: EngineFigures) -> list[EngineState]:
+def by_free_memory(
+    gang: Sequence[EngineState], figures: EngineFigures
+) -> list[EngineState]:
     """Return a gang's engines with the most room first; the host first on ties."""
     return sorted(gang, key=lambda state: -free_tokens(state, figures))
 
 
-def levelled(total: int, rooms: Sequence[int]) -> list[int]:
+def split_evenly(total: int, rooms: Sequence[int]) -> list[int]:
     """Share out tokens evenly, as far as each has room.
 
     Each step of a holder costs the context that it holds, so even shares write
--- a/src/mimosafork/placement/fullness.py
+++ b/src/mimosafork/placement/overload.py
@@ -14,20 +14,20 @@
 from ..ids import EndpointId
 from ..routing.engine import EngineFigures
 
-FULL_SHARE = 1.5
+OVERLOAD_FACTOR = 1.5
 """An engine that is full has at least so many times its slots to do: it lets a few
 requests wait besides those that run."""
 
-LEAST_STAY = timedelta(milliseconds=300)
-LONGEST_STAY = timedelta(seconds=2)
+MIN_ANSWER_TIME = timedelta(milliseconds=300)
+MAX_ANSWER_TIME = timedelta(seconds=2)
 """Bounds of what a usual answer is taken to last: one that states a wrong length, or
 none, must neither make a rejection worth nothing nor let an engine stand idle."""
 
-LEAST_TURN = timedelta(milliseconds=100)
+MIN_SLOT_RELEASE_TIME = timedelta(milliseconds=100)
 """Below this two rejections of one call say the same."""
 
 
-class FullWord(msgspec.Struct, frozen=True):
+class OverloadReport(msgspec.Struct, frozen=True):
     """An engine's word that it was full.
 
     Attributes
@@ -38,17 +38,17 @@
         How long a usual answer lasts: after it, what was there then has ended.
     """
 
-    said_at: timedelta
-    unheard: int
-    stay: timedelta
+    received_at: timedelta
+    unreported: int
+    answer_time: timedelta
 
-    def left(self, now: timedelta) -> int:
+    def remaining(self, now: timedelta) -> int:
         """Return how many of the unheard requests are still taken to run."""
-        share = 1.0 - (now - self.said_at) / self.stay
-        return ceil(self.unheard * share) if share > 0.0 else 0
+        share = 1.0 - (now - self.received_at) / self.answer_time
+        return ceil(self.unreported * share) if share > 0.0 else 0
 
 
-class FullWords(msgspec.Struct):
+class OverloadReports(msgspec.Struct):
     """The newest word of each engine that was full lately.
 
     Guard: believed to be the emptiest, an engine would be sent call after call, each
@@ -58,52 +58,56 @@
     and one by one as old work there is heard of after all.
     """
 
-    words: dict[EndpointId, FullWord] = msgspec.field(default_factory=dict)
+    by_endpoint: dict[EndpointId, OverloadReport] = msgspec.field(default_factory=dict)
 
-    def note(self, endpoint: EndpointId, word: FullWord) -> None:
+    def record(self, endpoint: EndpointId, word: OverloadReport) -> None:
         """Take an engine's word; it replaces a former one.
 
         One that is full once more, so soon after it had seemed to have room, has more
         waiting than was thought: that is believed for twice as long.
         """
-        now = word.said_at
-        self.words = {
+        now = word.received_at
+        self.by_endpoint = {
             name: each
-            for name, each in self.words.items()
-            if now - each.said_at < each.stay
+            for name, each in self.by_endpoint.items()
+            if now - each.received_at < each.answer_time
         }
-        former = self.words.get(endpoint)
+        former = self.by_endpoint.get(endpoint)
         if former is not None:
-            word = replace(word, stay=min(LONGEST_STAY, 2 * former.stay))
-        self.words[endpoint] = word
+            word = replace(
+                word, answer_time=min(MAX_ANSWER_TIME, 2 * former.answer_time)
+            )
+        self.by_endpoint[endpoint] = word
 
-    def unheard(self, endpoint: EndpointId, now: timedelta) -> int:
+    def unreported(self, endpoint: EndpointId, now: timedelta) -> int:
         """Return how many requests are taken to run beyond those that are known."""
-        word = self.words.get(endpoint)
+        word = self.by_endpoint.get(endpoint)
         if word is None:
             return 0
-        return word.left(now)
+        return word.remaining(now)
 
-    def heard_of(self, endpoint: EndpointId, started_at: timedelta) -> None:
+    def count_reported(self, endpoint: EndpointId, started_at: timedelta) -> None:
         """Count a work that is heard of now no more among the unheard."""
-        word = self.words.get(endpoint)
-        if word is not None and word.unheard and started_at <= word.said_at:
-            self.words[endpoint] = replace(word, unheard=word.unheard - 1)
+        word = self.by_endpoint.get(endpoint)
+        if word is not None and word.unreported and started_at <= word.received_at:
+            self.by_endpoint[endpoint] = replace(word, unreported=word.unreported - 1)
 
 
-def stay_of(figures: EngineFigures) -> timedelta:
+def typical_answer_time(figures: EngineFigures) -> timedelta:
     """Return how long a usual answer lasts on an engine whose slots are taken."""
     step_ms = figures.step_ms + figures.per_sequence_ms * figures.slots
-    lasts = timedelta(milliseconds=figures.likely_answer * step_ms)
-    return min(LONGEST_STAY, max(LEAST_STAY, lasts))
+    lasts = timedelta(milliseconds=figures.expected_answer_tokens * step_ms)
+    return min(MAX_ANSWER_TIME, max(MIN_ANSWER_TIME, lasts))
 
 
-def turn_of(figures: EngineFigures) -> timedelta:
+def slot_release_time(figures: EngineFigures) -> timedelta:
     """Return within what time an answer ends on an engine whose slots are taken."""
-    return max(LEAST_TURN, stay_of(figures) / max(1, figures.slots))
+    return max(
+        MIN_SLOT_RELEASE_TIME, typical_answer_time(figures) / max(1, figures.slots)
+    )
 
 
-class Crowd(msgspec.Struct, frozen=True):
+class LoadCeiling(msgspec.Struct, frozen=True):
     """What a call that was turned away knows of engines that seem to have room.
 
     Attributes
@@ -118,7 +122,9 @@
     until: timedelta
 
 
-def crowd_after(former: Crowd | None, running: int, until: timedelta) -> Crowd:
+def lower_ceiling(
+    former: LoadCeiling | None, running: int, until: timedelta
+) -> LoadCeiling:
     """Return what a call knows after a further engine has turned it away.
 
     Guard: what had filled one engine unheard has filled those that seemed as busy. A
@@ -132,4 +138,4 @@
         Requests that the engine was believed to run when it turned the call away.
     """
     least = max(1, running) if former is None else min(former.running, running)
-    return Crowd(least, until)
+    return LoadCeiling(least, until)
--- a/src/mimosafork/placement/plain.py
+++ b/src/mimosafork/placement/plain.py
@@ -4,21 +4,28 @@
 from datetime import timedelta
 from random import Random
 
-from .choice import Choice, EngineView, Place, PlacementAsk, Shortage, WaitForRoom
-from .forecast import pace_of
-from .work import LoadBook
+from .choice import (
+    Assignment,
+    EngineView,
+    PlacementDecision,
+    PlacementRequest,
+    Shortage,
+    WaitForCapacity,
+)
+from .forecast import slowdown_of
+from .load_tracker import LoadTracker
 
 SUSPECT_BUSY = 10.0
 """A suspect endpoint counts as if each of its slots were taken so many times."""
 
 
 def choose_plain(
-    ask: PlacementAsk,
+    ask: PlacementRequest,
     endpoints: Sequence[EngineView],
-    book: LoadBook,
+    book: LoadTracker,
     now: timedelta,
     random: Random,
-) -> Choice:
+) -> PlacementDecision:
     """Return the endpoint with the smallest share of its slots taken.
 
     Endpoints queue a few requests, so full ones are still offered work. On ties the
@@ -33,20 +40,22 @@
     """
     usable = preferred(ask, endpoints)
     if not usable:
-        return WaitForRoom(Shortage.ENDPOINTS)
+        return WaitForCapacity(Shortage.ENDPOINTS)
 
     def rank(view: EngineView) -> tuple[float, bool, float]:
-        running = book.believed_running(view.endpoint, now)
-        busy = (running + 1) * pace_of(view) / max(1, view.slots)
+        running = book.estimated_running(view.endpoint, now)
+        busy = (running + 1) * slowdown_of(view) / max(1, view.slots)
         if view.suspect:
             busy += SUSPECT_BUSY
         return busy, view.zone != ask.zone, random.random()
 
     best = min(usable, key=rank)
-    return Place(best.endpoint, best.address)
+    return Assignment(best.endpoint, best.address)
 
 
-def preferred(ask: PlacementAsk, endpoints: Sequence[EngineView]) -> list[EngineView]:
+def preferred(
+    ask: PlacementRequest, endpoints: Sequence[EngineView]
+) -> list[EngineView]:
     """Return the usable endpoints, without those to avoid if others are left."""
     usable = [view for view in endpoints if view.usable]
     if not ask.avoid:
--- a/src/mimosafork/placement/plan.py
+++ b/src/mimosafork/placement/plan.py
@@ -13,20 +13,26 @@
 import msgspec
 
 from ..routing.engine import EngineFigures
-from .choice import PlacementAsk
-from .forecast import EngineState, harm, lateness, slack_of, worth_of
-from .memory import free_tokens, most_promised, needs_tickets, total_tokens
+from .choice import PlacementRequest
+from .forecast import (
+    EngineState,
+    expected_late_loss,
+    interference_cost,
+    objective_slack_ms,
+    value_of,
+)
+from .memory import free_tokens, needs_reservations, total_tokens, usable_tokens
 from .race import race_cost
 
 GANG_SIZES = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 17)
 """Numbers of engines that are tried; a request may name 16 beside its host."""
-MOST_WITH_MEMORY = 16
+MAX_GANG_WITH_RESERVATIONS = 16
 """Engines of a prompt whose memory is reserved: its host may be named too then."""
 HELPER_COST = 0.02
 """Cost of each helper, as one that is gone fails the whole request."""
-OPENING_COST = 0.3
+PAUSE_LOSS_COST_PER_S = 0.3
 """Cost of taking a second of longest pause away from an engine's requests."""
-LONGEST_PAUSE_MS = 1_500.0
+IDLE_ENGINE_PAUSE_MS = 1_500.0
 """Longest pause that an engine without requests counts as having."""
 ORDER_COST = 0.1
 """Cost of an engine at the far end of the order."""
@@ -34,7 +40,7 @@
 """Instances that don't know of one another's last requests spread by this much."""
 DELAY_COST_PER_MS = 0.0002
 """Cost of each millisecond until the first token, for each request's worth."""
-SMALL_PROMPT_MS = 200.0
+SHORT_PREFILL_MS = 200.0
 """Prompts that are read within this go to the front of the order, others behind."""
 ROUNDING = 1e-9
 """A bound may lie so far above the cost that it bounds, as sums are rounded."""
@@ -48,13 +54,13 @@
     done_ms: float
     cost: float
 
-    def beats(self, other: "Plan") -> bool:
+    def is_cheaper_than(self, other: "Plan") -> bool:
         """Whether it costs less, or as much with fewer helpers."""
         mine = (self.cost, len(self.helpers))
         return mine < (other.cost, len(other.helpers))
 
 
-class Weights(msgspec.Struct):
+class EngineCosts(msgspec.Struct):
     """All engines with one size of part, each list in their order.
 
     Attributes
@@ -72,7 +78,7 @@
     ranks: list[float]
 
 
-class Search:
+class PlanSearch:
     """One request and the engines that it may use.
 
     Engines are named by their index. What doesn't depend on the size of the parts is
@@ -102,7 +108,7 @@
 
     def __init__(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         states: Sequence[EngineState],
         figures: EngineFigures,
         noise: Sequence[float],
@@ -112,21 +118,23 @@
         self.ask = ask
         self.states = states
         self.figures = figures
-        self.split = needs_tickets(ask, figures)
-        self.worth = worth_of(ask.prompt_tokens)
+        self.split = needs_reservations(ask, figures)
+        self.worth = value_of(ask.prompt_tokens)
         self.objective_ms = ask.objective.total_seconds() * 1e3
-        self.slack_ms = slack_of(self.objective_ms)
+        self.slack_ms = objective_slack_ms(self.objective_ms)
         self.sure_ms = self.objective_ms - self.slack_ms
         self.hosts = hosts
         self.helpers = [i for i, state in enumerate(states) if state.can_help]
-        small = figures.read_ms(ask.prompt_tokens, ask.prompt_tokens) < SMALL_PROMPT_MS
+        small = (
+            figures.prefill_ms(ask.prompt_tokens, ask.prompt_tokens) < SHORT_PREFILL_MS
+        )
         self.fixed = [
             extra
             + state.penalty
             + ORDER_COST * (state.order if small else 1.0 - state.order)
             for state, extra in zip(states, noise, strict=True)
         ]
-        openings = opening_costs(ask, states)
+        openings = pause_loss_costs(ask, states)
         self.openings = [
             opening + race_cost(state, races)
             for state, opening in zip(states, openings, strict=True)
@@ -137,27 +145,29 @@
         delay = DELAY_COST_PER_MS * done_ms * self.worth
         if done_ms <= self.sure_ms:
             return delay
-        late = lateness(done_ms, self.objective_ms, self.slack_ms, self.worth)
+        late = expected_late_loss(done_ms, self.objective_ms, self.slack_ms, self.worth)
         return late + delay
 
     def read_ms(self, size: int) -> float:
         """Return how long one of `size` even parts is read."""
         prompt = self.ask.prompt_tokens
-        return self.figures.read_ms(-(-prompt // size), prompt)
+        return self.figures.prefill_ms(-(-prompt // size), prompt)
 
-    def weights(self, read_ms: float) -> Weights:
+    def weights(self, read_ms: float) -> EngineCosts:
         """Return what a part that is read within some time costs on each engine."""
         own_loss = self.own_loss
-        done_ms = [state.begin_ms + read_ms * state.pace for state in self.states]
+        done_ms = [
+            state.prefill_start_ms + read_ms * state.slowdown for state in self.states
+        ]
         costs = [
             fixed
-            if state.busy_ms + read_ms * state.pace <= state.safe_ms
-            else fixed + harm(state, read_ms)
+            if state.busy_ms + read_ms * state.slowdown <= state.safe_ms
+            else fixed + interference_cost(state, read_ms)
             for state, fixed in zip(self.states, self.fixed, strict=True)
         ]
         pairs = zip(costs, done_ms, strict=True)
         ranks = [cost + own_loss(done) for cost, done in pairs]
-        return Weights(done_ms, costs, ranks)
+        return EngineCosts(done_ms, costs, ranks)
 
     def plan(self, size: int) -> Plan | None:
         """Return the cheapest plan with some number of engines, or None."""
@@ -185,7 +195,7 @@
 
     def sizes(self) -> list[int]:
         """Return the numbers of engines that may have room together."""
-        most = MOST_WITH_MEMORY if self.split else GANG_SIZES[-1]
+        most = MAX_GANG_WITH_RESERVATIONS if self.split else GANG_SIZES[-1]
         sizes = sorted({min(size, len(self.states), most) for size in GANG_SIZES})
         if not self.split:
             return sizes
@@ -195,7 +205,7 @@
 
     def cheapest(self) -> Plan | None:
         """Return the plan that costs least, or None if no gang has room."""
-        bounds = Bounds(self)
+        bounds = CostBounds(self)
         least = {size: bounds.least_cost(size) for size in self.sizes()}
         best: Plan | None = None
         # From the most promising size on, as most need not be weighed then.
@@ -203,12 +213,12 @@
             if best is not None and least[size] > best.cost + ROUNDING:
                 break
             plan = self.plan(size)
-            if plan is not None and (best is None or plan.beats(best)):
+            if plan is not None and (best is None or plan.is_cheaper_than(best)):
                 best = plan
         return best
 
 
-class Bounds:
+class CostBounds:
     """What plans cost at least, told without weighing each engine.
 
     As if the cheapest engines were those that are free first, and none had requests
@@ -219,9 +229,9 @@
     search : Search
     """
 
-    def __init__(self, search: Search) -> None:
+    def __init__(self, search: PlanSearch) -> None:
         self.search = search
-        self.begins_ms = sorted(state.begin_ms for state in search.states)
+        self.begins_ms = sorted(state.prefill_start_ms for state in search.states)
         self.costs = sorted(search.fixed)
         self.host_cost = min(
             search.fixed[index] + search.openings[index] for index in search.hosts
@@ -235,7 +245,7 @@
 
 
 def best_plan(
-    ask: PlacementAsk,
+    ask: PlacementRequest,
     states: Sequence[EngineState],
     figures: EngineFigures,
     random: Random,
@@ -254,33 +264,37 @@
     hosts = hosts_of(ask, states, figures)
     if not hosts:
         return None
-    return Search(ask, states, figures, noise, hosts, races).cheapest()
+    return PlanSearch(ask, states, figures, noise, hosts, races).cheapest()
 
 
 def hosts_of(
-    ask: PlacementAsk, states: Sequence[EngineState], figures: EngineFigures
+    ask: PlacementRequest, states: Sequence[EngineState], figures: EngineFigures
 ) -> list[int]:
     """Return the engines that have a slot and memory for a request."""
-    room = most_promised(figures)
-    if not needs_tickets(ask, figures):
+    room = usable_tokens(figures)
+    if not needs_reservations(ask, figures):
         room -= total_tokens(ask)
     return [
         index
         for index, state in enumerate(states)
-        if is_open_to(ask, state) and state.found.standing.promised_tokens <= room
+        if can_host(ask, state) and state.summary.base_load.committed_tokens <= room
     ]
 
 
-def is_open_to(ask: PlacementAsk, state: EngineState) -> bool:
+def can_host(ask: PlacementRequest, state: EngineState) -> bool:
     """Return whether an engine has a slot, and is not too crowded for a request."""
-    return state.has_slot and (ask.crowded is None or state.running < ask.crowded)
+    return state.has_slot and (
+        ask.running_ceiling is None or state.running < ask.running_ceiling
+    )
 
 
-def opening_costs(ask: PlacementAsk, states: Sequence[EngineState]) -> list[float]:
+def pause_loss_costs(
+    ask: PlacementRequest, states: Sequence[EngineState]
+) -> list[float]:
     """Return the cost of shortening the pause that each engine's requests bear."""
     if ask.longest_pause is None:
         return [0.0] * len(states)
     own = ask.longest_pause.total_seconds() * 1e3
-    tightest = (state.found.tightest_ms for state in states)
-    borne = (LONGEST_PAUSE_MS if pause == inf else pause for pause in tightest)
-    return [OPENING_COST * max(0.0, pause - own) / 1e3 for pause in borne]
+    tightest = (state.summary.shortest_pause_ms for state in states)
+    borne = (IDLE_ENGINE_PAUSE_MS if pause == inf else pause for pause in tightest)
+    return [PAUSE_LOSS_COST_PER_S * max(0.0, pause - own) / 1e3 for pause in borne]
--- a/src/mimosafork/placement/policy.py
+++ b/src/mimosafork/placement/policy.py
@@ -5,26 +5,26 @@
 from random import Random
 
 from ..routing.engine import EngineFigures
-from .admission import finish_ms, too_late
+from .admission import finish_ms, retry_after_if_late
 from .choice import (
-    Choice,
+    Assignment,
     EngineView,
     Helper,
-    NoRoom,
-    Place,
-    PlacementAsk,
+    PlacementDecision,
+    PlacementRequest,
+    RejectRequest,
     Shortage,
-    WaitForRoom,
+    WaitForCapacity,
 )
-from .forecast import EngineState, state_of
-from .memory import needs_tickets, shares, total_tokens
+from .forecast import EngineState, engine_state
+from .load_tracker import LoadTracker, PrefillPart
+from .memory import needs_reservations, split_reservations, total_tokens
 from .plain import choose_plain, preferred
-from .plan import Plan, best_plan, is_open_to
+from .plan import Plan, best_plan, can_host
+from .prefill_order import should_wait_for_older_prefill
 from .race import race_costs
 from .spread import spread_cost
 from .subset import engine_rank
-from .turn import waits_its_turn
-from .work import LoadBook, Part
 
 __all__ = ["choose", "choose_plain"]
 
@@ -33,13 +33,13 @@
 
 
 def choose(
-    ask: PlacementAsk,
+    ask: PlacementRequest,
     engines: Sequence[EngineView],
-    book: LoadBook,
+    book: LoadTracker,
     figures: EngineFigures | None,
     now: timedelta,
     random: Random,
-) -> Choice:
+) -> PlacementDecision:
     """Return where a request goes now.
 
     Parameters
@@ -55,25 +55,27 @@
         return choose_plain(ask, engines, book, now, random)
     usable = preferred(ask, engines)
     if not usable:
-        return WaitForRoom(Shortage.ENDPOINTS)
-    states = states_of(usable, book, figures, now)
-    per_s = book.begun.per_s(now)
+        return WaitForCapacity(Shortage.ENDPOINTS)
+    states = engine_states(usable, book, figures, now)
+    per_s = book.start_rate.per_s(now)
     races = race_costs(per_s, figures)
-    spread = spread_cost(per_s, book.age.mean_s, book.rejected.per_s(now))
+    spread = spread_cost(
+        per_s, book.report_delay.mean_s, book.rejection_rate.per_s(now)
+    )
     plan = best_plan(ask, states, figures, random, races, spread)
     if plan is None:
-        return without_plan(ask, states, figures)
-    come_back = too_late(ask, states, plan.done_ms, plan.host, figures)
+        return decision_without_plan(ask, states, figures)
+    come_back = retry_after_if_late(ask, states, plan.done_ms, plan.host, figures)
     if come_back is not None:
-        return NoRoom(come_back, Shortage.TIME)
-    if waits_its_turn(ask, plan):
-        return WaitForRoom(Shortage.TURN)
-    return place_of(ask, plan, figures)
+        return RejectRequest(come_back, Shortage.TIME)
+    if should_wait_for_older_prefill(ask, plan):
+        return WaitForCapacity(Shortage.TURN)
+    return assignment_of(ask, plan, figures)
 
 
-def states_of(
+def engine_states(
     usable: Sequence[EngineView],
-    book: LoadBook,
+    book: LoadTracker,
     figures: EngineFigures,
     now: timedelta,
 ) -> list[EngineState]:
@@ -82,43 +84,50 @@
     now_ms = now.total_seconds() * 1e3
     count = len(ordered)
     return [
-        state_of(
+        engine_state(
             view,
-            book.sum_of(view.endpoint),
+            book.summary_of(view.endpoint),
             figures,
             now_ms,
             index / count,
             SUSPECT_COST if view.suspect else 0.0,
-            book.full.unheard(view.endpoint, now),
+            book.overloads.unreported(view.endpoint, now),
         )
         for index, view in enumerate(ordered)
     ]
 
 
-def without_plan(
-    ask: PlacementAsk, states: list[EngineState], figures: EngineFigures
-) -> Choice:
+def decision_without_plan(
+    ask: PlacementRequest, states: list[EngineState], figures: EngineFigures
+) -> PlacementDecision:
     """Say what a request lacks that has no place."""
     if total_tokens(ask) > figures.memory_tokens * len(states):
-        return NoRoom(ask.time_left, Shortage.SIZE)
+        return RejectRequest(ask.time_left, Shortage.SIZE)
     least = finish_ms(ask, 0.0, figures.step_ms, figures)
     if least > ask.time_left.total_seconds() * 1e3:
-        return NoRoom(timedelta(milliseconds=least), Shortage.TIME)
-    if any(is_open_to(ask, state) for state in states):
-        return WaitForRoom(Shortage.MEMORY)
-    return WaitForRoom(Shortage.SLOTS)
+        return RejectRequest(timedelta(milliseconds=least), Shortage.TIME)
+    if any(can_host(ask, state) for state in states):
+        return WaitForCapacity(Shortage.MEMORY)
+    return WaitForCapacity(Shortage.SLOTS)
 
 
-def place_of(ask: PlacementAsk, plan: Plan, figures: EngineFigures) -> Place:
+def assignment_of(
+    ask: PlacementRequest, plan: Plan, figures: EngineFigures
+) -> Assignment:
     """Return a plan as it is carried out."""
     gang = (plan.host, *plan.helpers)
     tokens = -(-ask.prompt_tokens // len(gang))
-    read_ms = figures.read_ms(tokens, ask.prompt_tokens)
+    read_ms = figures.prefill_ms(tokens, ask.prompt_tokens)
     parts = tuple(
-        Part(state.view.endpoint, tokens, read_ms * state.pace) for state in gang
+        PrefillPart(state.view.endpoint, tokens, read_ms * state.slowdown)
+        for state in gang
+    )
+    reservations = (
+        split_reservations(ask, gang, figures)
+        if needs_reservations(ask, figures)
+        else ()
     )
-    reservations = shares(ask, gang, figures) if needs_tickets(ask, figures) else ()
-    return Place(
+    return Assignment(
         host=plan.host.view.endpoint,
         address=plan.host.view.address,
         helpers=tuple(
--- a/src/mimosafork/placement/turn.py
+++ b/src/mimosafork/placement/prefill_order.py
@@ -7,17 +7,17 @@
 most of them are on time.
 """
 
-from .choice import PlacementAsk
+from .choice import PlacementRequest
 from .forecast import FIRST_EVENT_SLACK, EngineState
 from .plan import Plan
 
-LEAST_BACKLOG_MS = 60.0
+MIN_BACKLOG_MS = 60.0
 """Reading that is worth no wait; waiting requests are looked at every 50 ms."""
 LATE_SHARE = 0.4
 """Share of a late request's time within which its first token must be foretold."""
 
 
-def waits_its_turn(ask: PlacementAsk, plan: Plan) -> bool:
+def should_wait_for_older_prefill(ask: PlacementRequest, plan: Plan) -> bool:
     """Return whether a prompt loses nothing by letting older ones be read first.
 
     The plan foretells its first token behind all reading that is promised already. As
@@ -28,17 +28,17 @@
     """
     if not plan.helpers:
         return False
-    if not any(reads_for_others(state) for state in (plan.host, *plan.helpers)):
+    if not any(prefills_for_others(state) for state in (plan.host, *plan.helpers)):
         return False
     objective_ms = ask.objective.total_seconds() * 1e3
     if plan.done_ms <= objective_ms * (1.0 - FIRST_EVENT_SLACK):
         return True
     gang = (plan.host, *plan.helpers)
-    first_ms = plan.done_ms - max(state.reading_ms for state in gang)
+    first_ms = plan.done_ms - max(state.prefill_backlog_ms for state in gang)
     left_ms = ask.time_left.total_seconds() * 1e3
     return first_ms > objective_ms and plan.done_ms <= left_ms * LATE_SHARE
 
 
-def reads_for_others(state: EngineState) -> bool:
+def prefills_for_others(state: EngineState) -> bool:
     """Return whether an engine still reads a part of another host's prompt."""
-    return state.load.helping > 0 and state.reading_ms >= LEAST_BACKLOG_MS
+    return state.load.helping > 0 and state.prefill_backlog_ms >= MIN_BACKLOG_MS
--- a/src/mimosafork/placement/race.py
+++ b/src/mimosafork/placement/race.py
@@ -3,16 +3,16 @@
 from math import exp
 
 from ..routing.engine import EngineFigures
-from .forecast import LATE_LOSS, EngineState, worth_of
+from .forecast import LATE_LOSS, EngineState, value_of
 
-UNHEARD_S = 0.03
+REPORT_DELAY_S = 0.03
 """How long a work is unknown to some peers, from its choice on: its word waits 4 ms,
 then takes the network and two instances' turns (13 ms at the median of 64 instances,
 and 17 at the third quartile)."""
-CHOOSERS_SHARE = 0.5
+SAME_ENGINE_SHARE = 0.5
 """Share of the works begun meanwhile that chose the same engine: short prompts go to
 the engine that costs least, and instances that know the same agree about it."""
-FEWEST_SLOTS = 3
+MAX_CONTESTED_SLOTS = 3
 """An engine with more free slots is filled by no race."""
 
 
@@ -24,12 +24,12 @@
     engine until an answer ends, a second or more, and are late. The cost is the chance
     that others take what is free, times what such a call loses.
     """
-    expected = per_s * UNHEARD_S * CHOOSERS_SHARE
-    lost = LATE_LOSS * worth_of(figures.usual_prompt)
+    expected = per_s * REPORT_DELAY_S * SAME_ENGINE_SHARE
+    lost = LATE_LOSS * value_of(figures.mean_prompt_tokens)
     costs = []
     term = exp(-expected)
     at_least = 1.0
-    for free in range(1, FEWEST_SLOTS + 1):
+    for free in range(1, MAX_CONTESTED_SLOTS + 1):
         at_least -= term
         term *= expected / free
         costs.append(max(0.0, at_least) * lost)
--- a/src/mimosafork/placement/spread.py
+++ b/src/mimosafork/placement/spread.py
@@ -7,14 +7,14 @@
 
 from .plan import NOISE_COST
 
-SPREAD_PER_UNHEARD = 0.16
+SPREAD_PER_UNREPORTED = 0.16
 """Cost by which engines differ by chance, for each work that begins before its word
 comes."""
-UNHEARD_PER_REJECTION = 1.0
+UNREPORTED_PER_REJECTION = 1.0
 """Works of which nothing is known, for each call that a full engine turns away in a
 second: of words that are missing no age tells. More than one would spread calls onto
 engines that turn some away without being full, which can't be told from full ones."""
-MOST_SPREAD = 2.0
+MAX_SPREAD_COST = 2.0
 """Beyond it a choice goes by chance alone."""
 
 
@@ -35,5 +35,5 @@
     rejected_per_s : float
         Calls of this instance that full engines turn away in a second.
     """
-    unheard = per_s * late_s + UNHEARD_PER_REJECTION * rejected_per_s
-    return min(MOST_SPREAD, max(NOISE_COST, SPREAD_PER_UNHEARD * unheard))
+    unheard = per_s * late_s + UNREPORTED_PER_REJECTION * rejected_per_s
+    return min(MAX_SPREAD_COST, max(NOISE_COST, SPREAD_PER_UNREPORTED * unheard))
--- a/src/mimosafork/placement/subset.py
+++ b/src/mimosafork/placement/subset.py
@@ -15,29 +15,29 @@
 from ..ids import EndpointId, InstanceId
 from .choice import EngineView
 
-SUBSET = 10
+SUBSET_SIZE = 10
 """Engines that an instance uses: enough to read a prompt of 260,000 tokens in time.
 195 instances before 112 engines share them with some 35 others each, and an instance
 tells of its works 35 times, not 194."""
-LEAST_ENGINES = 2 * SUBSET
+MIN_ENGINES_FOR_SUBSETS = 2 * SUBSET_SIZE
 """Among fewer, subsets would hardly be smaller than the whole."""
 
 
-KNOWN_RANKS = 4_096
+RANK_CACHE_SIZE = 4_096
 """Engines whose place in the order is kept; more than one instance ever sees."""
 
 
-OTHER_ORDER = 1
+SUBSET_CRC_SEED = 1
 """Where the checksum for the subsets starts, so that it orders engines otherwise."""
 
 
-@lru_cache(KNOWN_RANKS)
+@lru_cache(RANK_CACHE_SIZE)
 def engine_rank(endpoint: EndpointId) -> tuple[int, EndpointId]:
     """Return what an engine's place goes by in the order from short to long prompts."""
     return crc32(endpoint.encode()), endpoint
 
 
-@lru_cache(KNOWN_RANKS)
+@lru_cache(RANK_CACHE_SIZE)
 def subset_rank(endpoint: EndpointId) -> tuple[int, EndpointId]:
     """Return what an engine's place goes by in the order that subsets are cut from.
 
@@ -46,7 +46,7 @@
     the front of one subset is at the back of its neighbour's, and each engine reads
     long prompts between the events of short answers.
     """
-    return crc32(endpoint.encode(), OTHER_ORDER), endpoint
+    return crc32(endpoint.encode(), SUBSET_CRC_SEED), endpoint
 
 
 class InstanceOrder(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
         Each instance's place.
     """
 
-    places: dict[InstanceId, int]
+    positions: dict[InstanceId, int]
 
     @classmethod
     def of(cls, instances: Iterable[InstanceId]) -> "InstanceOrder":
@@ -68,14 +68,14 @@
 
     def first_engine(self, instance: InstanceId, engines: int) -> int:
         """Return the place of an instance's first engine among so many."""
-        return self.places[instance] * engines // len(self.places)
+        return self.positions[instance] * engines // len(self.positions)
 
     def users(self, place: int, engines: int) -> list[InstanceId]:
         """Return the instances whose subset has the engine at a place."""
         return [
             each
-            for each in self.places
-            if (place - self.first_engine(each, engines)) % engines < SUBSET
+            for each in self.positions
+            if (place - self.first_engine(each, engines)) % engines < SUBSET_SIZE
         ]
 
 
@@ -91,4 +91,4 @@
     first = order.first_engine(own, len(ranked))
     turned = ranked[first:] + ranked[:first]
     sound = [view for view in turned if view.usable and not view.suspect]
-    return sound[:SUBSET] if len(sound) >= SUBSET else list(views)
+    return sound[:SUBSET_SIZE] if len(sound) >= SUBSET_SIZE else list(views)
--- a/src/mimosafork/platform/configuration.py
+++ b/src/mimosafork/platform/configuration.py
@@ -13,7 +13,7 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 from . import names
 from .documents import (
@@ -92,7 +92,7 @@
     )
 
 
-def splits_of(document: RouteDocument) -> tuple[Split, ...]:
+def splits_of(document: RouteDocument) -> tuple[TrafficSplit, ...]:
     """Return a route's services with their shares.
 
     Raises
@@ -102,11 +102,12 @@
     """
     if document.split:
         return tuple(
-            Split(ServiceId(each.service), each.weight) for each in document.split
+            TrafficSplit(ServiceId(each.service), each.weight)
+            for each in document.split
         )
     if document.service is None:
         raise DocumentError(f"route {document.name!a:.80} names no service")
-    return (Split(ServiceId(document.service), 1.0),)
+    return (TrafficSplit(ServiceId(document.service), 1.0),)
 
 
 def service_of(document: ServiceDocument) -> Service:
@@ -129,13 +130,13 @@
         step_ms=document.step_ms,
         per_sequence_ms=document.per_sequence_ms,
         context_ms_per_k=document.context_per_k,
-        read_tokens_per_ms=document.read_per_s / MS_PER_S,
-        pairs_ms_per_m=document.pairs_per_m,
-        chunk=document.chunk,
+        prefill_tokens_per_ms=document.read_per_s / MS_PER_S,
+        attention_ms_per_m_pairs=document.pairs_per_m,
+        prefill_chunk_tokens=document.chunk,
         hop_ms=document.hop_ms,
         report_lag=duration(document.report_lag_ms),
-        usual_prompt=round(document.usual.prompt),
-        usual_answer=round(document.usual.answer),
+        mean_prompt_tokens=round(document.usual.prompt),
+        mean_answer_tokens=round(document.usual.answer),
     )
 
 
--- a/src/mimosafork/platform/listing.py
+++ b/src/mimosafork/platform/listing.py
@@ -46,7 +46,7 @@
         software=document.software,
         cold_remaining=duration(document.cold_remaining_ms),
         sequence=document.sequence,
-        born_ms=document.born,
+        started_ms=document.born,
     )
 
 
--- a/src/mimosafork/quarantine/task.py
+++ b/src/mimosafork/quarantine/task.py
@@ -26,7 +26,7 @@
 
 TABLE = "suspicions"
 READ_PERIOD = timedelta(minutes=2)
-LIFETIME = timedelta(hours=1)
+SUSPICION_TTL = timedelta(hours=1)
 TRIES = 3
 DELETING_SHARE = 0.05
 """Part of the readers of an old row that delete it: one of them is enough."""
@@ -56,13 +56,13 @@
         table: Table,
         clock: Clock,
         random: Random,
-        tell: Callable[[Message], None],
+        send_to_kernel: Callable[[Message], None],
     ) -> None:
         super().__init__("suspicions")
         self.table = table
         self.clock = clock
         self.random = random
-        self.tell = tell
+        self.send_to_kernel = send_to_kernel
         self.read_at = clock.monotonic()
 
     def wait_time(self) -> timedelta:
@@ -82,7 +82,7 @@
             return
         read = [kept for kept in map(self._kept, rows) if kept is not None]
         if read:
-            self.tell(SuspicionsRead(tuple(read)))
+            self.send_to_kernel(SuspicionsRead(tuple(read)))
 
     def receive(self, message: KeepSuspicion | DropSuspicion) -> None:
         """Write, as often as other writers come in between."""
@@ -120,7 +120,7 @@
         except msgspec.ValidationError:
             return None
         age = max(timedelta(0), self.clock.now() - body.written.astimezone(UTC))
-        if age <= LIFETIME:
+        if age <= SUSPICION_TTL:
             return KeptSuspicion(Digest(row.key), body.evidence, age)
         if self.random.random() < DELETING_SHARE:
             self._delete(row)
--- a/src/mimosafork/recovery/task.py
+++ b/src/mimosafork/recovery/task.py
@@ -59,10 +59,10 @@
         Takes `HoldingsListed`; must return at once, as `KernelTask.send` does.
     """
 
-    def __init__(self, http: Http, tell: Callable[[Message], None]) -> None:
+    def __init__(self, http: Http, send_to_kernel: Callable[[Message], None]) -> None:
         super().__init__("cleaning")
         self.http = http
-        self.tell = tell
+        self.send_to_kernel = send_to_kernel
 
     def receive(self, message: ListHoldings | FreeHolding) -> None:
         """Make the call and tell or log what came of it."""
@@ -87,7 +87,7 @@
             logger.debug("engine %s listed nonsense: %s", command.endpoint, error)
             return
         holdings = tuple(_holding(each) for each in body.holdings)
-        self.tell(HoldingsListed(command.endpoint, holdings))
+        self.send_to_kernel(HoldingsListed(command.endpoint, holdings))
 
     def _free(self, command: FreeHolding) -> None:
         holding = command.holding
--- a/src/mimosafork/routing/changes.py
+++ b/src/mimosafork/routing/changes.py
@@ -7,7 +7,7 @@
 
 from .table import RoutingTable
 
-NOTHING = "nothing that matters here"
+NO_CHANGES = "nothing that matters here"
 
 
 @dataclass(frozen=True)
@@ -44,7 +44,7 @@
             parts.append("limits")
         if before is not None and before.has_accounts != after.has_accounts:
             parts.append("keys needed" if after.has_accounts else "no keys needed")
-        return ", ".join(parts) or NOTHING
+        return ", ".join(parts) or NO_CHANGES
 
 
 def counted(before: Mapping[Any, object], after: Mapping[Any, object]) -> str:
--- a/src/mimosafork/routing/engine.py
+++ b/src/mimosafork/routing/engine.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-DEFAULT_ANSWER = 600
+DEFAULT_ANSWER_TOKENS = 600
 """Tokens of a usual answer where the deployment states none."""
 
 
@@ -46,20 +46,20 @@
     step_ms: float
     per_sequence_ms: float
     context_ms_per_k: float
-    read_tokens_per_ms: float
-    pairs_ms_per_m: float
-    chunk: int
+    prefill_tokens_per_ms: float
+    attention_ms_per_m_pairs: float
+    prefill_chunk_tokens: int
     hop_ms: float = 0.0
     report_lag: timedelta = timedelta(milliseconds=200)
-    usual_prompt: int = 0
-    usual_answer: int = 0
+    mean_prompt_tokens: int = 0
+    mean_answer_tokens: int = 0
 
     @property
-    def likely_answer(self) -> int:
+    def expected_answer_tokens(self) -> int:
         """Tokens of an answer of which the caller says nothing."""
-        return self.usual_answer or DEFAULT_ANSWER
+        return self.mean_answer_tokens or DEFAULT_ANSWER_TOKENS
 
-    def read_ms(self, tokens: int, prompt_tokens: int) -> float:
+    def prefill_ms(self, tokens: int, prompt_tokens: int) -> float:
         """Return how long an engine reads its even part of a prompt.
 
         Parameters
@@ -73,4 +73,7 @@
             return 0.0
         pairs_m = prompt_tokens * prompt_tokens / 2.0 / 1e6
         share = tokens / prompt_tokens
-        return tokens / self.read_tokens_per_ms + share * pairs_m * self.pairs_ms_per_m
+        return (
+            tokens / self.prefill_tokens_per_ms
+            + share * pairs_m * self.attention_ms_per_m_pairs
+        )
--- a/src/mimosafork/routing/listing.py
+++ b/src/mimosafork/routing/listing.py
@@ -46,16 +46,16 @@
     software: str = ""
     cold_remaining: timedelta = timedelta(0)
     sequence: int = 0
-    born_ms: int | None = None
+    started_ms: int | None = None
 
-    def follows(self, born_ms: int | None) -> bool:
+    def started_after(self, born_ms: int | None) -> bool:
         """Whether this is surely a later life than one that began then."""
-        if self.born_ms is None or born_ms is None:
+        if self.started_ms is None or born_ms is None:
             return False
-        return self.born_ms > born_ms
+        return self.started_ms > born_ms
 
-    def precedes(self, born_ms: int | None) -> bool:
+    def started_before(self, born_ms: int | None) -> bool:
         """Whether this is surely an earlier life than one that began then."""
-        if self.born_ms is None or born_ms is None:
+        if self.started_ms is None or born_ms is None:
             return False
-        return self.born_ms < born_ms
+        return self.started_ms < born_ms
--- a/src/mimosafork/routing/table.py
+++ b/src/mimosafork/routing/table.py
@@ -23,7 +23,7 @@
     """A series of events; repeatable only where the route is resumable."""
 
 
-class Split(msgspec.Struct, frozen=True):
+class TrafficSplit(msgspec.Struct, frozen=True):
     """A service's share of a route's traffic."""
 
     service: ServiceId
@@ -55,7 +55,7 @@
     kind: CallKind
     timeout: timedelta
     objective: timedelta
-    splits: tuple[Split, ...]
+    splits: tuple[TrafficSplit, ...]
     max_attempts: int = 1
     priority: int = 5
     public: bool = False
--- a/tests/support/directories.py
+++ b/tests/support/directories.py
@@ -91,7 +91,7 @@
             slots=8,
             state=state,
             sequence=row.version,
-            born_ms=int(born) if born else None,
+            started_ms=int(born) if born else None,
         )
 
 
--- a/tests/support/gateway_tables.py
+++ b/tests/support/gateway_tables.py
@@ -18,7 +18,7 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 
 from .gateway_kernels import DESK
@@ -117,7 +117,7 @@
         kind,
         timeout,
         timedelta(seconds=3 if streams else 0.3),
-        (Split(service, 1.0),),
+        (TrafficSplit(service, 1.0),),
         max_attempts=most_attempts,
         resumable=streams and name != "sealed",
         sized=streams,
--- a/tests/support/gateway_world.py
+++ b/tests/support/gateway_world.py
@@ -75,7 +75,7 @@
 from .gateway_kernels import ZONE
 from .gateway_tables import EndpointRows, TableHistory, marks_of, message_of
 from .gateway_truth import RATIO, SLACK, Judge, ModelCall, Phase, Sent
-from .reserving_engines import POOL, ModelEngine
+from .reserving_engines import POOL, FakeModelEngine
 
 OPENED_WITHIN = timedelta(milliseconds=300)
 """A connection that takes longer is given up."""
@@ -126,7 +126,7 @@
     address: str
     zone: str
     slots: int
-    memory: ModelEngine
+    memory: FakeModelEngine
     reachable: bool = True
     deaf: bool = False
 
@@ -411,7 +411,7 @@
         lives = self.living.get(effect.address) == effect.endpoint
         if isinstance(effect, FreePart):
             if lives and known.reachable and not known.deaf:
-                known.memory.tickets.pop(effect.holding_id, None)
+                known.memory.reservations.pop(effect.holding_id, None)
             return
         if not lives or not known.reachable:
             self.reply(effect, PartFailure.UNREACHED, timedelta(0))
@@ -541,7 +541,7 @@
     def end_life(self, life: ModelEndpoint, crashes: bool) -> None:
         """Let an endpoint end; a crash breaks what it runs off."""
         del self.living[life.address]
-        life.memory.tickets.clear()
+        life.memory.reservations.clear()
         for sent in [s for s in self.open if s.dispatch.endpoint == life.name]:
             if crashes and sent.phase is Phase.SENT:
                 self.fail(sent, FailureKind.BROKEN)
--- a/tests/support/plain_search.py
+++ b/tests/support/plain_search.py
@@ -12,29 +12,34 @@
 from zlib import crc32
 
 from mimosafork.ids import EndpointId
-from mimosafork.placement.choice import EngineView, PlacementAsk
+from mimosafork.placement.choice import EngineView, PlacementRequest
 from mimosafork.placement.forecast import (
-    COLD_PACE,
+    COLD_SLOWDOWN,
     FIRST_EVENT_SLACK,
     LATE_LOSS,
     PAUSE_SLACK_MS,
-    TOKENS_OF_WORTH,
+    TOKENS_PER_REQUEST_VALUE,
 )
-from mimosafork.placement.memory import FULL_SHARE
+from mimosafork.placement.load_tracker import (
+    EngineLoad,
+    InFlightRequest,
+    LoadTracker,
+    PauseLimit,
+)
+from mimosafork.placement.memory import USABLE_MEMORY_SHARE
 from mimosafork.placement.plain import preferred
 from mimosafork.placement.plan import (
     DELAY_COST_PER_MS,
     GANG_SIZES,
     HELPER_COST,
-    LONGEST_PAUSE_MS,
-    MOST_WITH_MEMORY,
+    IDLE_ENGINE_PAUSE_MS,
+    MAX_GANG_WITH_RESERVATIONS,
     NOISE_COST,
-    OPENING_COST,
     ORDER_COST,
-    SMALL_PROMPT_MS,
+    PAUSE_LOSS_COST_PER_S,
+    SHORT_PREFILL_MS,
 )
 from mimosafork.placement.policy import SUSPECT_COST
-from mimosafork.placement.work import EngineLoad, LoadBook, Pace, Work
 from mimosafork.routing.engine import EngineFigures
 
 
@@ -71,11 +76,11 @@
 
 
 def plain_load(
-    endpoint: EndpointId, works: Iterable[Work], now: timedelta
+    endpoint: EndpointId, works: Iterable[InFlightRequest], now: timedelta
 ) -> EngineLoad:
     """Sum up the works on one engine."""
     running = writers = helping = promised = context = 0
-    paces: list[Pace] = []
+    paces: list[PauseLimit] = []
     reads: list[tuple[float, float]] = []
     for work in works:
         promised += plainly_held(work, endpoint)
@@ -86,10 +91,10 @@
             context += 0 if reading else work.prompt_tokens
             if work.longest_pause is not None:
                 pause_ms = work.longest_pause.total_seconds() * 1e3
-                paces.append(Pace(pause_ms, work.prompt_tokens))
+                paces.append(PauseLimit(pause_ms, work.prompt_tokens))
         if reading:
             helping += work.host != endpoint
-            mine = [part.read_ms for part in work.parts if part.endpoint == endpoint]
+            mine = [part.prefill_ms for part in work.parts if part.endpoint == endpoint]
             reads.append((work.started_at.total_seconds() * 1e3, sum(mine)))
     left_ms = plainly_left(reads, now.total_seconds() * 1e3)
     return EngineLoad(
@@ -97,7 +102,7 @@
     )
 
 
-def plainly_held(work: Work, endpoint: EndpointId) -> int:
+def plainly_held(work: InFlightRequest, endpoint: EndpointId) -> int:
     """Return the tokens of a work that an engine holds."""
     if not work.held:
         return work.prompt_tokens + work.answer_tokens if work.host == endpoint else 0
@@ -114,7 +119,7 @@
 
 def plain_states(
     usable: Sequence[EngineView],
-    book: LoadBook,
+    book: LoadTracker,
     figures: EngineFigures,
     now: timedelta,
 ) -> list[PlainState]:
@@ -124,7 +129,7 @@
     for index, view in enumerate(ordered):
         works = book.by_engine.get(view.endpoint, {})
         load = plain_load(view.endpoint, works.values(), now)
-        pace = max(1.0, view.pace) * (COLD_PACE if view.cold else 1.0)
+        pace = max(1.0, view.slowdown) * (COLD_SLOWDOWN if view.cold else 1.0)
         step = figures.step_ms
         if load.running:
             step += figures.per_sequence_ms * load.running
@@ -138,7 +143,7 @@
 
 def plain_worth(prompt_tokens: int) -> float:
     """Return what an answer that is on time is worth."""
-    return 1.0 + prompt_tokens / TOKENS_OF_WORTH
+    return 1.0 + prompt_tokens / TOKENS_PER_REQUEST_VALUE
 
 
 def plain_risk(value_ms: float, limit_ms: float, slack_ms: float) -> float:
@@ -150,30 +155,33 @@
 
 def plain_harm(state: PlainState, read_ms: float) -> float:
     """Return what a part costs the engine's own requests."""
-    before = state.pass_ms + state.load.reading_ms
+    before = state.pass_ms + state.load.prefill_backlog_ms
     after = before + read_ms * state.pace
     losses = []
-    for pace in state.load.paces:
+    for pace in state.load.pause_limits:
         more = plain_risk(after, pace.pause_ms, PAUSE_SLACK_MS)
         more -= plain_risk(before, pace.pause_ms, PAUSE_SLACK_MS)
         losses.append(more * LATE_LOSS * plain_worth(pace.prompt_tokens))
     return sum(losses)
 
 
-def plain_opening(ask: PlacementAsk, state: PlainState) -> float:
+def plain_opening(ask: PlacementRequest, state: PlainState) -> float:
     """Return the cost of shortening the pause that an engine's requests bear."""
     if ask.longest_pause is None:
         return 0.0
     own = ask.longest_pause.total_seconds() * 1e3
-    borne = min((pace.pause_ms for pace in state.load.paces), default=LONGEST_PAUSE_MS)
-    return OPENING_COST * max(0.0, borne - own) / 1e3
+    borne = min(
+        (pace.pause_ms for pace in state.load.pause_limits),
+        default=IDLE_ENGINE_PAUSE_MS,
+    )
+    return PAUSE_LOSS_COST_PER_S * max(0.0, borne - own) / 1e3
 
 
 @dataclass(frozen=True)
 class PlainSearch:
     """One request and the engines that it may use."""
 
-    ask: PlacementAsk
+    ask: PlacementRequest
     states: Sequence[PlainState]
     figures: EngineFigures
     noise: Sequence[float]
@@ -186,12 +194,12 @@
     @property
     def split(self) -> bool:
         """Whether it is larger than one engine's memory."""
-        return self.total > int(self.figures.memory_tokens * FULL_SHARE)
+        return self.total > int(self.figures.memory_tokens * USABLE_MEMORY_SHARE)
 
     def free(self, state: PlainState) -> int:
         """Return the tokens of an engine's memory that are promised to nobody."""
-        given_out = int(self.figures.memory_tokens * FULL_SHARE)
-        return given_out - state.load.promised_tokens
+        given_out = int(self.figures.memory_tokens * USABLE_MEMORY_SHARE)
+        return given_out - state.load.committed_tokens
 
     def own_loss(self, done_ms: float) -> float:
         """Return what the request loses by a time until its first token."""
@@ -204,11 +212,11 @@
     def seats(self, size: int) -> list[PlainSeat]:
         """Return each engine with one of `size` even parts."""
         prompt = self.ask.prompt_tokens
-        read_ms = self.figures.read_ms(-(-prompt // size), prompt)
-        small = self.figures.read_ms(prompt, prompt) < SMALL_PROMPT_MS
+        read_ms = self.figures.prefill_ms(-(-prompt // size), prompt)
+        small = self.figures.prefill_ms(prompt, prompt) < SHORT_PREFILL_MS
         seats = []
         for state, extra in zip(self.states, self.noise, strict=True):
-            done_ms = 1.5 * state.pass_ms + state.load.reading_ms
+            done_ms = 1.5 * state.pass_ms + state.load.prefill_backlog_ms
             done_ms += read_ms * state.pace
             cost = plain_harm(state, read_ms) + extra + state.penalty
             cost += ORDER_COST * (state.order if small else 1.0 - state.order)
@@ -259,9 +267,9 @@
 
 
 def plain_plan(
-    ask: PlacementAsk,
+    ask: PlacementRequest,
     engines: Sequence[EngineView],
-    book: LoadBook,
+    book: LoadTracker,
     figures: EngineFigures,
     now: timedelta,
     random: Random,
@@ -270,7 +278,7 @@
     states = plain_states(preferred(ask, engines), book, figures, now)
     noise = [random.random() * NOISE_COST for _ in states]
     search = PlainSearch(ask, states, figures, noise)
-    most = MOST_WITH_MEMORY if search.split else GANG_SIZES[-1]
+    most = MAX_GANG_WITH_RESERVATIONS if search.split else GANG_SIZES[-1]
     sizes = sorted({min(size, len(states), most) for size in GANG_SIZES})
     plans = [plan for size in sizes if (plan := search.plan(size)) is not None]
     return min(plans, key=lambda plan: plan.cost, default=None)
--- a/tests/support/reserving_engines.py
+++ b/tests/support/reserving_engines.py
@@ -53,9 +53,9 @@
     step_ms=1.31,
     per_sequence_ms=0.0018,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_m=0.162,
-    chunk=2_048,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_m_pairs=0.162,
+    prefill_chunk_tokens=2_048,
     hop_ms=0.1,
 )
 
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class ModelEngine:
+class FakeModelEngine:
     """An engine's memory: it reserves, renews, releases and lets run out.
 
     Attributes
@@ -82,7 +82,7 @@
     """
 
     name: str
-    tickets: dict[str, HeldMemory] = field(default_factory=dict)
+    reservations: dict[str, HeldMemory] = field(default_factory=dict)
     taken: int = 0
     silent: bool = False
     seen: set[str] = field(default_factory=set)
@@ -90,7 +90,7 @@
     @property
     def free(self) -> int:
         """Tokens that nobody holds."""
-        return MEMORY - self.taken - sum(t.tokens for t in self.tickets.values())
+        return MEMORY - self.taken - sum(t.tokens for t in self.reservations.values())
 
     def reserve(
         self, order: ReserveMemory, now: timedelta, late: timedelta = timedelta(0)
@@ -104,20 +104,20 @@
         """
         self.seen.add(order.reservation)
         until = now - late + order.time_to_live
-        known = self.tickets.get(order.reservation)
+        known = self.reservations.get(order.reservation)
         if known is not None:
             known.until = until
             known.renewals += 1
             return None
         if order.tokens > self.free:
             return PartFailure.NO_MEMORY
-        self.tickets[order.reservation] = HeldMemory(order.tokens, until)
+        self.reservations[order.reservation] = HeldMemory(order.tokens, until)
         return None
 
     def expire(self, now: timedelta) -> None:
         """Free what has run out."""
-        held = self.tickets.items()
-        self.tickets = {name: each for name, each in held if now < each.until}
+        held = self.reservations.items()
+        self.reservations = {name: each for name, each in held if now < each.until}
 
 
 class ReservingBench(Bench):
@@ -131,15 +131,15 @@
         Engines in the order in which they were asked, renewals too.
     """
 
-    engines: dict[str, ModelEngine]
+    engines: dict[str, FakeModelEngine]
 
-    def arm(self, names: Iterable[str]) -> None:
+    def set_up_engines(self, names: Iterable[str]) -> None:
         """Set up the engines and tell the kernel of them."""
-        self.engines = {name: ModelEngine(name) for name in names}
-        self.unanswered: list[ReserveMemory | FreePart] = []
-        self.order: list[str] = []
+        self.engines = {name: FakeModelEngine(name) for name in names}
+        self.unanswered_orders: list[ReserveMemory | FreePart] = []
+        self.reserve_order: list[str] = []
         self.wakes: list[WakeAt] = []
-        self.held_back: list[Message] | None = None
+        self.delayed_answers: list[Message] | None = None
         self.tell(TableInForce(table_of_pool()))
         for name in self.engines:
             self.tell(EndpointUsable(listed_engine(name)))
@@ -152,19 +152,19 @@
                 answer = self._carry_out(effect)
                 if answer is None:
                     continue
-                if self.held_back is None:
+                if self.delayed_answers is None:
                     messages.append(answer)
                 else:
-                    self.held_back.append(answer)
+                    self.delayed_answers.append(answer)
 
     def _carry_out(self, effect: Effect) -> Message | None:
         if isinstance(effect, WakeAt):
             self.wakes.append(effect)
         if isinstance(effect, ReserveMemory):
-            self.order.append(effect.endpoint)
+            self.reserve_order.append(effect.endpoint)
             engine = self.engines[effect.endpoint]
             if engine.silent:
-                self.unanswered.append(effect)
+                self.unanswered_orders.append(effect)
                 return None
             failure = engine.reserve(effect, self.clock.monotonic())
             request, name = effect.request_id, effect.reservation
@@ -174,21 +174,21 @@
         if isinstance(effect, FreePart):
             engine = self.engines[effect.endpoint]
             if engine.silent:
-                self.unanswered.append(effect)
+                self.unanswered_orders.append(effect)
             else:
-                engine.tickets.pop(effect.holding_id, None)
+                engine.reservations.pop(effect.holding_id, None)
         return None
 
-    def answer_held_back(self) -> None:
+    def deliver_delayed_answers(self) -> None:
         """Deliver the answers that were held back, and those that follow."""
-        waiting, self.held_back = self.held_back or [], None
+        waiting, self.delayed_answers = self.delayed_answers or [], None
         for message in waiting:
             self.serve(message)
 
     def lose_orders(self, failure: PartFailure = PartFailure.LOST) -> None:
         """Tell the kernel that the open orders of silent engines got no answer."""
-        lost = [o for o in self.unanswered if isinstance(o, ReserveMemory)]
-        self.unanswered = [o for o in self.unanswered if o not in lost]
+        lost = [o for o in self.unanswered_orders if isinstance(o, ReserveMemory)]
+        self.unanswered_orders = [o for o in self.unanswered_orders if o not in lost]
         for order in lost:
             self.serve(ReservationFailed(order.request_id, order.reservation, failure))
 
@@ -218,7 +218,7 @@
         return {
             ticket: engine.name
             for engine in self.engines.values()
-            for ticket in engine.tickets
+            for ticket in engine.reservations
         }
 
     def last_dispatch(self, request_id: str) -> Dispatch:
@@ -247,7 +247,7 @@
     identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(seed), create(PLUGINS))
     bench = ReservingBench(kernel, clock)
-    bench.arm(f"e{number}" for number in range(engines))
+    bench.set_up_engines(f"e{number}" for number in range(engines))
     return bench
 
 
--- a/tests/unit/benchmarks/test_experiment.py
+++ b/tests/unit/benchmarks/test_experiment.py
@@ -64,11 +64,11 @@
 
 
 def test_knob_is_set_back_also_after_an_error() -> None:
-    before = plan.OPENING_COST
+    before = plan.PAUSE_LOSS_COST_PER_S
     with suppress(RuntimeError), turned("opening-cost", 2 * before, RUN):
-        assert before != plan.OPENING_COST
+        assert before != plan.PAUSE_LOSS_COST_PER_S
         raise RuntimeError
-    assert before == plan.OPENING_COST
+    assert before == plan.PAUSE_LOSS_COST_PER_S
 
 
 def test_every_knob_stands_where_it_is_said_to() -> None:
--- a/tests/unit/benchmarks/test_pass_engine.py
+++ b/tests/unit/benchmarks/test_pass_engine.py
@@ -12,7 +12,7 @@
 READ_MS = 1_000.0
 PART = 154_000
 """Tokens that are read in about `READ_MS`, with the steps that it takes."""
-NO_PAIRS = replace(FIGURES, pairs_ms_per_m=0.0)
+NO_PAIRS = replace(FIGURES, attention_ms_per_m_pairs=0.0)
 END_S = 60.0
 
 
@@ -63,7 +63,7 @@
     assert engine.submit(job)
     loop.run(END_S)
     assert heard.first_ms is not None
-    assert heard.first_ms < 1_211 / FIGURES.read_tokens_per_ms + 2 * FIGURES.step_ms
+    assert heard.first_ms < 1_211 / FIGURES.prefill_tokens_per_ms + 2 * FIGURES.step_ms
     assert heard.events_ms[0] == heard.first_ms
     assert heard.ended
     assert len(heard.events_ms) == 3
--- a/tests/unit/endpoints/test_reservations.py
+++ b/tests/unit/endpoints/test_reservations.py
@@ -68,9 +68,11 @@
             if self.stop_before is not None and isinstance(effect, self.stop_before):
                 return
             if isinstance(effect, PrefillSegment):
-                self.adapter.tell_kernel(self.adapter.prefilled(effect, self.call()))
+                self.adapter.send_to_kernel(
+                    self.adapter.run_prefill(effect, self.call())
+                )
             elif isinstance(effect, ReserveMemory | ImportKv | FreePart):
-                self.adapter.carry_out(effect)
+                self.adapter.execute(effect)
             elif isinstance(effect, Dispatch):
                 self.dispatch = effect
             while self.told:
@@ -180,8 +182,8 @@
             MINUTE,
         )
         zone.callers["e1"].fault(kind="outage", reset=True)
-        zone.adapter.carry_out(reserve)
-        zone.adapter.carry_out(replace(reserve, address="127.0.0.1:1"))
+        zone.adapter.execute(reserve)
+        zone.adapter.execute(replace(reserve, address="127.0.0.1:1"))
         lost, unreached = zone.told
         assert isinstance(lost, ReservationFailed)
         assert lost.failure is PartFailure.LOST
@@ -201,8 +203,8 @@
             HoldingKind.RESERVATION,
             prefill.reservation,
         )
-        zone.adapter.carry_out(free)
-        message = zone.adapter.prefilled(prefill, zone.call())
+        zone.adapter.execute(free)
+        message = zone.adapter.run_prefill(prefill, zone.call())
         assert isinstance(message, SegmentFailed)
         assert message.failure is PartFailure.NO_MEMORY
         assert message.exposure is Exposure.REFUSED
@@ -217,9 +219,9 @@
         zone.stop_before = PrefillSegment
         request(zone)
         (prefill,) = zone.bench.emitted(PrefillSegment)
-        done = zone.adapter.prefilled(prefill, zone.call())
+        done = zone.adapter.run_prefill(prefill, zone.call())
         assert isinstance(done, SegmentPrefilled)
-        found = zone.adapter.attached(prefill)
+        found = zone.adapter.reattach(prefill)
         assert found == done
 
 
@@ -238,7 +240,7 @@
         request(zone)
         (prefill,) = zone.bench.emitted(PrefillSegment)
         late = replace(prefill, deadline=timedelta(0))
-        message = zone.adapter.prefilled(late, zone.call())
+        message = zone.adapter.run_prefill(late, zone.call())
         assert isinstance(message, SegmentFailed)
         assert message.exposure is Exposure.NEVER_SENT
 
--- a/tests/unit/gateway/test_call_lines.py
+++ b/tests/unit/gateway/test_call_lines.py
@@ -38,7 +38,7 @@
 from mimosafork.kernel.messages.problems import Problem, ProblemCode
 from mimosafork.kernel.messages.requests import Request, RequestKind
 from mimosafork.kernel.messages.timers import WakeAt
-from mimosafork.routing.table import CallKind, Route, RouteName, Split
+from mimosafork.routing.table import CallKind, Route, RouteName, TrafficSplit
 from mimosafork.telemetry.catalogue.gateway import (
     ATTEMPT_FAILED,
     ATTEMPT_OUT_OF_TIME,
@@ -117,7 +117,7 @@
         CallKind.STREAM,
         2000 * MS,
         500 * MS,
-        (Split(SERVICE, 1),),
+        (TrafficSplit(SERVICE, 1),),
     )
     request = Request(
         RequestId("1"),
--- a/tests/unit/gateway/test_doubtful_connections.py
+++ b/tests/unit/gateway/test_doubtful_connections.py
@@ -36,7 +36,7 @@
 from mimosafork.kernel.messages.base import Message
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.requests import Repeatability, Request, RequestKind
-from mimosafork.routing.table import CallKind, Route, RouteName, Split
+from mimosafork.routing.table import CallKind, Route, RouteName, TrafficSplit
 
 from ...support.functions import function_tests
 
@@ -130,7 +130,7 @@
 
 
 def call_at(clock: ManualClock, once: bool) -> Call:
-    splits = (Split(ServiceId("desks"), 1),)
+    splits = (TrafficSplit(ServiceId("desks"), 1),)
     route = Route(
         RouteName("r"), "a", "/", CallKind.IDEMPOTENT, 2000 * MS, 500 * MS, splits
     )
--- a/tests/unit/gateway/test_fleet_view.py
+++ b/tests/unit/gateway/test_fleet_view.py
@@ -162,18 +162,18 @@
     The instance went on leaving it alone for what its former life had done.
     """
     bench = gateway_bench(endpoints=0)
-    first = replace(desk_listed("desk-0"), born_ms=1000)
+    first = replace(desk_listed("desk-0"), started_ms=1000)
     bench.tell(EndpointUsable(first))
     miss(bench, "a")
     case.assertEqual(set(), usable(bench))
-    second = replace(first, born_ms=2000)
+    second = replace(first, started_ms=2000)
     bench.tell(EndpointUsable(second))
     case.assertEqual({"desk-0"}, usable(bench))
     bench.tell(EndpointLeaving(second.endpoint, final=True))
     bench.tell(EndpointUsable(first))
     bench.tell(EndpointUsable(second))
     case.assertEqual(set(), usable(bench))
-    bench.tell(EndpointUsable(replace(first, born_ms=3000)))
+    bench.tell(EndpointUsable(replace(first, started_ms=3000)))
     case.assertEqual({"desk-0"}, usable(bench))
 
 
--- a/tests/unit/gateway/test_full_engines.py
+++ b/tests/unit/gateway/test_full_engines.py
@@ -15,7 +15,7 @@
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.requests import Submit
 from mimosafork.kernel.messages.routing import PeerWorkTold
-from mimosafork.placement.work import Part, Work
+from mimosafork.placement.load_tracker import InFlightRequest, PrefillPart
 
 from ...support.functions import function_tests
 from ...support.reserving_engines import (
@@ -121,10 +121,10 @@
     return PeerWorkTold(
         PEER,
         tuple(
-            Work(
+            InFlightRequest(
                 RequestId(f"{PEER}/{name}-{number}"),
                 EndpointId(name),
-                (Part(EndpointId(name), SHORT, 13.0),),
+                (PrefillPart(EndpointId(name), SHORT, 13.0),),
                 prompt_tokens=SHORT,
                 answer_tokens=1_000,
                 longest_pause=timedelta(milliseconds=250),
@@ -279,7 +279,7 @@
     fleet.run(timedelta(seconds=16))
     placer = fleet.benches[0].kernel.plugin(WorkPlacer)
     case.assertEqual({}, placer.turned_away.crowds)
-    case.assertLessEqual(len(placer.book.full.words), 2)
+    case.assertLessEqual(len(placer.book.overloads.by_endpoint), 2)
 
 
 def test_an_engine_that_names_itself_is_full() -> None:
--- a/tests/unit/gateway/test_gateway_machine.py
+++ b/tests/unit/gateway/test_gateway_machine.py
@@ -22,14 +22,14 @@
 from mimosafork.ids import EndpointId, InstanceId, RequestId, ServiceId
 from mimosafork.kernel.core import TICK
 from mimosafork.kernel.messages.routing import PeerSilent, PeerWorkTold
-from mimosafork.placement.work import Work
+from mimosafork.placement.load_tracker import InFlightRequest
 
 from ...support.functions import function_tests
 from ...support.gateway_kernels import DESK
 from ...support.gateway_tables import KEYS, ROUTES
 from ...support.gateway_world import INSTANCES, Fate, GatewayWorld, ModelEndpoint
 from ...support.machines import explore
-from ...support.reserving_engines import MEMORY, POOL, ModelEngine
+from ...support.reserving_engines import MEMORY, POOL, FakeModelEngine
 
 EXAMPLES = 50
 STEPS = 50
@@ -112,7 +112,7 @@
         name = EndpointId(f"i-{self.lives}")
         zone = "zone-a" if self.lives % 2 else "zone-b"
         life = ModelEndpoint(
-            name, service, address, zone, self.slots, ModelEngine(name)
+            name, service, address, zone, self.slots, FakeModelEngine(name)
         )
         self.world.endpoints[name] = life
         self.world.living[address] = name
@@ -287,7 +287,7 @@
             return
         now = self.world.now
         works = tuple(
-            Work(RequestId(f"peer/{n}"), life.name, started_at=now)
+            InFlightRequest(RequestId(f"peer/{n}"), life.name, started_at=now)
             for n in range(count)
         )
         self.world.post(PeerWorkTold(InstanceId("peer"), works))
@@ -393,8 +393,8 @@
         gangs = self.world.kernel.plugin(MemoryKeeper).gangs.values()
         wanted = {str(t.reservation) for gang in gangs for t in gang.tickets}
         for life in self.world.endpoints.values():
-            unwanted = set(life.memory.tickets) - wanted
-            until = [life.memory.tickets[name].until for name in unwanted]
+            unwanted = set(life.memory.reservations) - wanted
+            until = [life.memory.reservations[name].until for name in unwanted]
             bound = self.world.now + timedelta(seconds=4)
             assert all(each <= bound for each in until), ("LEAK", life)
 
@@ -407,7 +407,7 @@
         self.world.run(TICK)
         left = [c for c in self.world.calls.values() if c.conclusion is None]
         assert not left, ("STUCK", left)
-        held = [e.memory.tickets for e in self.world.endpoints.values()]
+        held = [e.memory.reservations for e in self.world.endpoints.values()]
         assert not any(held), ("LEAK", held)
         self.nothing_is_kept_of_ended_calls()
 
--- a/tests/unit/gateway/test_hedged_ends.py
+++ b/tests/unit/gateway/test_hedged_ends.py
@@ -23,7 +23,7 @@
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.routing import EndpointLeaving, EndpointUsable
 from mimosafork.kernel.messages.sharing import WorkBegun, WorkEnded
-from mimosafork.placement.work import LoadBook, Part
+from mimosafork.placement.load_tracker import LoadTracker, PrefillPart
 from mimosafork.routing.listing import ListedEndpoint, ListedState
 
 from ...support.functions import function_tests
@@ -103,7 +103,7 @@
     it went on: as of a work whose first word took seconds.
     """
     bench = gateway_bench(endpoints=2)
-    peer_book = LoadBook()
+    peer_book = LoadTracker()
     first = bench.begin(request_of(bench, "1"))
     take_words(bench, peer_book)
     bench.tell(FirstToken(first.request_id, first.attempt))
@@ -113,20 +113,20 @@
     bench.pass_time(MOMENT, Tick())
     bench.tell(HedgedAttemptHeard(first.request_id, first.attempt))
     take_words(bench, peer_book)
-    case.assertEqual(0.0, peer_book.age.mean_s)
+    case.assertEqual(0.0, peer_book.report_delay.mean_s)
 
 
-def take_words(bench: GatewayBench, peer_book: LoadBook) -> None:
+def take_words(bench: GatewayBench, peer_book: LoadTracker) -> None:
     """Let a peer hear what was told of works, as of those of an engine."""
     now = bench.clock.monotonic()
     instance = InstanceId("entry-1")
     for effect in bench.effects:
         if isinstance(effect, WorkBegun):
-            parts = (Part(effect.work.host, 10, 1.0),)
+            parts = (PrefillPart(effect.work.host, 10, 1.0),)
             work = replace(effect.work, parts=parts)
-            peer_book.change_peer(instance, (work,), (), now)
+            peer_book.update_peer(instance, (work,), (), now)
         elif isinstance(effect, WorkEnded):
-            peer_book.change_peer(instance, (), (effect.request_id,), now)
+            peer_book.update_peer(instance, (), (effect.request_id,), now)
     bench.effects.clear()
 
 
--- a/tests/unit/gateway/test_intake.py
+++ b/tests/unit/gateway/test_intake.py
@@ -21,7 +21,7 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 
 from ...support.functions import function_tests
@@ -37,7 +37,7 @@
 ENGINE = EngineFigures(8, 1000, 4, 1.0, 0.1, 0.1, 100.0, 0.1, 64)
 
 
-def route(name: str, kind: CallKind, *services: Split, **more: object) -> Route:
+def route(name: str, kind: CallKind, *services: TrafficSplit, **more: object) -> Route:
     return Route(
         RouteName(name),
         "front.example",
@@ -45,7 +45,7 @@
         kind,
         timedelta(seconds=10),
         timedelta(milliseconds=300),
-        services or (Split(DESKS, 1.0),),
+        services or (TrafficSplit(DESKS, 1.0),),
         priority=4,
         **more,  # type: ignore[arg-type]
     )
@@ -56,10 +56,15 @@
     (
         route("safe", CallKind.IDEMPOTENT),
         route("once", CallKind.NON_IDEMPOTENT),
-        route("stream", CallKind.STREAM, Split(ENGINES, 1.0)),
-        route("resume", CallKind.STREAM, Split(ENGINES, 1.0), resumable=True),
+        route("stream", CallKind.STREAM, TrafficSplit(ENGINES, 1.0)),
+        route("resume", CallKind.STREAM, TrafficSplit(ENGINES, 1.0), resumable=True),
         route("open", CallKind.IDEMPOTENT, public=True),
-        route("split", CallKind.IDEMPOTENT, Split(DESKS, 3.0), Split(ENGINES, 1.0)),
+        route(
+            "split",
+            CallKind.IDEMPOTENT,
+            TrafficSplit(DESKS, 3.0),
+            TrafficSplit(ENGINES, 1.0),
+        ),
     ),
     {
         DESKS: Service(DESKS, "/healthz", 10),
--- a/tests/unit/gateway/test_kept_promises.py
+++ b/tests/unit/gateway/test_kept_promises.py
@@ -48,7 +48,7 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 
 from ...support.faults import expected_faults
@@ -423,7 +423,7 @@
 OTHERS = ServiceId("others")
 
 
-def route_to(*splits: Split) -> Route:
+def route_to(*splits: TrafficSplit) -> Route:
     return Route(
         RouteName("r"), HOST, "/safe/", CallKind.IDEMPOTENT, LONG, SECOND, splits
     )
@@ -432,7 +432,7 @@
 def routing_table(*routes: Route, number: int = 1) -> RoutingTable:
     return RoutingTable(
         Revision(number),
-        routes or (route_to(Split(DESKS, 1.0)),),
+        routes or (route_to(TrafficSplit(DESKS, 1.0)),),
         {DESKS: Service(DESKS, "/healthz", 200)},
         LIMITS,
         (),
@@ -474,7 +474,7 @@
     A configuration split a route between services and left all with the weight 0.
     The draw raised while the call was taken, and the loop closed the connection.
     """
-    table = routing_table(route_to(Split(DESKS, 0.0), Split(OTHERS, 0.0)))
+    table = routing_table(route_to(TrafficSplit(DESKS, 0.0), TrafficSplit(OTHERS, 0.0)))
     with gateway_door(table) as (_, door), expected_faults():
         caller = asked(door)
         check_told(caller, 503)
@@ -526,7 +526,7 @@
 
     The line of a refusal was written before the answer, and writing it raised.
     """
-    table = routing_table(replace(route_to(Split(DESKS, 1.0)), prefix="/other/"))
+    table = routing_table(replace(route_to(TrafficSplit(DESKS, 1.0)), prefix="/other/"))
     with gateway_door(table) as (_, door), expected_faults():
         with patch.object(CallLog, "refused", side_effect=PartBrokenError):
             caller = asked(door)
@@ -553,7 +553,7 @@
     The headers of its refusal could not be made, so the refusal was never written and
     the loop closed the connection.
     """
-    table = routing_table(replace(route_to(Split(DESKS, 1.0)), prefix="/other/"))
+    table = routing_table(replace(route_to(TrafficSplit(DESKS, 1.0)), prefix="/other/"))
     with gateway_door(table) as (gateway, door), expected_faults():
         broken = Mock(side_effect=PartBrokenError)
         with patch.object(gateway.dialect, "local_response_headers", broken):
--- a/tests/unit/gateway/test_moved_streams.py
+++ b/tests/unit/gateway/test_moved_streams.py
@@ -32,7 +32,7 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 
 from ...support.functions import function_tests
@@ -60,7 +60,7 @@
     CallKind.STREAM,
     SECOND * 20,
     SECOND * 0.3,
-    (Split(ENGINES, 1.0),),
+    (TrafficSplit(ENGINES, 1.0),),
     max_attempts=3,
     resumable=True,
     longest_pause=SECOND * 0.1,
--- a/tests/unit/gateway/test_neighbours.py
+++ b/tests/unit/gateway/test_neighbours.py
@@ -6,7 +6,7 @@
 from mimosafork.gateway.neighbours import Neighbours
 from mimosafork.gateway.policies.fleet_view import EndpointBelief, FleetView
 from mimosafork.ids import AvailabilityZoneId, EndpointId, InstanceId, ServiceId
-from mimosafork.placement.subset import LEAST_ENGINES, SUBSET
+from mimosafork.placement.subset import MIN_ENGINES_FOR_SUBSETS, SUBSET_SIZE
 from mimosafork.routing.listing import ListedEndpoint, ListedState
 
 from ...support.functions import function_tests
@@ -61,7 +61,7 @@
     neighbours = Neighbours(OWN, fleet)
     neighbours.heard(PEERS, large=True)
     mine = sorted(used(neighbours))
-    case.assertEqual(SUBSET, len(mine))
+    case.assertEqual(SUBSET_SIZE, len(mine))
     sharing = set()
     for peer in PEERS:
         other = Neighbours(peer, fleet)
@@ -73,9 +73,9 @@
 
 
 def test_few_engines_are_used_by_all_and_all_are_told() -> None:
-    neighbours = Neighbours(OWN, fleet_of(LEAST_ENGINES - 1))
+    neighbours = Neighbours(OWN, fleet_of(MIN_ENGINES_FOR_SUBSETS - 1))
     neighbours.heard(PEERS, large=True)
-    case.assertEqual(LEAST_ENGINES - 1, len(used(neighbours)))
+    case.assertEqual(MIN_ENGINES_FOR_SUBSETS - 1, len(used(neighbours)))
     case.assertEqual(frozenset(PEERS), neighbours.audience([EndpointId("i-3")]))
 
 
--- a/tests/unit/gateway/test_peer_works.py
+++ b/tests/unit/gateway/test_peer_works.py
@@ -22,7 +22,7 @@
     PeerWorkChanged,
     PeerWorkTold,
 )
-from mimosafork.placement.work import LoadBook, Work
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker
 from mimosafork.routing.engine import EngineFigures
 from mimosafork.routing.table import ClientLimits, RoutingTable
 
@@ -51,7 +51,7 @@
         self.network = network
         self.node = network.add(identity(0))
         self.steady = ManualClock(timedelta(seconds=100))
-        self.book = LoadBook()
+        self.book = LoadTracker()
         self.figures: EngineFigures | None = FIGURES
         self.whole = 0
         me = self.node.me
@@ -83,9 +83,9 @@
             self.book.replace_peer(message.instance, message.works, now)
         elif isinstance(message, PeerWorkChanged):
             works, ended = message.works, message.ended
-            self.book.change_peer(message.instance, works, ended, now)
+            self.book.update_peer(message.instance, works, ended, now)
         elif isinstance(message, PeerSilent):
-            self.book.forget_peer(message.instance)
+            self.book.remove_peer(message.instance)
 
     def run(self, span: timedelta, suspended: bool = False) -> None:
         """Let time pass; a suspended machine's steady clock stands still."""
@@ -96,7 +96,7 @@
         self.gossip.tell(effects, self.network.now)
         effects.clear()
 
-    def expected(self) -> dict[str, dict[str, Work]]:
+    def expected(self) -> dict[str, dict[str, InFlightRequest]]:
         """Return the works of all living peers, each worked out anew."""
         found = {}
         for load in self.gossip.loads():
@@ -112,7 +112,7 @@
             for work in works.values()
         )
 
-    def told(self) -> dict[str, dict[str, Work]]:
+    def told(self) -> dict[str, dict[str, InFlightRequest]]:
         """Return what the book has of peers."""
         return {
             str(name): {str(request): work for request, work in works.items()}
--- a/tests/unit/gateway/test_placing.py
+++ b/tests/unit/gateway/test_placing.py
@@ -18,8 +18,8 @@
 from mimosafork.kernel.messages.requests import CallerGone
 from mimosafork.kernel.messages.routing import EndpointLeaving, PeerSilent, PeerWorkTold
 from mimosafork.kernel.messages.sharing import WorkBegun, WorkEnded
-from mimosafork.placement.work import LoadBook, Part, Work
-from mimosafork.routing.engine import DEFAULT_ANSWER
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker, PrefillPart
+from mimosafork.routing.engine import DEFAULT_ANSWER_TOKENS
 
 from ...support.functions import function_tests
 from ...support.gateway_kernels import DEADLINE, GatewayBench, gateway_bench, request_of
@@ -31,7 +31,7 @@
 MOMENT = timedelta(milliseconds=1)
 
 
-def book_of(bench: GatewayBench) -> LoadBook:
+def book_of(bench: GatewayBench) -> LoadTracker:
     return bench.kernel.plugin(WorkPlacer).book
 
 
@@ -79,7 +79,9 @@
     bench = gateway_bench(endpoints=2)
     busy = EndpointId("desk-0")
     works = tuple(
-        Work(RequestId(f"{PEER}/{n}"), busy, started_at=bench.clock.monotonic())
+        InFlightRequest(
+            RequestId(f"{PEER}/{n}"), busy, started_at=bench.clock.monotonic()
+        )
         for n in range(5)
     )
     bench.tell(PeerWorkTold(PEER, works))
@@ -137,11 +139,11 @@
     assert silent.terms is not None
     hinting = replace(silent, terms=replace(silent.terms, expected_tokens=90))
     capped = replace(silent, max_tokens=1_000)
-    figures = replace(FIGURES, usual_answer=1_700)
+    figures = replace(FIGURES, mean_answer_tokens=1_700)
     asked = [expected_answer(each, figures) for each in (silent, hinting, capped)]
     case.assertEqual([1_700, 90, 1_000], asked)
-    unstated = replace(FIGURES, usual_answer=0)
-    case.assertEqual(DEFAULT_ANSWER, expected_answer(silent, unstated))
+    unstated = replace(FIGURES, mean_answer_tokens=0)
+    case.assertEqual(DEFAULT_ANSWER_TOKENS, expected_answer(silent, unstated))
 
 
 def test_peers_hear_only_of_long_readings_that_they_are_over() -> None:
@@ -151,11 +153,13 @@
     it was to be; that of a long prompt is seldom foretold to the tenth of a second.
     """
     host, helper = EndpointId("i-1"), EndpointId("i-2")
-    short = Work(RequestId("a"), host, (Part(host, 5_000, 33.0),))
-    long = Work(
-        RequestId("b"), host, (Part(host, 9_000, 60.0), Part(helper, 90_000, 900.0))
+    short = InFlightRequest(RequestId("a"), host, (PrefillPart(host, 5_000, 33.0),))
+    long = InFlightRequest(
+        RequestId("b"),
+        host,
+        (PrefillPart(host, 9_000, 60.0), PrefillPart(helper, 90_000, 900.0)),
     )
-    plain = Work(RequestId("c"), host)
+    plain = InFlightRequest(RequestId("c"), host)
     case.assertEqual(
         [False, True, False], [reads_long(w) for w in (short, long, plain)]
     )
--- a/tests/unit/gateway/test_reserved_tokens.py
+++ b/tests/unit/gateway/test_reserved_tokens.py
@@ -36,7 +36,7 @@
     assert tokens_of(bench, HeldState.HELD) == 0
     begun(bench)
     engines = bench.engines.values()
-    held = sum(each.tokens for e in engines for each in e.tickets.values())
+    held = sum(each.tokens for e in engines for each in e.reservations.values())
     assert held >= HUGE
     assert tokens_of(bench, HeldState.HELD) == held
     assert tokens_of(bench, HeldState.UNSURE) == 0
@@ -54,7 +54,7 @@
     for engine in bench.engines.values():
         engine.silent = True
     begun(bench)
-    (order,) = bench.unanswered
+    (order,) = bench.unanswered_orders
     assert tokens_of(bench, HeldState.UNSURE) == cast(Any, order).tokens
     assert tokens_of(bench, HeldState.HELD) == 0
 
--- a/tests/unit/gateway/test_reserving.py
+++ b/tests/unit/gateway/test_reserving.py
@@ -76,7 +76,7 @@
     dispatch = bench.last_dispatch("r")
     held = bench.held()
     case.assertEqual(set(held), set(tickets_of(dispatch)))
-    tokens = [t.tokens for e in bench.engines.values() for t in e.tickets.values()]
+    tokens = [t.tokens for e in bench.engines.values() for t in e.reservations.values()]
     case.assertGreaterEqual(sum(tokens), HUGE)
     case.assertLess(max(tokens), MEMORY)
     by_name = {h.reservation: h for h in dispatch.helpers}
@@ -99,7 +99,7 @@
     for seed in range(5):
         bench = reserving_bench(seed=seed)
         begun(bench)
-        case.assertEqual(sorted(bench.order), bench.order)
+        case.assertEqual(sorted(bench.reserve_order), bench.reserve_order)
 
 
 def test_a_prompt_that_fits_reserves_nothing() -> None:
@@ -127,10 +127,10 @@
     The answer to the first comes after the request has ended; it must not go on.
     """
     bench = reserving_bench()
-    bench.held_back = []
+    bench.delayed_answers = []
     begun(bench)
     bench.serve(CallerGone(RequestId("r")))
-    bench.answer_held_back()
+    bench.deliver_delayed_answers()
     nothing_kept(bench)
     case.assertEqual([], bench.dispatches("r"))
 
@@ -165,7 +165,7 @@
     """
     bench = reserving_bench()
     begun(bench, "probe")
-    full = bench.order[1]
+    full = bench.reserve_order[1]
     bench.serve(CallerGone(RequestId("probe")))
     bench = reserving_bench()
     bench.engines[full].taken = MEMORY
@@ -196,19 +196,19 @@
     """An engine answers no order. Those that answered must not be held for long."""
     bench = reserving_bench()
     begun(bench, "probe")
-    silent = bench.order[-1]
+    silent = bench.reserve_order[-1]
     bench = reserving_bench()
     bench.engines[silent].silent = True
     begun(bench)
     for _ in range(5):
         bench.run(ms(250))
         bench.lose_orders()
-    case.assertGreater(bench.order.count(silent), 2)
+    case.assertGreater(bench.reserve_order.count(silent), 2)
     bench.run(ms(500))
     dispatch = bench.last_dispatch("r")
     case.assertEqual(set(bench.held()), set(tickets_of(dispatch)))
     case.assertNotIn(silent, {helper.endpoint for helper in dispatch.helpers})
-    released = [o for o in bench.unanswered if isinstance(o, FreePart)]
+    released = [o for o in bench.unanswered_orders if isinstance(o, FreePart)]
     case.assertTrue(released, "what may have been carried out must be released")
 
 
@@ -221,7 +221,7 @@
     """
     bench = reserving_bench()
     begun(bench, "probe")
-    lossy = bench.engines[bench.order[0]].name
+    lossy = bench.engines[bench.reserve_order[0]].name
     bench = reserving_bench()
     engine = bench.engines[lossy]
     engine.silent = True
@@ -258,7 +258,7 @@
     """The process dies amid an answer, or between two reservations."""
     for amid_answer in (True, False):
         bench = reserving_bench()
-        bench.held_back = None if amid_answer else []
+        bench.delayed_answers = None if amid_answer else []
         begun(bench)
         bench.run(timedelta(seconds=2) if amid_answer else ms(50))
         bench.run(LEAK, ticking=False)
@@ -272,10 +272,10 @@
     would be refused at best.
     """
     bench = reserving_bench()
-    bench.held_back = []
+    bench.delayed_answers = []
     begun(bench)
     bench.run(HOLD, ticking=False)
-    bench.answer_held_back()
+    bench.deliver_delayed_answers()
     case.assertEqual([], bench.dispatches("r"))
     bench.run(ms(400))
     dispatch = bench.last_dispatch("r")
@@ -290,13 +290,13 @@
     """
     for which in range(3):
         bench = reserving_bench()
-        bench.held_back = []
+        bench.delayed_answers = []
         begun(bench)
         gang = bench.kernel.plugin(MemoryKeeper).gangs[RequestId("r")]
         engines = [gang.place.host, *(h.endpoint for h in gang.place.helpers)]
         leaving = engines[which]
         bench.serve(EndpointLeaving(leaving, final=True))
-        bench.answer_held_back()
+        bench.deliver_delayed_answers()
         bench.run(ms(400))
         dispatch = bench.last_dispatch("r")
         sent_to = {dispatch.endpoint, *(h.endpoint for h in dispatch.helpers)}
@@ -334,22 +334,22 @@
 def test_a_lost_renewal_is_repeated_at_once() -> None:
     bench = reserving_bench()
     begun(bench)
-    engine = bench.engines[bench.order[0]]
+    engine = bench.engines[bench.reserve_order[0]]
     bench.run(HOLD - LAST_OF_HOLD - ms(50))
     engine.silent = True
     bench.run(ms(100))
     engine.silent = False
-    case.assertTrue(bench.unanswered)
+    case.assertTrue(bench.unanswered_orders)
     bench.lose_orders()
     bench.run(ASK_AGAIN_AFTER + ms(50))
-    until = max(ticket.until for ticket in engine.tickets.values())
+    until = max(ticket.until for ticket in engine.reservations.values())
     case.assertGreater(until - bench.clock.monotonic(), HOLD - ms(200))
 
 
 def test_a_dead_engine_is_left_alone_by_all_and_the_request_placed_at_once() -> None:
     bench = reserving_bench()
     begun(bench, "probe")
-    dead = bench.order[1]
+    dead = bench.reserve_order[1]
     bench = reserving_bench()
     bench.engines[dead].silent = True
     begun(bench)
@@ -421,7 +421,7 @@
     policy = bench.kernel.plugin(BudgetedRetry)
     policy.ratio, policy.slack = 0.0, 2.0
     begun(bench)
-    bench.held_back = []
+    bench.delayed_answers = []
     bench.fail_attempt("r")
     bench.run(ms(50))
     own = policy.allowance(POOL)
@@ -429,7 +429,7 @@
     bench.run(ms(400))
     for number in range(repeats):
         own.count_repeat(RequestId(f"o{number}"), bench.clock.monotonic())
-    bench.answer_held_back()
+    bench.deliver_delayed_answers()
     return own
 
 
@@ -532,12 +532,12 @@
         gangs = self.bench.kernel.plugin(MemoryKeeper).gangs.values()
         wanted = {str(t.reservation) for gang in gangs for t in gang.tickets}
         for engine in self.bench.engines.values():
-            unwanted = set(engine.tickets) - wanted
+            unwanted = set(engine.reservations) - wanted
             lost = {o.holding_id for o in self._lost_releases()}
             assert unwanted <= lost, unwanted - lost
 
     def _lost_releases(self) -> list[FreePart]:
-        return [o for o in self.bench.unanswered if isinstance(o, FreePart)]
+        return [o for o in self.bench.unanswered_orders if isinstance(o, FreePart)]
 
     def teardown(self) -> None:
         """Let all end that is left, and with it what is held."""
--- a/tests/unit/gateway/test_silence.py
+++ b/tests/unit/gateway/test_silence.py
@@ -19,8 +19,8 @@
 from mimosafork.kernel.messages.requests import CallTerms, Submit
 from mimosafork.kernel.messages.routing import PeerWorkTold
 from mimosafork.kernel.messages.sharing import CrashTold
-from mimosafork.placement.reading import OVERRUN
-from mimosafork.placement.work import Part, Work
+from mimosafork.placement.load_tracker import InFlightRequest, PrefillPart
+from mimosafork.placement.prefill_time import OVERRUN_SHARE
 
 from ...support.functions import function_tests
 from ...support.gateway_kernels import GatewayBench, gateway_bench, request_of
@@ -96,8 +96,8 @@
 
 def read_for_a_peer(bench: GatewayBench, endpoint: EndpointId) -> None:
     """Let a peer tell that an endpoint has begun to read for a call of its own."""
-    part = Part(endpoint, 100_000, READING / MILLISECOND)
-    work = Work(
+    part = PrefillPart(endpoint, 100_000, READING / MILLISECOND)
+    work = InFlightRequest(
         RequestId(f"{PEER}/1"), endpoint, (part,), started_at=bench.clock.monotonic()
     )
     bench.tell(PeerWorkTold(PEER, (work,)))
@@ -121,7 +121,7 @@
     hear_the_zone(bench, "b")
     fall_silent(bench, first)
     case.assertEqual([], ended(bench))
-    bench.pass_time(READING * (1 + OVERRUN), Tick())
+    bench.pass_time(READING * (1 + OVERRUN_SHARE), Tick())
     hear_the_zone(bench, "c")
     fall_silent(bench, first)
     case.assertEqual(1, len(ended(bench)))
--- a/tests/unit/placement/test_policy.py
+++ b/tests/unit/placement/test_policy.py
@@ -9,16 +9,16 @@
 
 from mimosafork.ids import AvailabilityZoneId, EndpointId, RequestId
 from mimosafork.placement.choice import (
-    Choice,
+    Assignment,
     EngineView,
-    NoRoom,
-    Place,
-    PlacementAsk,
+    PlacementDecision,
+    PlacementRequest,
+    RejectRequest,
     Shortage,
-    WaitForRoom,
+    WaitForCapacity,
 )
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker, PrefillPart
 from mimosafork.placement.policy import choose, choose_plain
-from mimosafork.placement.work import LoadBook, Part, Work
 from mimosafork.routing.engine import EngineFigures
 
 from ...support.functions import function_tests
@@ -33,9 +33,9 @@
     step_ms=1.31,
     per_sequence_ms=0.0018,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_m=0.162,
-    chunk=2_048,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_m_pairs=0.162,
+    prefill_chunk_tokens=2_048,
     hop_ms=0.1,
 )
 
@@ -59,7 +59,7 @@
 
 def ask(
     prompt: int, objective: float = 300, pause: float = 250, **more: object
-) -> PlacementAsk:
+) -> PlacementRequest:
     fields: dict[str, object] = {
         "request": RequestId("r"),
         "prompt_tokens": prompt,
@@ -69,23 +69,23 @@
         "objective": ms(objective),
         "longest_pause": ms(pause),
     }
-    return PlacementAsk(**{**fields, **more})  # type: ignore[arg-type]
+    return PlacementRequest(**{**fields, **more})  # type: ignore[arg-type]
 
 
-def short(**more: object) -> PlacementAsk:
+def short(**more: object) -> PlacementRequest:
     return ask(5_000, **more)  # type: ignore[arg-type]
 
 
-def middle() -> PlacementAsk:
+def middle() -> PlacementRequest:
     return ask(45_000, 1_500, 600)
 
 
-def long(prompt: int = 182_000) -> PlacementAsk:
+def long(prompt: int = 182_000) -> PlacementRequest:
     return ask(prompt, 4_000, 1_000, time_left=timedelta(seconds=15))
 
 
 def fill(
-    book: LoadBook,
+    book: LoadTracker,
     host: EndpointId,
     count: int = 1,
     pause: float = 250,
@@ -94,11 +94,11 @@
     read_ms: float = 35.0,
 ) -> None:
     for _ in range(count):
-        book.note(
-            Work(
+        book.record(
+            InFlightRequest(
                 request=RequestId(f"{host}-{len(book.own)}"),
                 host=host,
-                parts=(Part(host, prompt, read_ms),),
+                parts=(PrefillPart(host, prompt, read_ms),),
                 prompt_tokens=prompt,
                 answer_tokens=1_200,
                 longest_pause=ms(pause),
@@ -109,33 +109,35 @@
 
 
 def chosen(
-    asked: PlacementAsk,
+    asked: PlacementRequest,
     engines: Sequence[EngineView],
-    book: LoadBook | None = None,
+    book: LoadTracker | None = None,
     figures: EngineFigures | None = FIGURES,
     seed: int = 1,
-) -> Choice:
-    return choose(asked, engines, book or LoadBook(), figures, NOW, Random(seed))
+) -> PlacementDecision:
+    return choose(asked, engines, book or LoadTracker(), figures, NOW, Random(seed))
 
 
 def placed(
-    asked: PlacementAsk, engines: Sequence[EngineView], book: LoadBook | None = None
-) -> Place:
+    asked: PlacementRequest,
+    engines: Sequence[EngineView],
+    book: LoadTracker | None = None,
+) -> Assignment:
     choice = chosen(asked, engines, book)
-    assert isinstance(choice, Place), choice
+    assert isinstance(choice, Assignment), choice
     return choice
 
 
 def test_short_requests_share_engines_from_the_front() -> None:
-    book = LoadBook()
+    book = LoadTracker()
     hosts = set()
     for n in range(12):
         asked = short(request=RequestId(str(n)))
         place = placed(asked, views(14), book)
         case.assertEqual(place.helpers, ())
         hosts.add(place.host)
-        book.note(place.work(asked, NOW))
-        book.first_token(asked.request, NOW)
+        book.record(place.to_in_flight_request(asked, NOW))
+        book.record_first_token(asked.request, NOW)
     case.assertLessEqual(len(hosts), 4)
 
 
@@ -143,7 +145,7 @@
     hosts = {
         place.host
         for seed in range(20)
-        if isinstance(place := chosen(short(), views(14), seed=seed), Place)
+        if isinstance(place := chosen(short(), views(14), seed=seed), Assignment)
     }
     case.assertLessEqual(len(hosts), 8)
 
@@ -154,7 +156,7 @@
     The short one would wait seconds for its first event there; it goes elsewhere,
     even onto an engine that writes for others.
     """
-    book = LoadBook()
+    book = LoadTracker()
     engines = views(3)
     for view in engines[:2]:
         fill(book, view.endpoint, writing=False, pause=1_000, read_ms=3_000.0)
@@ -168,7 +170,7 @@
     Parts of a long prompt would stretch their passes past that; the other nine take
     the host and the helpers.
     """
-    book = LoadBook()
+    book = LoadTracker()
     engines = views(14)
     busy = {view.endpoint for view in engines[:5]}
     for endpoint in busy:
@@ -186,13 +188,13 @@
 
     On one engine it would make six answers late; in parts it harms none.
     """
-    book = LoadBook()
+    book = LoadTracker()
     engines = views(14)
     for view in engines:
         fill(book, view.endpoint, 5)
     place = placed(middle(), engines, book)
     case.assertGreaterEqual(len(place.helpers), 2)
-    case.assertTrue(all(part.read_ms < 160 for part in place.parts))
+    case.assertTrue(all(part.prefill_ms < 160 for part in place.parts))
 
 
 def test_parts_are_even_and_cover_the_prompt() -> None:
@@ -223,7 +225,7 @@
 
 def test_engines_with_little_room_are_spared() -> None:
     engines = views(6)
-    book = LoadBook()
+    book = LoadTracker()
     for view in engines[:2]:
         fill(book, view.endpoint, prompt=350_000, pause=1_000)
     place = placed(long(700_000), engines, book)
@@ -236,38 +238,38 @@
 
     Together they exceed its memory, and the newest would be preempted mid-stream.
     """
-    book = LoadBook()
+    book = LoadTracker()
     engines = views(2)
     fill(book, engines[0].endpoint, prompt=300_000, pause=1_000)
     case.assertEqual(placed(long(), engines, book).host, engines[1].endpoint)
     fill(book, engines[1].endpoint, prompt=300_000, pause=1_000)
-    case.assertEqual(chosen(long(), engines, book), WaitForRoom(Shortage.MEMORY))
+    case.assertEqual(chosen(long(), engines, book), WaitForCapacity(Shortage.MEMORY))
 
 
 def test_full_engines_make_a_request_wait() -> None:
-    book = LoadBook()
+    book = LoadTracker()
     engines = views(2, slots=2)
     for view in engines:
         fill(book, view.endpoint, 2)
-    case.assertEqual(chosen(short(), engines, book), WaitForRoom(Shortage.SLOTS))
+    case.assertEqual(chosen(short(), engines, book), WaitForCapacity(Shortage.SLOTS))
 
 
 def test_a_request_without_time_is_refused_only_while_places_are_taken() -> None:
     asked = short(time_left=ms(20))
-    case.assertIsInstance(chosen(asked, views(2)), Place)
-    book = LoadBook()
+    case.assertIsInstance(chosen(asked, views(2)), Assignment)
+    book = LoadTracker()
     engines = views(2)
     for view in engines:
         fill(book, view.endpoint, 5)
     choice = chosen(asked, engines, book)
-    assert isinstance(choice, NoRoom)
+    assert isinstance(choice, RejectRequest)
     case.assertIs(choice.reason, Shortage.TIME)
-    case.assertGreater(choice.come_back, timedelta(0))
+    case.assertGreater(choice.retry_after, timedelta(0))
 
 
 def test_a_prompt_that_fits_nowhere_is_refused() -> None:
     choice = chosen(long(900_000), views(2))
-    assert isinstance(choice, NoRoom)
+    assert isinstance(choice, RejectRequest)
     case.assertIs(choice.reason, Shortage.SIZE)
 
 
@@ -281,7 +283,7 @@
 def test_without_a_usable_engine_a_request_waits() -> None:
     for engines in ([], views(3, usable=False)):
         choice = chosen(short(), engines)
-        case.assertEqual(choice, WaitForRoom(Shortage.ENDPOINTS))
+        case.assertEqual(choice, WaitForCapacity(Shortage.ENDPOINTS))
 
 
 def test_avoided_and_suspect_engines_are_last() -> None:
@@ -298,37 +300,37 @@
     A dossier of 800,000 tokens broke off late and was read again on nine engines, with
     less time left than the reading takes; its answer could not come any more.
     """
-    again = ask(800_000, 4_000, 1_000, time_left=ms(4_000), repeated=True)
+    again = ask(800_000, 4_000, 1_000, time_left=ms(4_000), may_have_run=True)
     choice = chosen(again, views(9))
-    assert isinstance(choice, NoRoom)
+    assert isinstance(choice, RejectRequest)
     case.assertIs(choice.reason, Shortage.TIME)
     in_time = replace(again, time_left=ms(15_000))
-    case.assertIsInstance(chosen(in_time, views(9)), Place)
-    first = replace(again, repeated=False)
-    case.assertIsInstance(chosen(first, views(9)), Place)
+    case.assertIsInstance(chosen(in_time, views(9)), Assignment)
+    first = replace(again, may_have_run=False)
+    case.assertIsInstance(chosen(first, views(9)), Assignment)
 
 
 def test_slow_engines_get_no_part_that_would_be_late() -> None:
-    engines = [*views(8, pace=6.0)[:4], *views(8)[4:]]
+    engines = [*views(8, slowdown=6.0)[:4], *views(8)[4:]]
     place = placed(long(), engines)
     slow = {view.endpoint for view in engines[:4]}
     case.assertFalse({part.endpoint for part in place.parts} & slow)
 
 
 def test_without_figures_the_least_busy_endpoint_is_taken() -> None:
-    book = LoadBook()
+    book = LoadTracker()
     engines = views(3, slots=6)
     fill(book, engines[0].endpoint, 2)
     fill(book, engines[2].endpoint, 1)
     choice = chosen(short(), engines, book, figures=None)
-    case.assertEqual(choice, Place(EndpointId("e1"), "10.0.0.1:80"))
+    case.assertEqual(choice, Assignment(EndpointId("e1"), "10.0.0.1:80"))
 
 
 def test_on_ties_the_own_zone_goes_first() -> None:
     asked = short(zone=AvailabilityZoneId("z2"))
     for seed in range(5):
-        choice = choose_plain(asked, views(3), LoadBook(), NOW, Random(seed))
-        assert isinstance(choice, Place)
+        choice = choose_plain(asked, views(3), LoadTracker(), NOW, Random(seed))
+        assert isinstance(choice, Assignment)
         case.assertEqual(choice.host, EndpointId("e2"))
 
 
--- a/tests/unit/placement/test_race.py
+++ b/tests/unit/placement/test_race.py
@@ -16,10 +16,10 @@
 from benchmarks.passes.play import Run, play
 from mimosafork.ids import AvailabilityZoneId, EndpointId, RequestId
 from mimosafork.placement import race
-from mimosafork.placement.choice import EngineView, Place, PlacementAsk
+from mimosafork.placement.choice import Assignment, EngineView, PlacementRequest
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker, PrefillPart
 from mimosafork.placement.policy import choose
-from mimosafork.placement.rate import BeginRate
-from mimosafork.placement.work import LoadBook, Part, Work
+from mimosafork.placement.rate import DecayingRate
 
 from ...support.functions import function_tests
 
@@ -51,22 +51,22 @@
     free there and did not yet know of the others' calls. The last ones waited in the
     engine until an answer ended.
     """
-    with patch.object(race, "UNHEARD_S", 0.0):
+    with patch.object(race, "REPORT_DELAY_S", 0.0):
         without = late_share()
     case.assertGreater(without, 0.05)
     case.assertLess(late_share(), without / 2)
 
 
-def book_with(running: int, per_s: int) -> LoadBook:
+def book_with(running: int, per_s: int) -> LoadTracker:
     """Return a book with works on the first engine, and with a rate of begins."""
-    book = LoadBook()
+    book = LoadTracker()
     for number in range(per_s * 5):
-        book.begun.note(SECOND * (number / per_s))
+        book.start_rate.record(SECOND * (number / per_s))
     for number in range(running):
-        part = Part(ENGINES[0], 100, 1.0)
+        part = PrefillPart(ENGINES[0], 100, 1.0)
         began = SECOND * 4.0
-        book.note(
-            Work(
+        book.record(
+            InFlightRequest(
                 RequestId(str(number)),
                 ENGINES[0],
                 (part,),
@@ -80,14 +80,14 @@
     return book
 
 
-def chosen(book: LoadBook) -> EndpointId:
+def chosen(book: LoadTracker) -> EndpointId:
     """Return where a short prompt goes."""
     views = [EngineView(name, "10.0.0.1:80", ZONE, FIGURES.slots) for name in ENGINES]
-    ask = PlacementAsk(
+    ask = PlacementRequest(
         RequestId("x"), 2_000, 0, 600, SECOND * 10, SECOND / 3, longest_pause=SECOND / 4
     )
     choice = choose(ask, views, book, FIGURES, SECOND * 5, Random(1))
-    assert isinstance(choice, Place)
+    assert isinstance(choice, Assignment)
     return choice.host
 
 
@@ -101,23 +101,23 @@
     calm, busy = (race.race_costs(rate, FIGURES) for rate in (1.0, 80.0))
     case.assertEqual(sorted(busy, reverse=True), list(busy))
     case.assertTrue(all(low < high for low, high in zip(calm, busy, strict=True)))
-    case.assertEqual((0.0,) * race.FEWEST_SLOTS, race.race_costs(0.0, FIGURES))
+    case.assertEqual((0.0,) * race.MAX_CONTESTED_SLOTS, race.race_costs(0.0, FIGURES))
 
 
 def test_the_rate_follows_what_begins_and_forgets_it() -> None:
-    rate = BeginRate()
+    rate = DecayingRate()
     for number in range(400):
-        rate.note(SECOND * (number / 40))
+        rate.record(SECOND * (number / 40))
     case.assertAlmostEqual(40.0, rate.per_s(SECOND * 10), delta=2.0)
     case.assertLess(rate.per_s(SECOND * 15), 1.0)
 
 
 def test_a_work_counts_once_for_the_rate_whatever_is_told_of_it() -> None:
     book = book_with(running=3, per_s=1)
-    before = book.begun.per_s(SECOND * 5)
+    before = book.start_rate.per_s(SECOND * 5)
     for request in list(book.own):
-        book.first_token(request, SECOND * 5)
-    case.assertEqual(before, book.begun.per_s(SECOND * 5))
+        book.record_first_token(request, SECOND * 5)
+    case.assertEqual(before, book.start_rate.per_s(SECOND * 5))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/placement/test_reading.py
+++ b/tests/unit/placement/test_reading.py
@@ -4,8 +4,8 @@
 from unittest import TestCase
 
 from mimosafork.ids import EndpointId, RequestId
-from mimosafork.placement.reading import OVERRUN, explained_for
-from mimosafork.placement.work import Part, Work
+from mimosafork.placement.load_tracker import InFlightRequest, PrefillPart
+from mimosafork.placement.prefill_time import OVERRUN_SHARE, prefill_time_left
 
 from ...support.functions import function_tests
 
@@ -20,14 +20,16 @@
     return timedelta(milliseconds=value)
 
 
-def read(name: str, length_ms: float, begun: timedelta = NOW) -> Work:
-    parts = (Part(ENGINE, 1_000, length_ms),)
-    return Work(RequestId(name), ENGINE, parts, started_at=begun)
+def read(name: str, length_ms: float, begun: timedelta = NOW) -> InFlightRequest:
+    parts = (PrefillPart(ENGINE, 1_000, length_ms),)
+    return InFlightRequest(RequestId(name), ENGINE, parts, started_at=begun)
 
 
 def test_reads_follow_one_another() -> None:
     works = [read("a", 400), read("b", 600)]
-    case.assertEqual(ms(1_000 * (1 + OVERRUN)), explained_for(ENGINE, works, NOW))
+    case.assertEqual(
+        ms(1_000 * (1 + OVERRUN_SHARE)), prefill_time_left(ENGINE, works, NOW)
+    )
 
 
 def test_reading_that_should_be_over_for_long_explains_nothing() -> None:
@@ -37,19 +39,21 @@
     may take says that something else is wrong.
     """
     works = [read("a", 400)]
-    later = NOW + ms(400 * (1 + OVERRUN))
-    case.assertEqual(NOTHING, explained_for(ENGINE, works, later))
+    later = NOW + ms(400 * (1 + OVERRUN_SHARE))
+    case.assertEqual(NOTHING, prefill_time_left(ENGINE, works, later))
 
 
 def test_reading_that_began_after_a_pause_counts_from_its_own_start() -> None:
     works = [read("a", 400), read("b", 100, NOW + ms(5_000))]
     now = NOW + ms(5_000)
-    case.assertEqual(ms(100 * (1 + OVERRUN)), explained_for(ENGINE, works, now))
+    case.assertEqual(
+        ms(100 * (1 + OVERRUN_SHARE)), prefill_time_left(ENGINE, works, now)
+    )
 
 
 def test_what_writes_explains_no_silence() -> None:
-    writer = Work(RequestId("a"), ENGINE, started_at=NOW, first_token_at=NOW)
-    case.assertEqual(NOTHING, explained_for(ENGINE, [writer], NOW))
+    writer = InFlightRequest(RequestId("a"), ENGINE, started_at=NOW, first_token_at=NOW)
+    case.assertEqual(NOTHING, prefill_time_left(ENGINE, [writer], NOW))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/placement/test_search.py
+++ b/tests/unit/placement/test_search.py
@@ -9,12 +9,17 @@
 from msgspec.structs import replace
 
 from mimosafork.ids import AvailabilityZoneId, EndpointId, InstanceId, RequestId
-from mimosafork.placement.choice import EngineView, PlacementAsk
-from mimosafork.placement.memory import FULL_SHARE
+from mimosafork.placement.choice import EngineView, PlacementRequest
+from mimosafork.placement.load_tracker import (
+    HeldTokens,
+    InFlightRequest,
+    LoadTracker,
+    PrefillPart,
+)
+from mimosafork.placement.memory import USABLE_MEMORY_SHARE
 from mimosafork.placement.plain import preferred
 from mimosafork.placement.plan import GANG_SIZES, best_plan
-from mimosafork.placement.policy import states_of
-from mimosafork.placement.work import Held, LoadBook, Part, Work
+from mimosafork.placement.policy import engine_states
 from mimosafork.routing.engine import EngineFigures
 
 from ...support.functions import function_tests
@@ -35,9 +40,9 @@
     step_ms=1.31,
     per_sequence_ms=0.0018,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_m=0.162,
-    chunk=2_048,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_m_pairs=0.162,
+    prefill_chunk_tokens=2_048,
 )
 PROMPTS = (1, 700, 5_000, 30_000, 45_000, 100_000, 182_000, 392_000, 500_000, 900_000)
 PAUSES = (None, 60, 120, 250, 600, 1_000, 4_000)
@@ -54,11 +59,11 @@
 
     draw: Random
     views: list[EngineView]
-    book: LoadBook
+    book: LoadTracker
     now: timedelta
     begun: int = 0
 
-    def ask(self) -> PlacementAsk:
+    def ask(self) -> PlacementRequest:
         """Draw a call."""
         draw = self.draw
         pause = draw.choice(PAUSES)
@@ -69,9 +74,11 @@
         if draw.random() < 0.1:
             # As much as one engine has room for, to the last token.
             load = self.book.load(draw.choice(names), self.now)
-            room = int(FIGURES.memory_tokens * FULL_SHARE) - load.promised_tokens
+            room = (
+                int(FIGURES.memory_tokens * USABLE_MEMORY_SHARE) - load.committed_tokens
+            )
             answer = max(answer, room - prompt)
-        return PlacementAsk(
+        return PlacementRequest(
             request=RequestId("asked"),
             prompt_tokens=prompt,
             max_answer_tokens=3_000,
@@ -82,20 +89,20 @@
             avoid=frozenset(avoid),
         )
 
-    def work(self) -> Work:
+    def work(self) -> InFlightRequest:
         """Draw a running call."""
         draw = self.draw
         self.begun += 1
         gang = draw.sample(self.views, min(len(self.views), draw.choice((1, 1, 1, 4))))
         tokens = draw.choice(PROMPTS) // len(gang)
-        read_ms = FIGURES.read_ms(tokens, tokens * len(gang))
+        read_ms = FIGURES.prefill_ms(tokens, tokens * len(gang))
         started = self.now - ms(draw.uniform(0.0, 900.0))
         pause = draw.choice(PAUSES)
-        held = [Held(view.endpoint, tokens) for view in gang]
-        return Work(
+        held = [HeldTokens(view.endpoint, tokens) for view in gang]
+        return InFlightRequest(
             request=RequestId(f"r{self.begun}"),
             host=gang[0].endpoint,
-            parts=tuple(Part(view.endpoint, tokens, read_ms) for view in gang),
+            parts=tuple(PrefillPart(view.endpoint, tokens, read_ms) for view in gang),
             held=tuple(held) if draw.random() < 0.2 else (),
             prompt_tokens=tokens * len(gang),
             answer_tokens=draw.randrange(1, 3_000),
@@ -111,18 +118,18 @@
         own = list(book.own)
         kind = draw.randrange(5)
         if kind == 0 or not own:
-            book.note(self.work())
+            book.record(self.work())
         elif kind == 1:
-            book.first_token(draw.choice(own), self.now)
+            book.record_first_token(draw.choice(own), self.now)
         elif kind == 2:
-            book.drop(draw.choice(own))
+            book.remove(draw.choice(own))
         elif kind == 3:
             told = list(book.peers.get(PEER, {}).values())
             kept = draw.sample(told, draw.randrange(len(told) + 1))
             works = (*kept, *(self.work() for _ in range(draw.randrange(4))))
             book.replace_peer(PEER, works, self.now)
         else:
-            book.forget_peer(PEER)
+            book.remove_peer(PEER)
 
 
 def drawn_views(draw: Random) -> list[EngineView]:
@@ -136,7 +143,7 @@
             slots=draw.choice((1, 4, 8)),
             usable=draw.random() > troubled / 4,
             suspect=draw.random() < troubled,
-            pace=1.0 + draw.random() * troubled,
+            slowdown=1.0 + draw.random() * troubled,
             cold=draw.random() < troubled / 4,
         )
         for n in range(draw.choice((1, 2, 3, 7, 16, 24)))
@@ -150,9 +157,9 @@
     """Return a fleet whose engines have nothing, little or too much to do."""
     draw = Random(seed)
     views = drawn_views(draw)
-    fleet = Fleet(draw, views, LoadBook(), timedelta(seconds=100))
+    fleet = Fleet(draw, views, LoadTracker(), timedelta(seconds=100))
     for _ in range(int(len(views) * draw.choice((0, 0.5, 1, 3, 6)))):
-        fleet.book.note(fleet.work())
+        fleet.book.record(fleet.work())
     return fleet
 
 
@@ -163,7 +170,7 @@
     quick_random, plain_random = Random(seed), Random(seed)
     plain = plain_plan(ask, fleet.views, fleet.book, figures, fleet.now, plain_random)
     usable = preferred(ask, fleet.views)
-    states = states_of(usable, fleet.book, figures, fleet.now)
+    states = engine_states(usable, fleet.book, figures, fleet.now)
     quick = best_plan(ask, states, figures, quick_random)
     case.assertEqual(plain_random.getstate(), quick_random.getstate())
     if plain is None or quick is None:
@@ -197,7 +204,7 @@
 
 def test_the_figures_of_another_deployment_decide_alike() -> None:
     """Bounds that hold for one kind of engine may fail for a slow or a small one."""
-    slow = replace(FIGURES, read_tokens_per_ms=9.0, step_ms=12.0, stride=1)
+    slow = replace(FIGURES, prefill_tokens_per_ms=9.0, step_ms=12.0, stride=1)
     small = replace(FIGURES, memory_tokens=150_000, per_sequence_ms=0.2)
     for seed in range(CASES // 5):
         for figures in (slow, small):
