--- a/tests/unit/placement/test_spread.py
+++ b/tests/unit/placement/test_spread.py
@@ -9,9 +9,9 @@
 from benchmarks.passes.words import Words
 from mimosafork.ids import EndpointId, InstanceId, RequestId
 from mimosafork.placement import spread
+from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker, PrefillPart
 from mimosafork.placement.plan import NOISE_COST
-from mimosafork.placement.rate import AGE_WEIGHT, LONGEST_AGE_S, WordAge
-from mimosafork.placement.work import LoadBook, Part, Work
+from mimosafork.placement.rate import DELAY_WEIGHT, MAX_DELAY_S, ReportDelay
 
 from ...support.functions import function_tests
 
@@ -41,7 +41,7 @@
     The machines are busy and words of running work come a tenth of a second late. All
     instances take the same engine for the emptiest, until it turns their calls away.
     """
-    with patch.object(spread, "SPREAD_PER_UNHEARD", 0.0):
+    with patch.object(spread, "SPREAD_PER_UNREPORTED", 0.0):
         without = played_late()
     spread_out = played_late()
     case.assertGreater(len(without.rejections), without.arrivals * 0.1)
@@ -57,27 +57,27 @@
     without, spread_out = 0, 0
     for seed in (SEED, SEED + 1):
         run = Run(GROWN, "mimosafork", seed, FLOODS_S, words=CUT, queue_room=ROOM)
-        with patch.object(spread, "UNHEARD_PER_REJECTION", 0.0):
+        with patch.object(spread, "UNREPORTED_PER_REJECTION", 0.0):
             without += len(play(run).rejections)
         spread_out += len(play(run).rejections)
     case.assertGreater(without, 100)
     case.assertLess(spread_out, 0.9 * without)
 
 
-def work(number: int, began: timedelta, reads: bool = True) -> Work:
+def work(number: int, began: timedelta, reads: bool = True) -> InFlightRequest:
     """Return a peer's work on an engine, or on a plain endpoint."""
-    parts = (Part(A, 100, 1.0),) if reads else ()
-    return Work(RequestId(f"{PEER}/{number}"), A, parts, started_at=began)
+    parts = (PrefillPart(A, 100, 1.0),) if reads else ()
+    return InFlightRequest(RequestId(f"{PEER}/{number}"), A, parts, started_at=began)
 
 
 def test_the_age_of_works_is_that_of_their_first_word() -> None:
-    book = LoadBook()
+    book = LoadTracker()
     first = work(1, SECOND)
     book.replace_peer(PEER, [], SECOND)
     book.replace_peer(PEER, [first], 1.1 * SECOND)
-    case.assertAlmostEqual(0.1 * AGE_WEIGHT, book.age.mean_s)
+    case.assertAlmostEqual(0.1 * DELAY_WEIGHT, book.report_delay.mean_s)
     book.replace_peer(PEER, [first], 2 * SECOND)
-    case.assertAlmostEqual(0.1 * AGE_WEIGHT, book.age.mean_s)
+    case.assertAlmostEqual(0.1 * DELAY_WEIGHT, book.report_delay.mean_s)
 
 
 def test_works_that_say_nothing_of_words_are_left_out() -> None:
@@ -85,19 +85,19 @@
 
     And calls of plain endpoints are told when they have lasted for a while, not late.
     """
-    book = LoadBook()
+    book = LoadTracker()
     book.replace_peer(PEER, [work(1, SECOND)], 9 * SECOND)
     book.replace_peer(OTHER, [], SECOND)
     book.replace_peer(OTHER, [work(2, SECOND, reads=False)], 9 * SECOND)
-    case.assertEqual(0.0, book.age.mean_s)
+    case.assertEqual(0.0, book.report_delay.mean_s)
 
 
 def test_one_lost_word_changes_little() -> None:
-    age = WordAge()
-    age.note(60 * SECOND)
-    case.assertLessEqual(age.mean_s, LONGEST_AGE_S * AGE_WEIGHT)
+    age = ReportDelay()
+    age.record(60 * SECOND)
+    case.assertLessEqual(age.mean_s, MAX_DELAY_S * DELAY_WEIGHT)
     for _ in range(300):
-        age.note(10 * MILLISECOND)
+        age.record(10 * MILLISECOND)
     case.assertAlmostEqual(0.01, age.mean_s, delta=0.001)
 
 
@@ -107,18 +107,18 @@
     case.assertLess(calm, spread.spread_cost(10.0, 0.006, 0.5))
     # An engine that turns calls away without being full must not send all others about.
     case.assertLessEqual(spread.spread_cost(0.0, 0.0, 0.3), NOISE_COST)
-    book = LoadBook()
-    book.turned_away(A, 8, SECOND, SECOND)
-    case.assertAlmostEqual(1.0, book.rejected.per_s(SECOND))
-    case.assertLess(book.rejected.per_s(6 * SECOND), 0.01)
+    book = LoadTracker()
+    book.record_rejection(A, 8, SECOND, SECOND)
+    case.assertAlmostEqual(1.0, book.rejection_rate.per_s(SECOND))
+    case.assertLess(book.rejection_rate.per_s(6 * SECOND), 0.01)
 
 
 def test_the_spread_grows_with_what_is_not_known_yet_within_bounds() -> None:
     case.assertEqual(NOISE_COST, spread.spread_cost(0.0, 1.0))
     case.assertEqual(NOISE_COST, spread.spread_cost(35.0, 0.006))
     at_once, late = spread.spread_cost(40.0, 0.03), spread.spread_cost(40.0, 0.1)
-    case.assertTrue(NOISE_COST < at_once < late < spread.MOST_SPREAD)
-    case.assertEqual(spread.MOST_SPREAD, spread.spread_cost(1e4, LONGEST_AGE_S))
+    case.assertTrue(NOISE_COST < at_once < late < spread.MAX_SPREAD_COST)
+    case.assertEqual(spread.MAX_SPREAD_COST, spread.spread_cost(1e4, MAX_DELAY_S))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/placement/test_subset.py
+++ b/tests/unit/placement/test_subset.py
@@ -8,7 +8,7 @@
 from mimosafork.ids import AvailabilityZoneId, EndpointId, InstanceId
 from mimosafork.placement.choice import EngineView
 from mimosafork.placement.subset import (
-    SUBSET,
+    SUBSET_SIZE,
     InstanceOrder,
     engine_rank,
     own_engines,
@@ -41,7 +41,7 @@
     )
     case.assertEqual(ENGINES, len(used))
     case.assertLessEqual(max(used.values()) - min(used.values()), 2)
-    case.assertEqual(len(INSTANCES) * SUBSET, sum(used.values()))
+    case.assertEqual(len(INSTANCES) * SUBSET_SIZE, sum(used.values()))
 
 
 def test_all_agree_whoever_hears_of_instances_in_whatever_order() -> None:
@@ -77,7 +77,7 @@
         subset = own_engines(order, each, views())
         ranked = sorted(subset, key=lambda view: engine_rank(view.endpoint))
         for index, view in enumerate(ranked):
-            places.setdefault(view.endpoint, []).append(index / SUBSET)
+            places.setdefault(view.endpoint, []).append(index / SUBSET_SIZE)
     spread = sum(pstdev(each) for each in places.values()) / len(places)
     case.assertLess(spread, 0.14)
 
@@ -93,7 +93,7 @@
         )
         for each in INSTANCES[1:]
     ]
-    case.assertGreaterEqual(min(kept), SUBSET - 1)
+    case.assertGreaterEqual(min(kept), SUBSET_SIZE - 1)
 
 
 def test_the_next_engines_stand_in_for_those_that_are_down() -> None:
@@ -102,13 +102,13 @@
     down = frozenset(range(0, ENGINES, 5))
     for each in INSTANCES:
         subset = own_engines(order, each, views(down))
-        case.assertEqual(SUBSET, len(subset))
+        case.assertEqual(SUBSET_SIZE, len(subset))
         case.assertTrue(all(view.usable for view in subset))
 
 
 def test_all_are_used_where_too_few_are_sound() -> None:
     order = InstanceOrder.of(INSTANCES)
-    down = frozenset(range(SUBSET - 1, ENGINES))
+    down = frozenset(range(SUBSET_SIZE - 1, ENGINES))
     subset = own_engines(order, INSTANCES[0], views(down))
     case.assertEqual(ENGINES, len(subset))
 
--- a/tests/unit/placement/test_turn.py
+++ b/tests/unit/placement/test_turn.py
@@ -6,14 +6,14 @@
 
 from mimosafork.ids import RequestId
 from mimosafork.placement.choice import (
-    Choice,
-    Place,
-    PlacementAsk,
+    Assignment,
+    PlacementDecision,
+    PlacementRequest,
     Shortage,
-    WaitForRoom,
+    WaitForCapacity,
 )
+from mimosafork.placement.load_tracker import LoadTracker
 from mimosafork.placement.policy import choose
-from mimosafork.placement.work import LoadBook
 
 from ...support.functions import function_tests
 from .test_policy import FIGURES, NOW, ask, ms, views
@@ -25,25 +25,27 @@
 OBJECTIVE_MS = 3_000.0
 
 
-def choose_at(book: LoadBook, wanted: PlacementAsk, now: timedelta = NOW) -> Choice:
+def choose_at(
+    book: LoadTracker, wanted: PlacementRequest, now: timedelta = NOW
+) -> PlacementDecision:
     return choose(wanted, views(ENGINES), book, FIGURES, now, Random(1))
 
 
-def reading_book(prompt: int) -> LoadBook:
+def reading_book(prompt: int) -> LoadTracker:
     """Return a book in which all engines have just begun to read a prompt."""
     wanted = ask(prompt, 60_000, 1_000, request=RequestId("older"))
-    place = choose_at(LoadBook(), wanted)
-    assert isinstance(place, Place)
+    place = choose_at(LoadTracker(), wanted)
+    assert isinstance(place, Assignment)
     assert len(place.parts) == ENGINES
-    book = LoadBook()
-    book.note(place.work(wanted, NOW))
+    book = LoadTracker()
+    book.record(place.to_in_flight_request(wanted, NOW))
     return book
 
 
-def longest_read(book: LoadBook) -> timedelta:
+def longest_read(book: LoadTracker) -> timedelta:
     """Return how long the engines read yet."""
     loads = [book.load(view.endpoint, NOW) for view in views(ENGINES)]
-    return ms(max(load.reading_ms for load in loads))
+    return ms(max(load.prefill_backlog_ms for load in loads))
 
 
 def test_a_long_prompt_lets_an_older_one_be_read_first() -> None:
@@ -56,34 +58,34 @@
     book = reading_book(LONG)
     newer = ask(LONG, OBJECTIVE_MS, 1_000)
     choice = choose_at(book, newer)
-    case.assertEqual(WaitForRoom(Shortage.TURN), choice)
+    case.assertEqual(WaitForCapacity(Shortage.TURN), choice)
     after = NOW + longest_read(book)
-    case.assertIsInstance(choose_at(book, newer, after), Place)
+    case.assertIsInstance(choose_at(book, newer, after), Assignment)
 
 
 def test_a_prompt_goes_first_where_waiting_would_make_it_late() -> None:
     book = reading_book(LONG)
     hurried = ask(LONG, longest_read(book) / ms(1) * 1.6, 1_000)
-    case.assertIsInstance(choose_at(book, hurried), Place)
+    case.assertIsInstance(choose_at(book, hurried), Assignment)
 
 
 def test_a_prompt_that_is_late_in_any_case_makes_no_other_late() -> None:
     """A huge dossier can't be on time, and went ahead of one that could."""
     book = reading_book(LONG)
     huge = ask(400_000, 500, 1_000, time_left=ms(30_000))
-    case.assertEqual(WaitForRoom(Shortage.TURN), choose_at(book, huge))
+    case.assertEqual(WaitForCapacity(Shortage.TURN), choose_at(book, huge))
 
 
 def test_a_late_prompt_goes_while_its_caller_still_waits() -> None:
     book = reading_book(LONG)
     huge = ask(400_000, 500, 1_000, time_left=ms(6_000))
-    case.assertIsInstance(choose_at(book, huge), Place)
+    case.assertIsInstance(choose_at(book, huge), Assignment)
 
 
 def test_prompts_of_one_engine_take_no_turns() -> None:
     """Short prompts are read behind the parts of others; they go ahead of none."""
     book = reading_book(LONG)
-    case.assertIsInstance(choose_at(book, ask(2_000, 60_000, 60_000)), Place)
+    case.assertIsInstance(choose_at(book, ask(2_000, 60_000, 60_000)), Assignment)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/placement/test_work.py
+++ b/tests/unit/placement/test_work.py
@@ -4,7 +4,13 @@
 from unittest import TestCase
 
 from mimosafork.ids import EndpointId, InstanceId, RequestId
-from mimosafork.placement.work import IDLE, Held, LoadBook, Part, Work
+from mimosafork.placement.load_tracker import (
+    IDLE_LOAD,
+    HeldTokens,
+    InFlightRequest,
+    LoadTracker,
+    PrefillPart,
+)
 
 from ...support.functions import function_tests
 
@@ -18,76 +24,76 @@
     return timedelta(milliseconds=value)
 
 
-def work(name: str, host: EndpointId = A, **more: object) -> Work:
+def work(name: str, host: EndpointId = A, **more: object) -> InFlightRequest:
     fields: dict[str, object] = {
-        "parts": (Part(host, 1_000, 40.0),),
+        "parts": (PrefillPart(host, 1_000, 40.0),),
         "prompt_tokens": 1_000,
         "answer_tokens": 100,
         "longest_pause": ms(250),
         "started_at": ms(1_000),
     }
-    return Work(RequestId(name), host, **{**fields, **more})  # type: ignore[arg-type]
+    return InFlightRequest(RequestId(name), host, **{**fields, **more})  # type: ignore[arg-type]
 
 
 def test_an_unknown_engine_is_idle() -> None:
-    case.assertEqual(LoadBook().load(A, ms(0)), IDLE)
+    case.assertEqual(LoadTracker().load(A, ms(0)), IDLE_LOAD)
 
 
 def test_reads_queue_and_decay_with_time() -> None:
-    book = LoadBook()
-    book.note(work("1"))
-    book.note(work("2"))
-    case.assertAlmostEqual(book.load(A, ms(1_000)).reading_ms, 80.0)
-    case.assertAlmostEqual(book.load(A, ms(1_050)).reading_ms, 30.0)
-    case.assertEqual(book.load(A, ms(2_000)).reading_ms, 0.0)
+    book = LoadTracker()
+    book.record(work("1"))
+    book.record(work("2"))
+    case.assertAlmostEqual(book.load(A, ms(1_000)).prefill_backlog_ms, 80.0)
+    case.assertAlmostEqual(book.load(A, ms(1_050)).prefill_backlog_ms, 30.0)
+    case.assertEqual(book.load(A, ms(2_000)).prefill_backlog_ms, 0.0)
 
 
 def test_a_first_token_ends_the_reading_on_all_engines() -> None:
-    book = LoadBook()
-    parts = (Part(A, 500, 400.0), Part(B, 500, 400.0))
-    book.note(work("1", parts=parts))
+    book = LoadTracker()
+    parts = (PrefillPart(A, 500, 400.0), PrefillPart(B, 500, 400.0))
+    book.record(work("1", parts=parts))
     before = book.load(B, ms(1_000))
-    book.first_token(RequestId("1"), ms(1_100))
+    book.record_first_token(RequestId("1"), ms(1_100))
     after = book.load(B, ms(1_100))
-    case.assertEqual((before.reading_ms, before.helping), (400.0, 1))
-    case.assertEqual((after.reading_ms, after.helping), (0.0, 0))
-    case.assertEqual(book.load(A, ms(1_100)).writers, 1)
+    case.assertEqual((before.prefill_backlog_ms, before.helping), (400.0, 1))
+    case.assertEqual((after.prefill_backlog_ms, after.helping), (0.0, 0))
+    case.assertEqual(book.load(A, ms(1_100)).decoding, 1)
 
 
 def test_memory_lies_where_it_is_held() -> None:
-    book = LoadBook()
-    book.note(work("1", held=(Held(A, 700), Held(B, 400))))
-    book.note(work("2"))
-    case.assertEqual(book.load(A, ms(0)).promised_tokens, 1_800)
-    case.assertEqual(book.load(B, ms(0)).promised_tokens, 400)
+    book = LoadTracker()
+    book.record(work("1", held=(HeldTokens(A, 700), HeldTokens(B, 400))))
+    book.record(work("2"))
+    case.assertEqual(book.load(A, ms(0)).committed_tokens, 1_800)
+    case.assertEqual(book.load(B, ms(0)).committed_tokens, 400)
 
 
 def test_the_tightest_pause_is_that_of_an_engines_own_requests() -> None:
-    book = LoadBook()
-    book.note(work("1", longest_pause=ms(600)))
-    book.note(work("2", longest_pause=ms(250), parts=(Part(B, 1, 1.0),)))
-    case.assertEqual(book.load(A, ms(0)).tightest_pause, ms(250))
-    case.assertIsNone(book.load(B, ms(0)).tightest_pause)
+    book = LoadTracker()
+    book.record(work("1", longest_pause=ms(600)))
+    book.record(work("2", longest_pause=ms(250), parts=(PrefillPart(B, 1, 1.0),)))
+    case.assertEqual(book.load(A, ms(0)).shortest_pause, ms(250))
+    case.assertIsNone(book.load(B, ms(0)).shortest_pause)
 
 
 def test_ended_work_leaves_nothing() -> None:
-    book = LoadBook()
-    book.note(work("1"))
-    book.note(work("1", ended=True))
-    book.note(work("2"))
-    book.drop(RequestId("2"))
+    book = LoadTracker()
+    book.record(work("1"))
+    book.record(work("1", ended=True))
+    book.record(work("2"))
+    book.remove(RequestId("2"))
     case.assertEqual(book.by_engine, {})
 
 
 def test_a_snapshot_replaces_the_former_one_whole() -> None:
-    book = LoadBook()
-    book.note(work("own"))
+    book = LoadTracker()
+    book.record(work("own"))
     book.replace_peer(PEER, [work("1"), work("2")], ms(1_000))
     case.assertEqual(book.load(A, ms(1_000)).running, 3)
     book.replace_peer(PEER, [work("2", first_token_at=ms(1_050))], ms(1_100))
     load = book.load(A, ms(1_100))
-    case.assertEqual((load.running, load.writers), (2, 1))
-    book.forget_peer(PEER)
+    case.assertEqual((load.running, load.decoding), (2, 1))
+    book.remove_peer(PEER)
     case.assertEqual(book.load(A, ms(1_100)).running, 1)
 
 
@@ -96,18 +102,18 @@
 
     Both run until one ends; the other must stay in the book.
     """
-    book = LoadBook()
-    book.note(work("1"))
+    book = LoadTracker()
+    book.record(work("1"))
     book.replace_peer(PEER, [work("1")], ms(1_000))
     case.assertEqual(book.load(A, ms(1_000)).running, 2)
-    book.drop(RequestId("1"))
+    book.remove(RequestId("1"))
     case.assertEqual(book.load(A, ms(1_000)).running, 1)
 
 
 def test_work_from_a_peer_whose_clock_is_ahead_starts_by_now() -> None:
-    book = LoadBook()
+    book = LoadTracker()
     book.replace_peer(PEER, [work("1", started_at=ms(9_000))], ms(1_000))
-    case.assertAlmostEqual(book.load(A, ms(1_000)).reading_ms, 40.0)
+    case.assertAlmostEqual(book.load(A, ms(1_000)).prefill_backlog_ms, 40.0)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/platform/test_decoding.py
+++ b/tests/unit/platform/test_decoding.py
@@ -11,7 +11,7 @@
 from mimosafork.platform.errors import DocumentError
 from mimosafork.platform.listing import decode_endpoint
 from mimosafork.routing.listing import ListedState
-from mimosafork.routing.table import ApiKey, CallKind, Split
+from mimosafork.routing.table import ApiKey, CallKind, TrafficSplit
 
 from ...support.functions import function_tests
 
@@ -85,7 +85,7 @@
     case.assertEqual(CallKind.STREAM, found.kind)
     case.assertEqual(timedelta(seconds=10), found.timeout)
     case.assertEqual(timedelta(milliseconds=300), found.objective)
-    case.assertEqual((Split(ServiceId("s"), 1.0),), found.splits)
+    case.assertEqual((TrafficSplit(ServiceId("s"), 1.0),), found.splits)
     account = table.account_of(ApiKey("k2"))
     assert account is not None
     case.assertEqual(("t", 1), (account.name, account.priority))
@@ -97,10 +97,12 @@
     table = decode_configuration(encoded(configuration()))
     figures = table.services[ServiceId("s")].engine
     assert figures is not None
-    case.assertAlmostEqual(154.0, figures.read_tokens_per_ms)
+    case.assertAlmostEqual(154.0, figures.prefill_tokens_per_ms)
     case.assertEqual(405000, figures.memory_tokens)
     case.assertEqual(timedelta(milliseconds=250), figures.report_lag)
-    case.assertEqual((11323, 1266), (figures.usual_prompt, figures.usual_answer))
+    case.assertEqual(
+        (11323, 1266), (figures.mean_prompt_tokens, figures.mean_answer_tokens)
+    )
 
 
 def test_each_kind_says_what_may_be_repeated() -> None:
@@ -118,7 +120,7 @@
     shares = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
     document = configuration(routes=[route(**{"traffic-split": shares})])
     table = decode_configuration(encoded(document))
-    wanted = (Split(ServiceId("a"), 90.0), Split(ServiceId("b"), 10.0))
+    wanted = (TrafficSplit(ServiceId("a"), 90.0), TrafficSplit(ServiceId("b"), 10.0))
     case.assertEqual(wanted, table.routes[0].splits)
 
 
--- a/tests/unit/quarantine/test_kept_suspicions.py
+++ b/tests/unit/quarantine/test_kept_suspicions.py
@@ -12,7 +12,7 @@
     KeepSuspicion,
     SuspicionsRead,
 )
-from mimosafork.quarantine.task import LIFETIME, TABLE, SuspicionTask
+from mimosafork.quarantine.task import SUSPICION_TTL, TABLE, SuspicionTask
 from mimosafork.storage.table import Write
 from tests.support.fake_table import FakeTable, Fault
 from tests.support.functions import function_tests
@@ -93,7 +93,7 @@
     clock = ManualClock()
     trial = Trial(table, clock)
     trial.task.receive(KeepSuspicion(BODY, (crash("e1"),)))
-    clock.advance(LIFETIME + timedelta(seconds=1))
+    clock.advance(SUSPICION_TTL + timedelta(seconds=1))
     for _ in range(200):
         assert trial.read() == []
     assert not table.rows
--- a/tests/unit/routing/test_changes.py
+++ b/tests/unit/routing/test_changes.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 
 from mimosafork.ids import AccountId, Revision, ServiceId
-from mimosafork.routing.changes import NOTHING, TableChanges
+from mimosafork.routing.changes import NO_CHANGES, TableChanges
 from mimosafork.routing.table import (
     Account,
     ApiKey,
@@ -15,7 +15,7 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 
 from ...support.functions import function_tests
@@ -32,7 +32,7 @@
         CallKind.IDEMPOTENT,
         timedelta(seconds=2),
         timedelta(seconds=1),
-        (Split(ServiceId("s"), weight),),
+        (TrafficSplit(ServiceId("s"), weight),),
     )
 
 
@@ -92,7 +92,7 @@
 
 def test_a_version_that_changes_nothing_says_so() -> None:
     same = table((route("a"),))
-    assert str(TableChanges(same, replace(same, version=Revision(2)))) == NOTHING
+    assert str(TableChanges(same, replace(same, version=Revision(2)))) == NO_CHANGES
 
 
 def test_the_text_stays_short_however_much_changes() -> None:
