--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -21,7 +21,7 @@
 )
 from mimosafork.kernel import registry
 from mimosafork.kernel.configuration import Configuration, ModelPolicy
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import AttemptFinished, FirstToken
 from mimosafork.kernel.messages.base import Tick
@@ -30,7 +30,7 @@
     EndpointEntry,
     EndpointKind,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
 )
@@ -83,7 +83,7 @@
 
     def __init__(self, endpoints: int) -> None:
         self.clock = ManualClock()
-        identity = Identity(
+        identity = InstanceIdentity(
             InstanceId("i1"), Incarnation(1), AvailabilityZoneId("az-1")
         )
         plugins = registry.create(LOAD_PLUGINS)
@@ -145,7 +145,7 @@
         address=f"{name}:1",
         availability_zone=AvailabilityZoneId(f"az-{number % ZONES + 1}"),
         incarnation=Incarnation(1),
-        state=LifeState.LIVE,
+        state=LifecycleState.LIVE,
     )
 
 
--- a/benchmarks/fake_endpoints.py
+++ b/benchmarks/fake_endpoints.py
@@ -21,12 +21,12 @@
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.fleet import EndpointKind, LoadReport, LoadReported
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportFailed,
     ImportKv,
     KvImported,
     MemoryReserved,
-    PartFailure,
     PrefillSegment,
     ReservationFailed,
     ReserveMemory,
@@ -108,7 +108,7 @@
             reserved = MemoryReserved(effect.request_id, effect.reservation)
             self._answer(instance, reserved)
             return
-        failure = PartFailure.NO_MEMORY
+        failure = GangStepFailure.NO_MEMORY
         failed = ReservationFailed(effect.request_id, effect.reservation, failure)
         self._answer(instance, failed)
 
@@ -141,7 +141,7 @@
             refused = SegmentFailed(
                 effect.request_id,
                 effect.stream_id,
-                PartFailure.NO_MEMORY,
+                GangStepFailure.NO_MEMORY,
                 Exposure.REFUSED,
             )
             self._answer(instance, refused)
@@ -154,12 +154,12 @@
         if export and self.engine.import_kv(effect.import_id, export, ttl_s):
             self._answer(instance, KvImported(effect.request_id, effect.import_id))
             return
-        failure = PartFailure.NO_MEMORY
+        failure = GangStepFailure.NO_MEMORY
         self._answer(
             instance, ImportFailed(effect.request_id, effect.import_id, failure)
         )
 
-    def free(self, effect: FreePart) -> None:
+    def free(self, effect: FreeOwnHolding) -> None:
         """Free a holding or cancel a stream."""
         if effect.kind is HoldingKind.STREAM:
             self.engine.cancel(effect.holding_id)
--- a/benchmarks/instance_cost.py
+++ b/benchmarks/instance_cost.py
@@ -52,7 +52,7 @@
     Revision,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity as OwnIdentity
+from mimosafork.kernel.context import InstanceIdentity as OwnIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import AttemptFinished, FirstToken
 from mimosafork.kernel.messages.base import Effect, Tick
@@ -63,7 +63,7 @@
     RequestKind,
     Submit,
 )
-from mimosafork.kernel.messages.routing import EndpointUsable, TableInForce
+from mimosafork.kernel.messages.routing import EndpointUsable, RoutingTableChanged
 from mimosafork.kernel.registry import create
 from mimosafork.routing.engine import EngineFigures
 from mimosafork.routing.listing import ListedEndpoint, ListedState
@@ -266,7 +266,7 @@
         """Tell the kernel which engines there are."""
         service = Service(POOL, "/health", 64, engine=FIGURES)
         table = RoutingTable(Revision(1), (), {POOL: service}, ClientLimits(), ())
-        self.kernel.handle(TableInForce(table))
+        self.kernel.handle(RoutingTableChanged(table))
         for number in range(ENGINES):
             listed = ListedEndpoint(
                 engine(number),
--- a/benchmarks/peers/zone.py
+++ b/benchmarks/peers/zone.py
@@ -19,7 +19,7 @@
     InstanceId,
     ModelId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.base import Message, Tick
 from mimosafork.kernel.messages.fleet import (
@@ -31,11 +31,11 @@
     EndpointKind,
     EntryInstance,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
 )
-from mimosafork.kernel.messages.peers import MeetInstances, Publish, Scope
+from mimosafork.kernel.messages.peers import AddPeerCandidates, Publish, Scope
 from mimosafork.kernel.messages.watch import WatchEndpoints, endpoint_key
 from mimosafork.kernel.registry import create
 from mimosafork.peers import wire
@@ -138,14 +138,14 @@
         self.published: dict[str, list[int]] = {}
         self.draining: set[EndpointId] = set()
 
-    def _identity(self, zone: int, number: int) -> Identity:
-        return Identity(
+    def _identity(self, zone: int, number: int) -> InstanceIdentity:
+        return InstanceIdentity(
             instance_name(zone, number),
             Incarnation(FIRST_LIFE + number),
             zone_name(zone),
         )
 
-    def _exchanger(self, identity: Identity, told: list[Message]) -> Exchanger:
+    def _exchanger(self, identity: InstanceIdentity, told: list[Message]) -> Exchanger:
         who = PeerIdentity(identity, "fleet", "10.20.30.40:7443")
         share = ConfigurationShare(lambda offered: None)
         random = Random(self.random.getrandbits(32))
@@ -181,7 +181,7 @@
                 "10.1.2.3:8000",
                 zone_name(zone),
                 Incarnation(FIRST_LIFE),
-                LifeState.LIVE,
+                LifecycleState.LIVE,
             )
             for zone in range(size.zones)
             for number in range(size.endpoints)
@@ -193,7 +193,7 @@
                 "10.20.30.40:7443",
                 zone_name(zone),
                 Incarnation(FIRST_LIFE + number),
-                LifeState.LIVE,
+                LifecycleState.LIVE,
             )
             for zone in range(size.zones)
             for number in range(size.instances)
@@ -224,8 +224,10 @@
         node.usage.kernel_s += time.perf_counter() - began
         for effect in effects:
             if isinstance(effect, WatchEndpoints):
-                node.watched = {each.endpoint: each.first for each in effect.endpoints}
-            elif isinstance(effect, MeetInstances):
+                node.watched = {
+                    each.endpoint: each.is_primary for each in effect.endpoints
+                }
+            elif isinstance(effect, AddPeerCandidates):
                 node.partners.meet(effect.instances)
             elif isinstance(effect, Publish):
                 name = type(effect.value).__name__ + effect.scope.name.lower()
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -26,7 +26,7 @@
     ModelPolicy,
     ServicePolicy,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.base import Effect, Message, Tick
 from mimosafork.kernel.messages.configuration import (
@@ -39,11 +39,11 @@
     EndpointKind,
     EntryInstance,
     InstancesListed,
-    LifeState,
+    LifecycleState,
 )
 from mimosafork.kernel.messages.outcomes import Conclude, Outcome
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
     ImportKv,
     PrefillSegment,
     ReserveMemory,
@@ -135,7 +135,7 @@
     def _make_instance(self, number: int, seed: int) -> Instance:
         zone = self.deployment.zone_of(number)
         name = InstanceId(f"i{number}")
-        identity = Identity(name, FIRST_LIFE, AvailabilityZoneId(zone))
+        identity = InstanceIdentity(name, FIRST_LIFE, AvailabilityZoneId(zone))
         plugins = registry.create(self.policy.plugins)
         kernel = Kernel(identity, self.loop, Random(seed * 100 + number), plugins)
         return Instance(name, zone, kernel)
@@ -240,7 +240,7 @@
         self.loop.after(pause_s, endpoint.import_kv, effect, instance)
 
     @carry_out.register
-    def _(self, effect: FreePart, instance: Instance) -> None:
+    def _(self, effect: FreeOwnHolding, instance: Instance) -> None:
         endpoint = self.engines[effect.endpoint]
         pause_s = self.one_way_s(instance, endpoint.zone)
         self.loop.after(pause_s, endpoint.free, effect)
@@ -281,7 +281,7 @@
                 address=f"{each.name}:1",
                 availability_zone=AvailabilityZoneId(each.zone),
                 incarnation=FIRST_LIFE,
-                state=LifeState.LIVE,
+                state=LifecycleState.LIVE,
                 service=SERVICE if each.kind is EndpointKind.PLAIN_SERVICE else None,
             )
             for each in served
@@ -293,7 +293,7 @@
                 peer_address=f"{each.name}:2",
                 availability_zone=AvailabilityZoneId(each.zone),
                 incarnation=FIRST_LIFE,
-                state=LifeState.LIVE,
+                state=LifecycleState.LIVE,
             )
             for each in self.instances
         ]
--- a/benchmarks/waiting_calls.py
+++ b/benchmarks/waiting_calls.py
@@ -23,7 +23,7 @@
     Revision,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import AttemptFinished, FirstToken
 from mimosafork.kernel.messages.base import Tick
@@ -34,7 +34,7 @@
     RequestKind,
     Submit,
 )
-from mimosafork.kernel.messages.routing import EndpointUsable, TableInForce
+from mimosafork.kernel.messages.routing import EndpointUsable, RoutingTableChanged
 from mimosafork.kernel.registry import create
 from mimosafork.routing.engine import EngineFigures
 from mimosafork.routing.listing import ListedEndpoint, ListedState
@@ -110,11 +110,11 @@
 def crowd(engines: int, figures: EngineFigures) -> Crowd:
     """Return full engines and the calls that wait for room."""
     clock = ManualClock(start=timedelta(seconds=100))
-    identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
+    identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
     service = Service(POOL, "/health", 64, engine=figures)
     table = RoutingTable(Revision(1), (), {POOL: service}, ClientLimits(), ())
-    kernel.handle(TableInForce(table))
+    kernel.handle(RoutingTableChanged(table))
     for number in range(engines):
         listed = ListedEndpoint(
             EndpointId(f"engine-{number}"),
--- a/src/mimosafork/claims/adapter.py
+++ b/src/mimosafork/claims/adapter.py
@@ -8,8 +8,8 @@
     EndClaim,
     FindStream,
     KeepAnswer,
-    NotePlace,
     PaceClaims,
+    RecordStreamLocation,
     ReleaseClaim,
     ReplayAnswer,
     WriteClaim,
@@ -73,7 +73,13 @@
 
     def register(self, kernel_task: KernelTask) -> None:
         """Take the claim effects."""
-        for effect in (WriteClaim, NotePlace, ReleaseClaim, EndClaim, PaceClaims):
+        for effect in (
+            WriteClaim,
+            RecordStreamLocation,
+            ReleaseClaim,
+            EndClaim,
+            PaceClaims,
+        ):
             kernel_task.register(effect, self.writer.send)
         kernel_task.register(KeepAnswer, self.keeper.send)
         kernel_task.register(ReplayAnswer, self.replayer.send)
--- a/src/mimosafork/claims/book.py
+++ b/src/mimosafork/claims/book.py
@@ -16,7 +16,7 @@
     ClaimState,
     ClaimUnavailable,
     ClaimWon,
-    StreamPlace,
+    StreamLocation,
     WriteClaim,
 )
 from ..kernel.messages.outcomes import Outcome
@@ -112,7 +112,7 @@
         self.dirty[claim_id] = own
         return []
 
-    def note_place(self, claim_id: ClaimId, place: StreamPlace) -> None:
+    def note_place(self, claim_id: ClaimId, place: StreamLocation) -> None:
         """Want the stream's place in the row."""
         own = self.claims.get(claim_id)
         if own is not None:
--- a/src/mimosafork/claims/finder.py
+++ b/src/mimosafork/claims/finder.py
@@ -11,7 +11,7 @@
 
 from ..ids import RequestId
 from ..kernel.messages.base import Effect, Message
-from ..kernel.messages.claims import FindStream, StreamPlace, StreamSearched
+from ..kernel.messages.claims import FindStream, StreamLocation, StreamSearched
 from ..network.errors import NetworkError
 from ..network.http import HttpClient
 from ..runtime.task import Task
@@ -29,7 +29,7 @@
     """One engine's answer, or silence, about one stream."""
 
     request_id: RequestId
-    place: StreamPlace
+    place: StreamLocation
     found: bool
 
 
@@ -93,11 +93,11 @@
             del self.searches[message.request_id]
             self.tell(StreamSearched(message.request_id, None))
 
-    def _probe(self, request_id: RequestId, place: StreamPlace) -> None:
+    def _probe(self, request_id: RequestId, place: StreamLocation) -> None:
         """Ask one engine, in a thread of the pool."""
         self.send(Probed(request_id, place, self._has_stream(place)))
 
-    def _has_stream(self, place: StreamPlace) -> bool:
+    def _has_stream(self, place: StreamLocation) -> bool:
         path = f"/v1/streams/{quote(place.stream_id, '')}"
         try:
             status = self.http.status("GET", place.address, path, PROBE_TIMEOUT)
@@ -107,12 +107,12 @@
         return status == HTTPStatus.OK
 
 
-def places_of(search: FindStream) -> list[StreamPlace]:
+def places_of(search: FindStream) -> list[StreamLocation]:
     """Return where to look, the likeliest first."""
     places = [search.noted] if search.noted is not None else []
     for stream_id in search.stream_ids:
         for each in search.endpoints:
-            place = StreamPlace(
+            place = StreamLocation(
                 stream_id, each.endpoint, each.incarnation, each.address
             )
             if place != search.noted:
--- a/src/mimosafork/claims/rows.py
+++ b/src/mimosafork/claims/rows.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..ids import ClaimId, Digest, Incarnation, InstanceId
-from ..kernel.messages.claims import Claim, ClaimState, StreamPlace
+from ..kernel.messages.claims import Claim, ClaimState, StreamLocation
 from ..kernel.messages.outcomes import Outcome
 from .errors import BadClaimRowError
 
@@ -40,7 +40,7 @@
     state: ClaimState
     deadline: datetime
     expires: datetime
-    place: StreamPlace | None = None
+    place: StreamLocation | None = None
     outcome: Outcome | None = None
     answer: bytes | None = None
     answer_object: str | None = None
--- a/src/mimosafork/claims/writer.py
+++ b/src/mimosafork/claims/writer.py
@@ -16,8 +16,8 @@
     ClaimUnavailable,
     ClaimWon,
     EndClaim,
-    NotePlace,
     PaceClaims,
+    RecordStreamLocation,
     ReleaseClaim,
     WriteClaim,
 )
@@ -154,7 +154,7 @@
         self._tell_all(self.book.claim(message, self.clock.now()))
 
     @apply.register
-    def _(self, message: NotePlace) -> None:
+    def _(self, message: RecordStreamLocation) -> None:
         self.book.note_place(message.claim_id, message.place)
 
     @apply.register
--- a/src/mimosafork/endpoints/connector.py
+++ b/src/mimosafork/endpoints/connector.py
@@ -17,7 +17,7 @@
 from urllib3.exceptions import ConnectTimeoutError, HTTPError, NewConnectionError
 
 from ..clock import Clock
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.attempts import Exposure, FailureKind
 from ..network.errors import NetworkError
 from ..network.http import HttpClient
@@ -89,13 +89,13 @@
 
     Parameters
     ----------
-    identity : Identity
+    identity : InstanceIdentity
     clock : Clock
     http : HttpClient
         For cancellations.
     """
 
-    identity: Identity
+    identity: InstanceIdentity
     clock: Clock
     http: HttpClient
     limits: ConnectorLimits = field(default_factory=ConnectorLimits)
--- a/src/mimosafork/endpoints/reservations.py
+++ b/src/mimosafork/endpoints/reservations.py
@@ -9,16 +9,16 @@
 import msgspec
 
 from ..clock import Clock
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.attempts import Exposure
 from ..kernel.messages.base import Effect, Message
 from ..kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportFailed,
     ImportKv,
     KvImported,
     MemoryReserved,
-    PartFailure,
     PrefillSegment,
     ReservationFailed,
     ReserveMemory,
@@ -70,7 +70,7 @@
 
     Parameters
     ----------
-    identity : Identity
+    identity : InstanceIdentity
         Owner of all that is held.
     http : HttpClient
     clock : Clock
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        identity: Identity,
+        identity: InstanceIdentity,
         http: HttpClient,
         clock: Clock,
         send_to_kernel: Callable[[Message], None],
@@ -94,7 +94,7 @@
 
     def register(self, kernel_task: KernelTask) -> None:
         """Register for all steps but the prefill, which comes with its prompt."""
-        for effect in (ReserveMemory, ImportKv, FreePart):
+        for effect in (ReserveMemory, ImportKv, FreeOwnHolding):
             kernel_task.register(effect, self._queue)
 
     def start(self) -> None:
@@ -149,7 +149,7 @@
         self.send_to_kernel(done)
 
     @execute.register
-    def _(self, effect: FreePart) -> None:
+    def _(self, effect: FreeOwnHolding) -> None:
         path = f"/v1/holdings/{effect.kind.value}/{quote(effect.holding_id, safe='')}"
         for _ in range(2):
             try:
@@ -164,14 +164,14 @@
 
     def _create(
         self, address: str, path: str, body: Any, timeout: timedelta
-    ) -> PartFailure | None:
+    ) -> GangStepFailure | None:
         """Post and return why it failed; None if it did not."""
         try:
             answer = self.http.call("POST", address, path, body, timeout=timeout)
         except NeverSentError:
-            return PartFailure.UNREACHED
+            return GangStepFailure.UNREACHED
         except NetworkError:
-            return PartFailure.LOST
+            return GangStepFailure.LOST
         if answer.status == CREATED:
             return None
         return _refusal(answer)
@@ -183,7 +183,7 @@
         """Prefill a part and return what came of it; blocks until its end."""
         time_left = effect.deadline - self.clock.monotonic()
         if not isinstance(call, ModelCall) or time_left <= timedelta(0):
-            failure = PartFailure.UNREACHED
+            failure = GangStepFailure.UNREACHED
             return _failed(effect, failure, Exposure.NEVER_SENT)
         member = self._stream(effect, call, time_left)
         try:
@@ -191,7 +191,7 @@
                 "POST", effect.address, STREAMS_PATH, member, timeout=time_left
             )
         except NeverSentError:
-            return _failed(effect, PartFailure.UNREACHED, Exposure.NEVER_SENT)
+            return _failed(effect, GangStepFailure.UNREACHED, Exposure.NEVER_SENT)
         except NetworkError:
             return self.reattach(effect)
         if answer.status in REFUSALS:
@@ -230,18 +230,18 @@
             except NetworkError:
                 continue
             return _ended(effect, answer)
-        return _failed(effect, PartFailure.LOST, Exposure.POSSIBLE)
+        return _failed(effect, GangStepFailure.LOST, Exposure.POSSIBLE)
 
 
-def _refusal(answer: Answer) -> PartFailure:
+def _refusal(answer: Answer) -> GangStepFailure:
     """Return the failure that a refusing answer means."""
     if answer.status not in REFUSALS:
-        return PartFailure.FAILED
+        return GangStepFailure.FAILED
     try:
         reason = msgspec.json.decode(answer.body, type=RefusalMember).refused
     except msgspec.MsgspecError:
-        return PartFailure.FAILED
-    return PartFailure.NO_MEMORY if reason == NO_MEMORY else PartFailure.REFUSED
+        return GangStepFailure.FAILED
+    return GangStepFailure.NO_MEMORY if reason == NO_MEMORY else GangStepFailure.REFUSED
 
 
 def _ended(effect: PrefillSegment, answer: Answer) -> Message:
@@ -257,7 +257,7 @@
                     effect.address,
                     event.kv_handle,
                 )
-    return _failed(effect, PartFailure.FAILED, Exposure.POSSIBLE)
+    return _failed(effect, GangStepFailure.FAILED, Exposure.POSSIBLE)
 
 
 def _event(line: bytes) -> LastEventMember | None:
@@ -270,6 +270,6 @@
 
 
 def _failed(
-    effect: PrefillSegment, failure: PartFailure, exposure: Exposure
+    effect: PrefillSegment, failure: GangStepFailure, exposure: Exposure
 ) -> SegmentFailed:
     return SegmentFailed(effect.request_id, effect.stream_id, failure, exposure)
--- a/src/mimosafork/endpoints/wire.py
+++ b/src/mimosafork/endpoints/wire.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.dispatch import Dispatch
 from ..network.http import INSTANCE_HEADER
 from .calls import EndpointCall, ModelCall, ServiceCall
@@ -62,7 +62,10 @@
 
 @singledispatch
 def wire_request(
-    call: EndpointCall, dispatch: Dispatch, identity: Identity, time_left: timedelta
+    call: EndpointCall,
+    dispatch: Dispatch,
+    identity: InstanceIdentity,
+    time_left: timedelta,
 ) -> WireRequest:
     """Return the request that carries out a dispatch."""
     raise NotImplementedError(type(call).__name__)
@@ -70,7 +73,10 @@
 
 @wire_request.register
 def _(
-    call: ModelCall, dispatch: Dispatch, identity: Identity, time_left: timedelta
+    call: ModelCall,
+    dispatch: Dispatch,
+    identity: InstanceIdentity,
+    time_left: timedelta,
 ) -> WireRequest:
     headers = {INSTANCE_HEADER: str(identity.instance)}
     if dispatch.attach:
@@ -99,7 +105,10 @@
 
 @wire_request.register
 def _(
-    call: ServiceCall, dispatch: Dispatch, identity: Identity, time_left: timedelta
+    call: ServiceCall,
+    dispatch: Dispatch,
+    identity: InstanceIdentity,
+    time_left: timedelta,
 ) -> WireRequest:
     headers = dict(call.headers)
     headers[INSTANCE_HEADER] = str(identity.instance)
--- a/src/mimosafork/gateway/attempt.py
+++ b/src/mimosafork/gateway/attempt.py
@@ -20,7 +20,7 @@
     Exposure,
     FailureKind,
     FirstToken,
-    HedgedAttemptHeard,
+    HedgedAttemptResumed,
 )
 from ..kernel.messages.base import Message
 from ..kernel.messages.dispatch import Dispatch
@@ -163,10 +163,18 @@
         """
         if self.paused:
             self.last_event_at = now
-        patience = self.dispatch.patience
-        if patience is None or self.ended or self.mode is ResponseMode.PASSTHROUGH:
+        silence_timeouts = self.dispatch.silence_timeouts
+        if (
+            silence_timeouts is None
+            or self.ended
+            or self.mode is ResponseMode.PASSTHROUGH
+        ):
             return None
-        allowed = patience.further if self.first_reported else patience.first
+        allowed = (
+            silence_timeouts.between_events
+            if self.first_reported
+            else silence_timeouts.first_event
+        )
         silence = now - self.last_event_at
         if silence < allowed or now < self.silence_due:
             return None
@@ -323,7 +331,9 @@
 
     def _report_heard(self) -> None:
         if self.hedged:
-            heard = HedgedAttemptHeard(self.dispatch.request_id, self.dispatch.attempt)
+            heard = HedgedAttemptResumed(
+                self.dispatch.request_id, self.dispatch.attempt
+            )
             self.context.report(heard)
 
     def _report_first(self) -> None:
--- a/src/mimosafork/gateway/call.py
+++ b/src/mimosafork/gateway/call.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ..ids import AccountId, AvailabilityZoneId, EndpointId, RequestId
-from ..kernel.messages.dispatch import Helper
+from ..kernel.messages.dispatch import PrefillHelper
 from ..kernel.messages.requests import Request
 from ..routing.table import Route
 from .attempt_diagnostics import AttemptDiagnostics
@@ -74,7 +74,7 @@
         Of the configuration by which it was taken.
     endpoints : list of EndpointId
         To which it was sent, in order.
-    helpers : tuple of Helper
+    helpers : tuple of PrefillHelper
         Of the latest attempt.
     placed_at : timedelta or None
         When it was first given a place.
@@ -111,7 +111,7 @@
     longest_pause: timedelta | None = None
     table_version: int | None = None
     endpoints: list[EndpointId] = msgspec.field(default_factory=list)
-    helpers: tuple[Helper, ...] = ()
+    helpers: tuple[PrefillHelper, ...] = ()
     placed_at: timedelta | None = None
     inputs: Inputs | None = None
     caller_stalled: bool = False
--- a/src/mimosafork/gateway/dialect.py
+++ b/src/mimosafork/gateway/dialect.py
@@ -7,8 +7,8 @@
 
 from ..ids import AccountId, EndpointId
 from ..kernel.messages.base import Effect
-from ..kernel.messages.dispatch import Helper
-from ..kernel.messages.placement import PartFailure
+from ..kernel.messages.dispatch import PrefillHelper
+from ..kernel.messages.placement import GangStepFailure
 from ..routing.table import ApiKey
 from .heads import Header, RequestHead
 from .response_reader import ResponseHead
@@ -48,7 +48,7 @@
     account: AccountId | None = None
     last_event_id: int | None = None
     priority: int | None = None
-    helpers: tuple[Helper, ...] = ()
+    helpers: tuple[PrefillHelper, ...] = ()
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True):
@@ -110,5 +110,5 @@
     def order(self, effect: Effect) -> OrderMessage:
         """Return what has an endpoint carry out an effect."""
 
-    def order_failure(self, status: int) -> PartFailure | None:
+    def order_failure(self, status: int) -> GangStepFailure | None:
         """Return why an order was not carried out; None if it was."""
--- a/src/mimosafork/gateway/gateway.py
+++ b/src/mimosafork/gateway/gateway.py
@@ -24,7 +24,7 @@
 from ..kernel.messages.base import Effect, Message, Tick
 from ..kernel.messages.dispatch import CancelAttempt, Dispatch, RestoreAttempt
 from ..kernel.messages.outcomes import Conclude
-from ..kernel.messages.placement import FreePart, ReserveMemory
+from ..kernel.messages.placement import FreeOwnHolding, ReserveMemory
 from ..kernel.messages.problems import ProblemCode
 from ..kernel.messages.requests import CallerGone, Submit
 from ..kernel.messages.timers import WakeAt
@@ -436,7 +436,7 @@
             self.lines.restored(call, attempt.dispatch)
 
     @perform.register
-    def _(self, effect: ReserveMemory | FreePart) -> None:
+    def _(self, effect: ReserveMemory | FreeOwnHolding) -> None:
         self.orders.perform(effect)
 
     @perform.register
--- a/src/mimosafork/gateway/orders.py
+++ b/src/mimosafork/gateway/orders.py
@@ -12,9 +12,9 @@
 from ..ids import EndpointId
 from ..kernel.messages.base import Effect, Message
 from ..kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     MemoryReserved,
-    PartFailure,
     ReservationFailed,
     ReserveMemory,
 )
@@ -50,7 +50,7 @@
     endpoint: EndpointId
     address: str
     message: OrderMessage
-    done: Callable[[PartFailure | None], None]
+    done: Callable[[GangStepFailure | None], None]
 
 
 class OrderTools(msgspec.Struct, frozen=True):
@@ -121,13 +121,13 @@
     def _on_lost(self, loss: ConnectionLoss) -> None:
         self.connection = None
         if self.ended or self.sends >= MOST_SENDS:
-            self._end(PartFailure.LOST)
+            self._end(GangStepFailure.LOST)
             return
         self._try(None)
 
     def _unreached(self, error: OSError) -> None:
         self.opening = None
-        self._end(PartFailure.LOST if self.sends else PartFailure.UNREACHED)
+        self._end(GangStepFailure.LOST if self.sends else GangStepFailure.UNREACHED)
 
     def _too_late(self) -> None:
         opening, self.opening = self.opening, None
@@ -136,9 +136,9 @@
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.abort()
-        self._end(PartFailure.LOST if self.sends else PartFailure.UNREACHED)
+        self._end(GangStepFailure.LOST if self.sends else GangStepFailure.UNREACHED)
 
-    def _end(self, failure: PartFailure | None) -> None:
+    def _end(self, failure: GangStepFailure | None) -> None:
         if self.ended:
             return
         self.ended = True
@@ -178,7 +178,7 @@
     def _(self, effect: ReserveMemory) -> None:
         sent_at = self.clock.monotonic()
 
-        def done(failure: PartFailure | None) -> None:
+        def done(failure: GangStepFailure | None) -> None:
             request, reservation = effect.request_id, effect.reservation
             if failure is None:
                 self.report(MemoryReserved(request, reservation))
@@ -189,7 +189,7 @@
         self._send(effect.endpoint, effect.address, effect, done)
 
     @perform.register
-    def _(self, effect: FreePart) -> None:
+    def _(self, effect: FreeOwnHolding) -> None:
         # A release that got no answer isn't followed up: the memory is reserved for
         # a short while only, and comes free by itself.
         self._send(effect.endpoint, effect.address, effect, lambda failure: None)
@@ -199,9 +199,9 @@
         endpoint: EndpointId,
         address: str,
         effect: Effect,
-        done: Callable[[PartFailure | None], None],
+        done: Callable[[GangStepFailure | None], None],
     ) -> None:
-        def ended(failure: PartFailure | None) -> None:
+        def ended(failure: GangStepFailure | None) -> None:
             self.open.discard(call)
             if not self.open:
                 self.none_open.set()
@@ -214,7 +214,7 @@
         call.start()
 
     def _log_failure(
-        self, effect: ReserveMemory, failure: PartFailure, after: timedelta
+        self, effect: ReserveMemory, failure: GangStepFailure, after: timedelta
     ) -> None:
         log_event(
             logger,
--- a/src/mimosafork/gateway/policies/fleet_view.py
+++ b/src/mimosafork/gateway/policies/fleet_view.py
@@ -17,7 +17,7 @@
 from ...kernel.messages.routing import (
     EndpointLeaving,
     EndpointUsable,
-    TableInForce,
+    RoutingTableChanged,
     ZoneReachable,
     ZoneUnreachable,
 )
@@ -177,7 +177,7 @@
         """Learn from a message."""
 
     @handle.register
-    def _(self, message: TableInForce, context: Context) -> None:
+    def _(self, message: RoutingTableChanged, context: Context) -> None:
         self.table = message.table
 
     @handle.register
--- a/src/mimosafork/gateway/policies/patience.py
+++ b/src/mimosafork/gateway/policies/patience.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from ...kernel.messages.dispatch import Patience
+from ...kernel.messages.dispatch import SilenceTimeouts
 from ...kernel.messages.requests import CallTerms, Repeatability, Request
 
 SHORTEST_GIVE_UP = timedelta(seconds=2)
@@ -21,16 +21,16 @@
 SHORTEST_CALL = timedelta(milliseconds=200)
 
 
-def patience_of(request: Request) -> Patience | None:
+def patience_of(request: Request) -> SilenceTimeouts | None:
     """Return how long an attempt of a request may be silent."""
     terms = request.terms
     if terms is None or request.repeatability is Repeatability.NON_IDEMPOTENT:
         return None
     if terms.streams:
         share = longest_silence(terms) * STREAM_SHARE
-        return Patience(share, share)
+        return SilenceTimeouts(share, share)
     objective = max(SHORTEST_CALL, terms.objective * CALL_OBJECTIVES)
-    return Patience(objective, objective)
+    return SilenceTimeouts(objective, objective)
 
 
 def longest_silence(terms: CallTerms) -> timedelta:
--- a/src/mimosafork/gateway/policies/place_words.py
+++ b/src/mimosafork/gateway/policies/place_words.py
@@ -1,7 +1,7 @@
 """The kernel's word for a place that placement has chosen."""
 
 from ...ids import Incarnation
-from ...kernel.messages.dispatch import Helper
+from ...kernel.messages.dispatch import PrefillHelper
 from ...kernel.messages.requests import Request
 from ...kernel.plugins import PlaceOn
 from ...placement.choice import Assignment
@@ -14,7 +14,7 @@
 
 
 def place_on(
-    place: Assignment, request: Request, helpers: tuple[Helper, ...]
+    place: Assignment, request: Request, helpers: tuple[PrefillHelper, ...]
 ) -> PlaceOn:
     """Return where a request is dispatched to, and with whose help."""
     terms = request.terms
@@ -24,10 +24,10 @@
         address=place.address,
         priority=USUAL_PRIORITY if terms is None else terms.priority,
         helpers=helpers,
-        patience=patience_of(request),
+        silence_timeouts=patience_of(request),
     )
 
 
-def readers(place: Assignment) -> tuple[Helper, ...]:
+def readers(place: Assignment) -> tuple[PrefillHelper, ...]:
     """Return the helpers of a prompt whose memory its host holds."""
-    return tuple(Helper(each.endpoint, each.address) for each in place.helpers)
+    return tuple(PrefillHelper(each.endpoint, each.address) for each in place.helpers)
--- a/src/mimosafork/gateway/policies/placing.py
+++ b/src/mimosafork/gateway/policies/placing.py
@@ -19,15 +19,19 @@
 from ...kernel.messages.base import Message
 from ...kernel.messages.problems import Problem, ProblemCode
 from ...kernel.messages.requests import Request
-from ...kernel.messages.routing import PeerSilent, PeerWorkChanged, PeerWorkTold
-from ...kernel.messages.sharing import WorkBegun, WorkEnded
+from ...kernel.messages.routing import (
+    PeerWorkChanged,
+    PeerWorkReplaced,
+    PeerWorkUnknown,
+)
+from ...kernel.messages.sharing import PublishWork, PublishWorkEnd
 from ...kernel.plugins import (
-    Concluded,
     Placement,
     PlacementFailed,
     Placer,
     PluginFinder,
     Refuse,
+    RequestConcluded,
     Wait,
 )
 from ...kernel.records import RequestRecord
@@ -94,7 +98,7 @@
         self.hedged: dict[RequestId, AttemptNumber] = {}
         """Numbers of silent attempts that stay open beside another one."""
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked."""
         self.fleet = find(FleetView)
         self.memory = find(MemoryKeeper) or self.memory
@@ -164,7 +168,7 @@
         self.placed_as[work.request] = AttemptNumber(len(record.attempts) + 1)
         self.waiting_since.pop(record.request_id, None)
         self._note_forecast(place, record.request_id, context.now)
-        context.emit(WorkBegun(work))
+        context.emit(PublishWork(work))
         if place.reservations:
             return self.memory.begin(place, record, context)
         return place_on(place, record.request, readers(place))
@@ -221,7 +225,7 @@
         self.book.record_first_token(message.request_id, context.now)
         work = self.book.own.get(message.request_id)
         if work is not None and reads_long(work):
-            context.emit(WorkBegun(work))
+            context.emit(PublishWork(work))
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
@@ -233,7 +237,7 @@
         elif self.hedged.get(message.request_id) == message.attempt:
             self._forget_hedged(message.request_id)
             if work is None:
-                context.emit(WorkEnded(message.request_id))
+                context.emit(PublishWorkEnd(message.request_id))
 
     @handle.register
     def _(self, message: AttemptHedged, context: Context) -> None:
@@ -250,7 +254,7 @@
         work = self.book.rename(beside(message.request_id), message.request_id)
         self.placed_as[message.request_id] = message.attempt
         if work is not None:
-            context.emit(WorkBegun(work))
+            context.emit(PublishWork(work))
 
     @handle.register
     def _(self, message: PlacementFailed, context: Context) -> None:
@@ -259,7 +263,7 @@
             self._end(request_id, context)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         request_id = message.record.request_id
         self.waiting_since.pop(request_id, None)
         self.first_token_at.pop(request_id, None)
@@ -278,7 +282,7 @@
         return self.hedged.pop(request_id, None) is not None
 
     @handle.register
-    def _(self, message: PeerWorkTold, context: Context) -> None:
+    def _(self, message: PeerWorkReplaced, context: Context) -> None:
         self.book.replace_peer(message.instance, message.works, context.now)
 
     @handle.register
@@ -288,7 +292,7 @@
         )
 
     @handle.register
-    def _(self, message: PeerSilent, context: Context) -> None:
+    def _(self, message: PeerWorkUnknown, context: Context) -> None:
         self.book.remove_peer(message.instance)
 
     def _note_full(
@@ -312,7 +316,7 @@
     def _end(self, request_id: RequestId, context: Context) -> None:
         self.book.remove(request_id)
         if request_id not in self.hedged:
-            context.emit(WorkEnded(request_id))
+            context.emit(PublishWorkEnd(request_id))
 
 
 def beside(request_id: RequestId) -> RequestId:
--- a/src/mimosafork/gateway/policies/quarantining.py
+++ b/src/mimosafork/gateway/policies/quarantining.py
@@ -12,8 +12,12 @@
 from ...kernel.messages.base import Message
 from ...kernel.messages.outcomes import Outcome
 from ...kernel.messages.problems import Problem, ProblemCode
-from ...kernel.messages.sharing import CrashCleared, CrashSuspected, CrashTold
-from ...kernel.plugins import Concluded, Proceed, Refuse, Stage, Verdict
+from ...kernel.messages.sharing import (
+    CrashSuspicionUpdated,
+    PublishCrashClearance,
+    PublishCrashSuspicion,
+)
+from ...kernel.plugins import Proceed, Refuse, RequestConcluded, ReviewDecision, Stage
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ...telemetry.catalogue.gateway import CONTENT_CLEARED, CONTENT_QUARANTINED
@@ -49,7 +53,7 @@
         # The one that was seen last stands last.
         self.suspicions: dict[Digest, Suspicion] = {}
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Refuse what has crashed endpoints before."""
         problem = self.objection(record.request.body_digest, context.now)
         return Proceed() if problem is None else Refuse(problem)
@@ -75,10 +79,10 @@
         suspicion = self._seen(message.digest, context.now)
         if message.endpoint is not None:
             self._add(message.digest, suspicion, {message.endpoint}, OWN)
-            context.emit(CrashSuspected(message.digest, message.endpoint))
+            context.emit(PublishCrashSuspicion(message.digest, message.endpoint))
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         # By its conclusion, as the record is gone when its last attempt's end is
         # told: a content that ran well was never cleared, and its crashes of other
         # causes added up until it was refused.
@@ -86,10 +90,10 @@
             return
         digest = message.record.request.body_digest
         if self._clear(digest, OWN):
-            context.emit(CrashCleared(digest))
+            context.emit(PublishCrashClearance(digest))
 
     @handle.register
-    def _(self, message: CrashTold, context: Context) -> None:
+    def _(self, message: CrashSuspicionUpdated, context: Context) -> None:
         if message.cleared:
             self._clear(message.digest, PEER)
             return
--- a/src/mimosafork/gateway/policies/reserving.py
+++ b/src/mimosafork/gateway/policies/reserving.py
@@ -19,23 +19,23 @@
 from ...kernel.messages.attempts import AttemptFailed
 from ...kernel.messages.base import Message, Tick
 from ...kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     MemoryReserved,
-    PartFailure,
     ReservationFailed,
     ReserveMemory,
 )
 from ...kernel.messages.problems import Problem, ProblemCode
 from ...kernel.messages.recovery import HoldingKind
 from ...kernel.plugins import (
-    Concluded,
-    InHand,
     Placed,
     Placement,
     PlacementFailed,
+    PlacementPending,
     Plugin,
     PluginFinder,
     Refuse,
+    RequestConcluded,
 )
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
@@ -98,7 +98,7 @@
         self.life = ""
         self.numbers = count(1)
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked, and told of what can't be reached."""
         self.fleet = find(FleetView)
         self.retry = find(BudgetedRetry)
@@ -157,7 +157,7 @@
         gang = Gang(request_id, attempt, place, context.now, tickets)
         self.gangs[request_id] = gang
         self._go_on(gang, record, context)
-        return InHand()
+        return PlacementPending()
 
     def _go_on(self, gang: Gang, record: RequestRecord, context: Context) -> None:
         """Ask for what is missing, or let the request be sent."""
@@ -247,7 +247,7 @@
     def _release(self, ticket: Ticket, context: Context) -> None:
         kind = HoldingKind.RESERVATION
         context.emit(
-            FreePart(ticket.endpoint, ticket.address, kind, ticket.reservation)
+            FreeOwnHolding(ticket.endpoint, ticket.address, kind, ticket.reservation)
         )
 
     def _found(
@@ -281,14 +281,17 @@
             return
         gang, ticket = found
         ticket.open = False
-        ticket.lost = message.failure in {PartFailure.NO_MEMORY, PartFailure.REFUSED}
+        ticket.lost = message.failure in {
+            GangStepFailure.NO_MEMORY,
+            GangStepFailure.REFUSED,
+        }
         if gang.step is Step.RUNNING:
             ticket.not_before = context.now + ASK_AGAIN_AFTER
-        elif message.failure is PartFailure.LOST:
+        elif message.failure is GangStepFailure.LOST:
             self._ask_anew(gang, ticket, record, context)
         else:
             self._note_refused(ticket, message.failure, context.now)
-            self._fail(gang, context, message.failure is PartFailure.NO_MEMORY)
+            self._fail(gang, context, message.failure is GangStepFailure.NO_MEMORY)
 
     def _ask_anew(
         self, gang: Gang, ticket: Ticket, record: RequestRecord, context: Context
@@ -305,10 +308,10 @@
         self._go_on(gang, record, context)
 
     def _note_refused(
-        self, ticket: Ticket, failure: PartFailure, now: timedelta
+        self, ticket: Ticket, failure: GangStepFailure, now: timedelta
     ) -> None:
         self.short_until[ticket.endpoint] = now + SHORT_FOR
-        if failure is PartFailure.UNREACHED and self.fleet is not None:
+        if failure is GangStepFailure.UNREACHED and self.fleet is not None:
             known = self.fleet.endpoints.get(ticket.endpoint)
             if known is not None:
                 known.note_unreached(now)
@@ -341,7 +344,7 @@
             self._dissolve(message.request_id, context)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         request_id = message.record.request_id
         self._dissolve(request_id, context)
         self.not_before.pop(request_id, None)
--- a/src/mimosafork/gateway/policies/retrying.py
+++ b/src/mimosafork/gateway/policies/retrying.py
@@ -15,7 +15,13 @@
 from ...kernel.messages.base import Message
 from ...kernel.messages.problems import Problem, ProblemCode
 from ...kernel.messages.requests import Repeatability, Request, Submit
-from ...kernel.plugins import Concluded, GiveUp, RetryDecision, RetryLater, RetryPolicy
+from ...kernel.plugins import (
+    GiveUp,
+    RequestConcluded,
+    RetryDecision,
+    RetryLater,
+    RetryPolicy,
+)
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from .allowance import Allowance, SlackShare, Terms
@@ -88,7 +94,7 @@
         self.allowance(service).count_request(context.now)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         service = ServiceId(message.record.request.target)
         self.allowance(service).close(message.record.request_id)
 
--- a/src/mimosafork/gateway/policies/silence.py
+++ b/src/mimosafork/gateway/policies/silence.py
@@ -54,7 +54,7 @@
         self.retry: BudgetedRetry | None = None
         self.placer: WorkPlacer | None = None
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked."""
         self.fleet = find(FleetView)
         self.retry = find(BudgetedRetry)
@@ -107,7 +107,7 @@
             return False
         if self.retry.objection(record, failure, context.now) is not None:
             return False
-        if record.has_begun and not self._goes_on_elsewhere(record, context):
+        if record.has_received_token and not self._goes_on_elsewhere(record, context):
             return False
         service = ServiceId(record.request.target)
         tried = {attempt.endpoint for attempt in record.attempts}
--- a/src/mimosafork/gateway/policies/tickets.py
+++ b/src/mimosafork/gateway/policies/tickets.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ...ids import AttemptNumber, EndpointId, RequestId, ReservationId
-from ...kernel.messages.dispatch import Helper
+from ...kernel.messages.dispatch import PrefillHelper
 from ...placement.choice import Assignment, Reservation
 
 
@@ -119,7 +119,7 @@
         """Return the host and all that help it."""
         return {self.place.host, *(each.endpoint for each in self.place.helpers)}
 
-    def helpers(self) -> tuple[Helper, ...]:
+    def helpers(self) -> tuple[PrefillHelper, ...]:
         """Return the helpers as the host is told of them.
 
         Its own memory goes first, then that of others, as it is filled in turn; those
@@ -129,10 +129,12 @@
         place = self.place
         found = []
         if place.host in names:
-            found.append(Helper(place.host, place.address, names[place.host]))
+            found.append(PrefillHelper(place.host, place.address, names[place.host]))
         others = sorted(place.helpers, key=lambda each: each.endpoint not in names)
         for each in others:
-            found.append(Helper(each.endpoint, each.address, names.get(each.endpoint)))
+            found.append(
+                PrefillHelper(each.endpoint, each.address, names.get(each.endpoint))
+            )
         return tuple(found)
 
 
--- a/src/mimosafork/gateway/server.py
+++ b/src/mimosafork/gateway/server.py
@@ -22,10 +22,14 @@
 from ..gossip.service import Gossip, GossipOptions, seed_addresses
 from ..gossip.sockets import open_sockets
 from ..ids import EndpointId, Incarnation
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.core import Kernel
 from ..kernel.messages.lifecycle import StopNow
-from ..kernel.messages.routing import EndpointLeaving, EndpointUsable, TableInForce
+from ..kernel.messages.routing import (
+    EndpointLeaving,
+    EndpointUsable,
+    RoutingTableChanged,
+)
 from ..kernel.registry import create
 from ..routing.engine import EngineFigures
 from ..runtime.signals import SignalThread
@@ -106,7 +110,7 @@
         self.directory = directory
         self.clock = clock
         self.started_at = clock.monotonic()
-        identity = Identity(
+        identity = InstanceIdentity(
             settings.instance.id,
             Incarnation(settings.instance.incarnation or 1),
             settings.instance.availability_zone,
@@ -263,7 +267,7 @@
 
     def _directory_changed(self, change: DirectoryChange) -> None:
         if isinstance(change, TableChanged):
-            self.gateway.post(TableInForce(change.table))
+            self.gateway.post(RoutingTableChanged(change.table))
         else:
             self._endpoint_changed(change)
         self._note_ready()
--- a/src/mimosafork/gateway/sharing.py
+++ b/src/mimosafork/gateway/sharing.py
@@ -24,13 +24,13 @@
 from ..gossip.state import HeardWork
 from ..ids import Digest, EndpointId, InstanceId, RequestId
 from ..kernel.messages.base import Effect, Message
-from ..kernel.messages.routing import PeerSilent, PeerWorkChanged, PeerWorkTold
+from ..kernel.messages.routing import PeerWorkChanged, PeerWorkReplaced, PeerWorkUnknown
 from ..kernel.messages.sharing import (
-    CrashCleared,
-    CrashSuspected,
-    CrashTold,
-    WorkBegun,
-    WorkEnded,
+    CrashSuspicionUpdated,
+    PublishCrashClearance,
+    PublishCrashSuspicion,
+    PublishWork,
+    PublishWorkEnd,
 )
 from ..placement.load_tracker import HeldTokens, InFlightRequest, PrefillPart
 from ..routing.engine import EngineFigures
@@ -131,14 +131,14 @@
         """Tell peers of an effect that is for them."""
 
     @tell.register
-    def _(self, effect: WorkBegun) -> None:
+    def _(self, effect: PublishWork) -> None:
         if effect.work.parts:
             self._tell_work(effect.work)
         else:
             self._tell_if_it_lasts(effect.work)
 
     @tell.register
-    def _(self, effect: WorkEnded) -> None:
+    def _(self, effect: PublishWorkEnd) -> None:
         waiting = self.untold.pop(effect.request_id, None)
         if waiting is not None:
             waiting.cancel()
@@ -163,13 +163,13 @@
         self.untold[work.request] = loop.call_later(after, self._tell_work, work)
 
     @tell.register
-    def _(self, effect: CrashSuspected) -> None:
+    def _(self, effect: PublishCrashSuspicion) -> None:
         if self.gossip is not None:
             seen = Suspicion(frozenset({effect.endpoint}))
             self.gossip.publish_suspicion(bytes.fromhex(effect.digest), seen)
 
     @tell.register
-    def _(self, effect: CrashCleared) -> None:
+    def _(self, effect: PublishCrashClearance) -> None:
         if self.gossip is not None:
             seen = Suspicion(frozenset(), cleared=True)
             self.gossip.publish_suspicion(bytes.fromhex(effect.digest), seen)
@@ -265,7 +265,7 @@
 
     def suspicion_told(self, digest: bytes, known: Suspicion) -> None:
         """Take what all know of a suspected request."""
-        told = CrashTold(Digest(digest.hex()), known.crashed, known.cleared)
+        told = CrashSuspicionUpdated(Digest(digest.hex()), known.crashed, known.cleared)
         self.post(told)
 
     def peers_changed(self) -> None:
@@ -275,7 +275,7 @@
         alive = {peer.instance for peer in self.gossip.peers}
         for instance in self.known_peers - alive:
             self.current.discard(instance)
-            self.post(PeerSilent(instance))
+            self.post(PeerWorkUnknown(instance))
         self.known_peers = alive
         self.directory.peer_feed.choose(self.gossip.instance, alive)
         self.neighbours.heard(alive, self.gossip.is_large)
@@ -283,7 +283,7 @@
     def peer_restarted(self, instance: InstanceId) -> None:
         """Forget the works of a peer's former life, which have ended with it."""
         self.current.discard(instance)
-        self.post(PeerSilent(instance))
+        self.post(PeerWorkUnknown(instance))
 
     def load_changed(self, instance: InstanceId, numbers: tuple[int, ...]) -> None:
         """Take what has changed of a peer's running work.
@@ -303,7 +303,7 @@
         if load is not None:
             self.current.add(instance)
             works = tuple(self.work_of(instance, heard) for heard in load.works)
-            self.post(PeerWorkTold(instance, works))
+            self.post(PeerWorkReplaced(instance, works))
 
     def _tell_changes(
         self, gossip: Gossip, instance: InstanceId, numbers: tuple[int, ...]
--- a/src/mimosafork/kernel/attempts.py
+++ b/src/mimosafork/kernel/attempts.py
@@ -14,7 +14,7 @@
     number = AttemptNumber(len(record.attempts) + 1)
     stream_id = place.stream_id
     if stream_id is None:
-        base = record.stream_base or record.request_id
+        base = record.stream_id_prefix or record.request_id
         stream_id = StreamId(f"{base}.{number}")
     return Attempt(
         number=number,
@@ -43,10 +43,10 @@
         imports=place.imports,
         imported_tokens=place.imported_tokens,
         reservation=place.reservation,
-        keep=record.claim is not None and request.resume_offset == 0,
-        shared=record.answers_others,
+        keep_answer=record.claim is not None and request.resume_offset == 0,
+        shared=record.is_shareable,
         helpers=place.helpers,
-        patience=place.patience,
+        silence_timeouts=place.silence_timeouts,
     )
 
 
--- a/src/mimosafork/kernel/context.py
+++ b/src/mimosafork/kernel/context.py
@@ -15,7 +15,7 @@
 from .records import RequestRecord
 
 
-class Identity(msgspec.Struct, frozen=True):
+class InstanceIdentity(msgspec.Struct, frozen=True):
     """Who this entry instance is."""
 
     instance: InstanceId
@@ -34,7 +34,7 @@
         There is no time left: no request is let in.
     """
 
-    identity: Identity
+    identity: InstanceIdentity
     fleet: Fleet
     waiting: WaitingQueue
     requests: dict[RequestId, RequestRecord] = msgspec.field(default_factory=dict)
--- a/src/mimosafork/kernel/core.py
+++ b/src/mimosafork/kernel/core.py
@@ -11,7 +11,7 @@
 from ..ids import RequestId
 from ..telemetry.catalogue.lifecycle import KERNEL_FAULT
 from ..telemetry.logs import log_event
-from .context import Context, Identity, KernelState
+from .context import Context, InstanceIdentity, KernelState
 from .errors import KernelError
 from .fleet import Fleet
 from .lifecycle import Lifecycle
@@ -23,14 +23,14 @@
     ConnectionOpening,
     DispatchFaulted,
     FirstToken,
-    HedgedAttemptHeard,
+    HedgedAttemptResumed,
     RetryDue,
 )
 from .messages.base import Effect, Message, Tick
 from .messages.configuration import ConfigurationChanged, ConfigurationReceived
 from .messages.fleet import InstancesListed, LoadReported, ProbeFailed
 from .messages.lifecycle import DrainBegun, StopNow
-from .messages.peers import DrainAnnounced
+from .messages.peers import AnnounceDrain
 from .messages.requests import CallerGone, Submit
 from .plugins import (
     CompletionCleared,
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        identity: Identity,
+        identity: InstanceIdentity,
         clock: Clock,
         random: Random,
         plugins: Sequence[Plugin],
@@ -99,7 +99,7 @@
         self.step: Callable[[Message, Context], None] = self.advance
         self.listeners: dict[type[Message], list[Callable[..., None]]] = {}
         for plugin in self.plugins:
-            plugin.join(self.find)
+            plugin.resolve_dependencies(self.find)
 
     def handle(self, message: Message) -> list[Effect]:
         """Handle a message and all that it gives rise to; return the effects.
@@ -197,8 +197,8 @@
         self.lifecycle.attempt_hedged(message, context)
 
     @advance.register
-    def _(self, message: HedgedAttemptHeard, context: Context) -> None:
-        self.lifecycle.hedged_heard(message, context)
+    def _(self, message: HedgedAttemptResumed, context: Context) -> None:
+        self.lifecycle.hedged_resumed(message, context)
 
     @advance.register
     def _(self, message: DispatchFaulted, context: Context) -> None:
@@ -225,7 +225,7 @@
     @advance.register
     def _(self, message: DrainBegun, context: Context) -> None:
         self.state.draining = True
-        context.emit(DrainAnnounced())
+        context.emit(AnnounceDrain())
 
     @advance.register
     def _(self, message: StopNow, context: Context) -> None:
@@ -238,7 +238,7 @@
 
     @advance.register
     def _(self, message: LoadReported, context: Context) -> None:
-        own = message.heard_from is None
+        own = message.probed_by is None
         self.state.fleet.apply_report(message.report, context.now, own)
 
     @advance.register
--- a/src/mimosafork/kernel/fleet.py
+++ b/src/mimosafork/kernel/fleet.py
@@ -12,13 +12,13 @@
     EndpointKind,
     EntryInstance,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
 )
 from .messages.peers import Member
 from .messages.watch import EndpointKey, endpoint_key
 
-LONG_AGO = timedelta(days=-36_500)
+DISTANT_PAST = timedelta(days=-36_500)
 """Before any instant; far enough from the limits for sums and differences."""
 
 OWN_PROBE_HOLDS = timedelta(seconds=5)
@@ -36,7 +36,7 @@
     request_id: RequestId
     prompt_tokens: int
     max_tokens: int
-    at: timedelta
+    dispatched_at: timedelta
     prefilled: bool = False
 
 
@@ -76,11 +76,11 @@
     ejected_until: timedelta | None = None
     isolated_until: timedelta | None = None
     draining: bool = False
-    draining_at: timedelta = LONG_AGO
-    answered_at: timedelta = LONG_AGO
-    failed_at: timedelta = LONG_AGO
-    own_failed_at: timedelta = LONG_AGO
-    own: dict[RequestId, OwnDispatch] = msgspec.field(default_factory=dict)
+    draining_at: timedelta = DISTANT_PAST
+    answered_at: timedelta = DISTANT_PAST
+    failed_at: timedelta = DISTANT_PAST
+    own_failed_at: timedelta = DISTANT_PAST
+    own_requests: dict[RequestId, OwnDispatch] = msgspec.field(default_factory=dict)
 
     @property
     def endpoint_id(self) -> EndpointId:
@@ -90,9 +90,9 @@
     @property
     def leaving(self) -> bool:
         """Whether the list or the endpoint itself says that it is leaving."""
-        return self.draining or self.entry.state is LifeState.LEAVING
+        return self.draining or self.entry.state is LifecycleState.LEAVING
 
-    def takes_new_work(self, now: timedelta) -> bool:
+    def accepts_new_requests(self, now: timedelta) -> bool:
         """Return whether new requests may be sent there.
 
         The strictest word wins: a lagging list must not send work to an endpoint
@@ -111,12 +111,12 @@
         self.entry = entry
         self.report = None
         self.draining = False
-        self.draining_at = LONG_AGO
+        self.draining_at = DISTANT_PAST
         self.unreachable_since = None
-        self.failed_at = LONG_AGO
-        self.own_failed_at = LONG_AGO
+        self.failed_at = DISTANT_PAST
+        self.own_failed_at = DISTANT_PAST
 
-    def is_news(self, report: LoadReport, described_at: timedelta) -> bool:
+    def is_newer(self, report: LoadReport, described_at: timedelta) -> bool:
         """Return whether a report of this life is newer than the known one.
 
         A process that was started again without raising its incarnation counts its
@@ -127,7 +127,7 @@
             return True
         return described_at - self.reported_at >= SEQUENCE_RESTARTED
 
-    def note_answer(self, described_at: timedelta, own: bool) -> None:
+    def apply_probe_answer(self, described_at: timedelta, own: bool) -> None:
         """Note that the endpoint answered a probe, which may make it usable again.
 
         This instance's own probe says that it can be reached from here. A peer's
@@ -138,8 +138,8 @@
         holds = described_at - OWN_PROBE_HOLDS < self.own_failed_at
         if own or (described_at > self.failed_at and not holds):
             self.unreachable_since = None
-            self.failed_at = LONG_AGO
-            self.own_failed_at = LONG_AGO
+            self.failed_at = DISTANT_PAST
+            self.own_failed_at = DISTANT_PAST
 
     def serves(self, target: ModelId | ServiceId) -> bool:
         """Return whether the endpoint serves a model or service."""
@@ -163,7 +163,7 @@
         self.by_key: dict[EndpointKey, Endpoint] = {}
         self.instances: dict[InstanceId, EntryInstance] = {}
         self.members: dict[InstanceId, Member] = {}
-        self.listed_at = LONG_AGO
+        self.listed_at = DISTANT_PAST
         self.by_target: dict[ModelId | ServiceId, dict[EndpointId, Endpoint]] = {}
 
     def apply_list(self, listed: InstancesListed, now: timedelta) -> None:
@@ -220,12 +220,12 @@
             # The list lags: the endpoint is already in its next life, and what the
             # list says (leaving, perhaps) was about the one before.
             life = replace(
-                known.entry, incarnation=report.incarnation, state=LifeState.LIVE
+                known.entry, incarnation=report.incarnation, state=LifecycleState.LIVE
             )
             known.start_incarnation(life)
         described_at = now - report.lag
-        known.note_answer(described_at, own)
-        if not known.is_news(report, described_at):
+        known.apply_probe_answer(described_at, own)
+        if not known.is_newer(report, described_at):
             return False
         known.report = report
         known.reported_at = described_at
@@ -254,7 +254,7 @@
         if known.unreachable_since is None:
             known.unreachable_since = at
 
-    def apply_drain_word(self, endpoint: EndpointId, now: timedelta) -> None:
+    def mark_draining(self, endpoint: EndpointId, now: timedelta) -> None:
         """Note that an endpoint has just refused work because it is leaving.
 
         Its load reports lag; one that describes an earlier instant must not make
@@ -288,17 +288,17 @@
             group = self.by_target.setdefault(target, {})
             group[endpoint.endpoint_id] = endpoint
 
-    def note_own(self, endpoint: EndpointId, own: OwnDispatch) -> None:
+    def add_own_request(self, endpoint: EndpointId, dispatch: OwnDispatch) -> None:
         """Note a request that this instance sends to an endpoint."""
         known = self.endpoints.get(endpoint)
         if known is not None:
-            known.own[own.request_id] = own
+            known.own_requests[dispatch.request_id] = dispatch
 
-    def forget_own(self, endpoint: EndpointId, request_id: RequestId) -> None:
+    def remove_own_request(self, endpoint: EndpointId, request_id: RequestId) -> None:
         """Forget a request that no longer runs there."""
         known = self.endpoints.get(endpoint)
         if known is not None:
-            known.own.pop(request_id, None)
+            known.own_requests.pop(request_id, None)
 
     def serving(self, target: ModelId | ServiceId) -> Iterable[Endpoint]:
         """Return the endpoints that serve a target, whatever their state."""
--- a/src/mimosafork/kernel/hedging.py
+++ b/src/mimosafork/kernel/hedging.py
@@ -54,7 +54,7 @@
     record.attempts.append(hedged)
     record.state = RequestState.RUNNING
     own = own_dispatch_of(record, context.now)
-    context.state.fleet.note_own(hedged.endpoint, own)
+    context.state.fleet.add_own_request(hedged.endpoint, own)
     context.emit(RestoreAttempt(record.request_id, hedged.number))
     context.post(AttemptRestored(record.request_id, hedged.number))
 
@@ -78,7 +78,7 @@
 
 
 def _supersede(record: RequestRecord, attempt: Attempt, context: Context) -> None:
-    context.state.fleet.forget_own(attempt.endpoint, record.request_id)
+    context.state.fleet.remove_own_request(attempt.endpoint, record.request_id)
     context.emit(cancellation_of(record, attempt))
     if attempt.failure is not None:
         return
--- a/src/mimosafork/kernel/lifecycle.py
+++ b/src/mimosafork/kernel/lifecycle.py
@@ -20,7 +20,7 @@
     ConnectionOpening,
     FailureKind,
     FirstToken,
-    HedgedAttemptHeard,
+    HedgedAttemptResumed,
     RetryDue,
 )
 from .messages.outcomes import Conclude, Outcome, Retention
@@ -30,22 +30,22 @@
     Answered,
     Bypass,
     CompletionCleared,
-    Concluded,
     Finisher,
     GiveUp,
     Hold,
-    InHand,
-    NotMine,
+    NotApplicable,
     Placed,
     PlacementFailed,
+    PlacementPending,
     PlaceOn,
     Placer,
     QueueDiscipline,
     Refuse,
+    RequestConcluded,
     RetryPolicy,
+    ReviewDecision,
     Stage,
     StageCleared,
-    Verdict,
     Wait,
 )
 from .records import Attempt, RequestRecord, RequestState
@@ -109,7 +109,7 @@
         self._enqueue(record, context)
 
     def _passed(
-        self, record: RequestRecord, verdict: Verdict, context: Context
+        self, record: RequestRecord, verdict: ReviewDecision, context: Context
     ) -> bool:
         """Apply a stage's verdict; return whether the review goes on."""
         if isinstance(verdict, Refuse):
@@ -138,7 +138,7 @@
         if self.stages[record.stage_index].name != cleared.stage:
             return
         record.state = RequestState.REVIEWING
-        if self._passed(record, cleared.verdict, context):
+        if self._passed(record, cleared.decision, context):
             self._review(record, context)
 
     def _enqueue(self, record: RequestRecord, context: Context) -> None:
@@ -197,12 +197,12 @@
         """Ask the placers; return whether the request left the queue."""
         for placer in self.placers:
             placement = placer.place(record, context)
-            if isinstance(placement, NotMine):
+            if isinstance(placement, NotApplicable):
                 continue
             if isinstance(placement, Wait):
                 return False
             context.state.waiting.remove(record)
-            if isinstance(placement, InHand):
+            if isinstance(placement, PlacementPending):
                 record.state = RequestState.PLACING
             elif isinstance(placement, Refuse):
                 outcome = record.outcome_if_ended()
@@ -244,13 +244,13 @@
         record.attempts.append(attempt)
         record.state = RequestState.RUNNING
         own = own_dispatch_of(record, context.now)
-        context.state.fleet.note_own(attempt.endpoint, own)
+        context.state.fleet.add_own_request(attempt.endpoint, own)
         context.emit(dispatch_of(record, attempt, place))
 
     def _forget_own_dispatch(self, record: RequestRecord, context: Context) -> None:
         if record.current is not None:
             endpoint = record.current.endpoint
-            context.state.fleet.forget_own(endpoint, record.request_id)
+            context.state.fleet.remove_own_request(endpoint, record.request_id)
 
     def note_sending(
         self, message: ConnectionOpening | AttemptSent, context: Context
@@ -268,8 +268,8 @@
         hedging.cancel_hedged(record, context)
         record.current.first_token_at = context.now
         endpoint = context.state.fleet.endpoints.get(record.current.endpoint)
-        if endpoint is not None and record.request_id in endpoint.own:
-            endpoint.own[record.request_id].prefilled = True
+        if endpoint is not None and record.request_id in endpoint.own_requests:
+            endpoint.own_requests[record.request_id].prefilled = True
 
     def attempt_finished(self, message: AttemptFinished, context: Context) -> None:
         """Conclude a request whose answer is whole, unless a finisher holds it."""
@@ -313,7 +313,7 @@
             record.hedged = record.current
             self._fail(record, message, context)
 
-    def hedged_heard(self, message: HedgedAttemptHeard, context: Context) -> None:
+    def hedged_resumed(self, message: HedgedAttemptResumed, context: Context) -> None:
         """Go on with an attempt that was only silent."""
         self._restore(message.request_id, message.attempt, context)
 
@@ -448,7 +448,7 @@
         current = record.current
         # A shared run belongs to another call under the same key: cancelling it
         # because this caller left would cut that one's answer.
-        own = record.state is RequestState.RUNNING and record.shared_run is None
+        own = record.state is RequestState.RUNNING and record.attached_run is None
         if own and current is not None and outcome is not Outcome.COMPLETED:
             context.emit(hedging.cancellation_of(record, current))
         context.state.requests.pop(record.request_id, None)
@@ -456,7 +456,7 @@
             record.request_id, outcome, len(record.attempts), problem, retention
         )
         context.emit(conclusion)
-        context.post(Concluded(record, conclusion))
+        context.post(RequestConcluded(record, conclusion))
 
     def _running(
         self, request_id: RequestId, attempt: AttemptNumber, context: Context
--- a/src/mimosafork/kernel/messages/attempts.py
+++ b/src/mimosafork/kernel/messages/attempts.py
@@ -116,7 +116,7 @@
     """
 
 
-class HedgedAttemptHeard(Message, frozen=True):
+class HedgedAttemptResumed(Message, frozen=True):
     """A hedged attempt has sent an event."""
 
     request_id: RequestId
--- a/src/mimosafork/kernel/messages/cache.py
+++ b/src/mimosafork/kernel/messages/cache.py
@@ -8,7 +8,7 @@
 from .watch import EndpointKey
 
 
-class CacheNews(PeerValue, msgspec.Struct, frozen=True):
+class CacheChanges(PeerValue, msgspec.Struct, frozen=True):
     """Prefixes that entered or left an engine's cache since the last batch.
 
     Attributes
@@ -33,21 +33,21 @@
     marks: bytes
 
 
-class CacheWanted(PeerValue, msgspec.Struct, frozen=True):
+class CacheSummaryRequest(PeerValue, msgspec.Struct, frozen=True):
     """The writer has missed something of an engine's cache; a summary, please."""
 
     batch: int
 
 
-class CacheNewsHeard(Message, frozen=True):
+class CacheChangesReceived(Message, frozen=True):
     """A peer has told news of an engine's cache."""
 
     key: EndpointKey
-    news: CacheNews
+    changes: CacheChanges
     origin: Origin
 
 
-class CacheSummaryHeard(Message, frozen=True):
+class CacheSummaryReceived(Message, frozen=True):
     """A peer has told what an engine's cache holds."""
 
     key: EndpointKey
@@ -55,7 +55,7 @@
     origin: Origin
 
 
-class CacheWantedHeard(Message, frozen=True):
+class CacheSummaryRequestReceived(Message, frozen=True):
     """A peer wants a summary of an engine's cache."""
 
     key: EndpointKey
--- a/src/mimosafork/kernel/messages/claims.py
+++ b/src/mimosafork/kernel/messages/claims.py
@@ -35,7 +35,7 @@
     """It surely never ran; the key is free."""
 
 
-class StreamPlace(msgspec.Struct, frozen=True):
+class StreamLocation(msgspec.Struct, frozen=True):
     """Where a stream runs."""
 
     stream_id: StreamId
@@ -68,7 +68,7 @@
     generation: int
     time_left: timedelta
     state: ClaimState = ClaimState.CLAIMED
-    place: StreamPlace | None = None
+    place: StreamLocation | None = None
     outcome: Outcome | None = None
     answer_kept: bool = False
 
@@ -91,12 +91,12 @@
     replaces: ClaimId | None = None
 
 
-class NotePlace(Effect, frozen=True):
+class RecordStreamLocation(Effect, frozen=True):
     """Note in the claim's row where its stream runs."""
 
     key: ClaimKey
     claim_id: ClaimId
-    place: StreamPlace
+    place: StreamLocation
 
 
 class ReleaseClaim(Effect, frozen=True):
@@ -148,7 +148,7 @@
     instances: int
 
 
-class EndpointToAsk(msgspec.Struct, frozen=True):
+class CandidateEndpoint(msgspec.Struct, frozen=True):
     """An endpoint that may run a stream."""
 
     endpoint: EndpointId
@@ -166,9 +166,9 @@
     """
 
     request_id: RequestId
-    noted: StreamPlace | None
+    noted: StreamLocation | None
     stream_ids: tuple[StreamId, ...]
-    endpoints: tuple[EndpointToAsk, ...]
+    endpoints: tuple[CandidateEndpoint, ...]
 
 
 class ClaimWon(Message, frozen=True):
@@ -200,7 +200,7 @@
     claim_id: ClaimId
 
 
-class ClaimOverdue(Message, frozen=True):
+class ClaimTimedOut(Message, frozen=True):
     """A claim has not been settled in the time that its request waits for it."""
 
     request_id: RequestId
@@ -217,10 +217,10 @@
     """
 
     request_id: RequestId
-    place: StreamPlace | None
+    place: StreamLocation | None
 
 
-class SearchOverdue(Message, frozen=True):
+class SearchTimedOut(Message, frozen=True):
     """A search for a stream has taken too long."""
 
     request_id: RequestId
@@ -233,7 +233,7 @@
     kept: bool
 
 
-class KeepingOverdue(Message, frozen=True):
+class KeepAnswerTimedOut(Message, frozen=True):
     """An answer's end has been held as long as it may be."""
 
     request_id: RequestId
--- a/src/mimosafork/kernel/messages/dispatch.py
+++ b/src/mimosafork/kernel/messages/dispatch.py
@@ -15,7 +15,7 @@
 from .base import Effect
 
 
-class Helper(msgspec.Struct, frozen=True):
+class PrefillHelper(msgspec.Struct, frozen=True):
     """An endpoint that reads a part of a prompt for the one that answers.
 
     Attributes
@@ -29,7 +29,7 @@
     reservation: ReservationId | None = None
 
 
-class Patience(msgspec.Struct, frozen=True):
+class SilenceTimeouts(msgspec.Struct, frozen=True):
     """How long an attempt may be silent before that is worth a thought.
 
     Attributes
@@ -40,8 +40,8 @@
         Between two events after that.
     """
 
-    first: timedelta
-    further: timedelta
+    first_event: timedelta
+    between_events: timedelta
 
 
 class Dispatch(Effect, frozen=True):
@@ -65,7 +65,7 @@
     shared : bool
         Another call under the same key may be answered by the stream: only
         `CancelAttempt` ends it, not that this attempt failed.
-    helpers : tuple of Helper
+    helpers : tuple of PrefillHelper
         Endpoints that read the prompt in even parts with this one.
     patience : Patience or None
         A longer silence is told by `AttemptSilent`; None asks for no word.
@@ -84,10 +84,10 @@
     imports: tuple[ReservationId, ...] = ()
     imported_tokens: int = 0
     reservation: ReservationId | None = None
-    keep: bool = False
+    keep_answer: bool = False
     shared: bool = False
-    helpers: tuple[Helper, ...] = ()
-    patience: Patience | None = None
+    helpers: tuple[PrefillHelper, ...] = ()
+    silence_timeouts: SilenceTimeouts | None = None
 
 
 class RestoreAttempt(Effect, frozen=True):
--- a/src/mimosafork/kernel/messages/fleet.py
+++ b/src/mimosafork/kernel/messages/fleet.py
@@ -25,7 +25,7 @@
     PLAIN_SERVICE = "plain-service"
 
 
-class LifeState(Enum):
+class LifecycleState(Enum):
     """State of an instance or endpoint in the platform's list."""
 
     LIVE = "live"
@@ -55,7 +55,7 @@
     address: str
     availability_zone: AvailabilityZoneId
     incarnation: Incarnation
-    state: LifeState
+    state: LifecycleState
     service: ServiceId | None = None
 
 
@@ -74,7 +74,7 @@
     peer_address: str
     availability_zone: AvailabilityZoneId
     incarnation: Incarnation
-    state: LifeState
+    state: LifecycleState
     operations_address: str = ""
 
 
@@ -131,7 +131,7 @@
     """
 
     report: LoadReport
-    heard_from: InstanceId | None = None
+    probed_by: InstanceId | None = None
 
 
 class ProbeFailed(Message, frozen=True):
--- a/src/mimosafork/kernel/messages/limits.py
+++ b/src/mimosafork/kernel/messages/limits.py
@@ -45,7 +45,7 @@
             raise ValueError("a demand for each account is needed")
 
 
-class AccountDemandHeard(Message, frozen=True):
+class AccountDemandReceived(Message, frozen=True):
     """An entry instance has told its own demand, or a zone's speaker its zone's.
 
     Attributes
--- a/src/mimosafork/kernel/messages/peers.py
+++ b/src/mimosafork/kernel/messages/peers.py
@@ -106,11 +106,11 @@
     silent_zones: tuple[AvailabilityZoneId, ...]
 
 
-class MeetInstances(Effect, frozen=True):
+class AddPeerCandidates(Effect, frozen=True):
     """Exchange with these instances; from the platform's list."""
 
     instances: tuple[EntryInstance, ...]
 
 
-class DrainAnnounced(Effect, frozen=True):
+class AnnounceDrain(Effect, frozen=True):
     """Tell the peers that this instance is stopping."""
--- a/src/mimosafork/kernel/messages/placement.py
+++ b/src/mimosafork/kernel/messages/placement.py
@@ -9,7 +9,7 @@
 from .recovery import HoldingKind
 
 
-class PartFailure(Enum):
+class GangStepFailure(Enum):
     """Why a step of a gang failed."""
 
     NO_MEMORY = "no-memory"
@@ -46,7 +46,7 @@
 
     request_id: RequestId
     reservation: ReservationId
-    failure: PartFailure
+    failure: GangStepFailure
 
 
 class PrefillSegment(Effect, frozen=True):
@@ -94,7 +94,7 @@
 
     request_id: RequestId
     stream_id: StreamId
-    failure: PartFailure
+    failure: GangStepFailure
     exposure: Exposure
 
 
@@ -122,10 +122,10 @@
 
     request_id: RequestId
     import_id: ReservationId
-    failure: PartFailure
+    failure: GangStepFailure
 
 
-class FreePart(Effect, frozen=True):
+class FreeOwnHolding(Effect, frozen=True):
     """Free what an engine holds for a request of ours; it need not be there."""
 
     endpoint: EndpointId
--- a/src/mimosafork/kernel/messages/quarantine.py
+++ b/src/mimosafork/kernel/messages/quarantine.py
@@ -9,7 +9,7 @@
 from .peers import Origin, PeerValue
 
 
-class Life(msgspec.Struct, frozen=True):
+class EndpointIncarnation(msgspec.Struct, frozen=True):
     """One life of an endpoint."""
 
     endpoint: EndpointId
@@ -36,9 +36,9 @@
     is_confirmed: bool
 
     @property
-    def life(self) -> Life:
+    def endpoint_incarnation(self) -> EndpointIncarnation:
         """The life that has ended, or seemed to."""
-        return Life(self.endpoint, self.incarnation)
+        return EndpointIncarnation(self.endpoint, self.incarnation)
 
 
 class Suspicion(PeerValue, msgspec.Struct, frozen=True):
@@ -52,10 +52,10 @@
     """
 
     evidence: tuple[CrashEvidence, ...]
-    dropped: tuple[Life, ...] = ()
+    dropped: tuple[EndpointIncarnation, ...] = ()
 
 
-class SuspicionHeard(Message, frozen=True):
+class SuspicionReceived(Message, frozen=True):
     """A peer has told a suspicion."""
 
     digest: Digest
@@ -72,10 +72,10 @@
         For how long from when it was written; 0 ends it.
     """
 
-    left_ms: int
+    remaining_ms: int
 
 
-class EndpointIsolationHeard(Message, frozen=True):
+class EndpointIsolationReceived(Message, frozen=True):
     """A peer keeps an endpoint free, or no longer does."""
 
     endpoint: EndpointId
@@ -83,7 +83,7 @@
     origin: Origin
 
 
-class KeepSuspicion(Effect, frozen=True):
+class StoreSuspicion(Effect, frozen=True):
     """Add evidence to what the table service keeps of a body."""
 
     digest: Digest
@@ -96,7 +96,7 @@
     digest: Digest
 
 
-class KeptSuspicion(msgspec.Struct, frozen=True):
+class StoredSuspicion(msgspec.Struct, frozen=True):
     """What the table service keeps of a body.
 
     Attributes
@@ -113,4 +113,4 @@
 class SuspicionsRead(Message, frozen=True):
     """The kept suspicions were read from the table service."""
 
-    suspicions: tuple[KeptSuspicion, ...]
+    suspicions: tuple[StoredSuspicion, ...]
--- a/src/mimosafork/kernel/messages/routing.py
+++ b/src/mimosafork/kernel/messages/routing.py
@@ -9,7 +9,7 @@
 from .base import Message
 
 
-class TableInForce(Message, frozen=True):
+class RoutingTableChanged(Message, frozen=True):
     """A newer version of the routing table is in force."""
 
     table: RoutingTable
@@ -34,7 +34,7 @@
     final: bool = False
 
 
-class PeerWorkTold(Message, frozen=True):
+class PeerWorkReplaced(Message, frozen=True):
     """A peer's whole running work, in times of this instance's clock."""
 
     instance: InstanceId
@@ -56,7 +56,7 @@
     ended: tuple[RequestId, ...]
 
 
-class PeerSilent(Message, frozen=True):
+class PeerWorkUnknown(Message, frozen=True):
     """Nothing is known any more of a peer's work."""
 
     instance: InstanceId
--- a/src/mimosafork/kernel/messages/sharing.py
+++ b/src/mimosafork/kernel/messages/sharing.py
@@ -5,32 +5,32 @@
 from .base import Effect, Message
 
 
-class WorkBegun(Effect, frozen=True):
+class PublishWork(Effect, frozen=True):
     """Own work was sent, or has written its first token."""
 
     work: InFlightRequest
 
 
-class WorkEnded(Effect, frozen=True):
+class PublishWorkEnd(Effect, frozen=True):
     """Own work has ended."""
 
     request_id: RequestId
 
 
-class CrashSuspected(Effect, frozen=True):
+class PublishCrashSuspicion(Effect, frozen=True):
     """An endpoint's connection broke under a request."""
 
     digest: Digest
     endpoint: EndpointId
 
 
-class CrashCleared(Effect, frozen=True):
+class PublishCrashClearance(Effect, frozen=True):
     """A request that was suspected has run to its end."""
 
     digest: Digest
 
 
-class CrashTold(Message, frozen=True):
+class CrashSuspicionUpdated(Message, frozen=True):
     """What all instances together know of a suspected request."""
 
     digest: Digest
--- a/src/mimosafork/kernel/messages/watch.py
+++ b/src/mimosafork/kernel/messages/watch.py
@@ -37,7 +37,7 @@
     endpoint: EndpointId
     address: str
     kind: EndpointKind
-    first: bool
+    is_primary: bool
 
 
 class WatchEndpoints(Effect, frozen=True):
@@ -52,7 +52,7 @@
     endpoint: EndpointId
 
 
-class SpeakForZone(Message, frozen=True):
+class PublishForZone(Message, frozen=True):
     """Speak for the availability zone now; posted every second to whom it falls.
 
     Plug-ins then publish to the whole fleet what the other zones should know of
@@ -62,8 +62,8 @@
     availability_zone: AvailabilityZoneId
 
 
-PREFILL_UNIT = 256
-KV_WHOLE = 65_535
+PREFILL_UNIT_TOKENS = 256
+KV_SHARE_SCALE = 65_535
 
 
 class EndpointProfile(PeerValue, msgspec.Struct, frozen=True):
@@ -98,7 +98,7 @@
         Used KV memory in parts of `KV_WHOLE` of the capacity.
     """
 
-    life: int
+    incarnation_bits: int
     sequence: int
     lag_ms: int
     running: int
@@ -108,7 +108,7 @@
     draining: bool
 
 
-class EndpointSilence(PeerValue, msgspec.Struct, frozen=True):
+class EndpointProbeFailure(PeerValue, msgspec.Struct, frozen=True):
     """An endpoint does not answer the writer's probes.
 
     Attributes
@@ -121,7 +121,7 @@
     age_ms: int
 
 
-class EndpointProfileHeard(Message, frozen=True):
+class EndpointProfileReceived(Message, frozen=True):
     """A peer has told an endpoint's profile."""
 
     key: EndpointKey
@@ -129,7 +129,7 @@
     origin: Origin
 
 
-class EndpointLoadHeard(Message, frozen=True):
+class EndpointLoadReceived(Message, frozen=True):
     """A peer has told an endpoint's load."""
 
     key: EndpointKey
@@ -137,9 +137,9 @@
     origin: Origin
 
 
-class EndpointSilenceHeard(Message, frozen=True):
+class EndpointProbeFailureReceived(Message, frozen=True):
     """A peer can't reach an endpoint."""
 
     key: EndpointKey
-    silence: EndpointSilence
+    failure: EndpointProbeFailure
     origin: Origin
--- a/src/mimosafork/kernel/plugins.py
+++ b/src/mimosafork/kernel/plugins.py
@@ -14,7 +14,7 @@
 from ..ids import EndpointId, Incarnation, ReservationId, StreamId
 from .messages.attempts import AttemptFailed
 from .messages.base import Message
-from .messages.dispatch import Helper, Patience
+from .messages.dispatch import PrefillHelper, SilenceTimeouts
 from .messages.outcomes import Conclude, Outcome, Retention
 from .messages.problems import Problem
 
@@ -40,7 +40,7 @@
 
     name: ClassVar[str] = ""
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the other plug-ins that this one asks; called once, at the start."""
 
     @singledispatchmethod
@@ -77,7 +77,7 @@
     """The stage has had the whole answer delivered; the request ends here."""
 
 
-Verdict = Proceed | Hold | Refuse | Bypass | Answered
+ReviewDecision = Proceed | Hold | Refuse | Bypass | Answered
 
 
 class StageCleared(Message, frozen=True):
@@ -85,7 +85,7 @@
 
     request_id: str
     stage: str
-    verdict: Verdict
+    decision: ReviewDecision
 
 
 class Stage(Plugin):
@@ -93,12 +93,12 @@
 
     order: ClassVar[int] = 50
 
-    def review(self, record: "RequestRecord", context: "Context") -> Verdict:
+    def review(self, record: "RequestRecord", context: "Context") -> ReviewDecision:
         """Return whether the request goes on."""
         raise NotImplementedError
 
 
-class NotMine(msgspec.Struct, frozen=True):
+class NotApplicable(msgspec.Struct, frozen=True):
     """The placer leaves this request to the next one."""
 
 
@@ -123,15 +123,15 @@
     imports: tuple[ReservationId, ...] = ()
     imported_tokens: int = 0
     reservation: ReservationId | None = None
-    helpers: tuple[Helper, ...] = ()
-    patience: Patience | None = None
+    helpers: tuple[PrefillHelper, ...] = ()
+    silence_timeouts: SilenceTimeouts | None = None
 
 
-class InHand(msgspec.Struct, frozen=True):
+class PlacementPending(msgspec.Struct, frozen=True):
     """The placer works on it and will post `Placed` or `PlacementFailed`."""
 
 
-Placement = NotMine | Wait | PlaceOn | InHand | Refuse
+Placement = NotApplicable | Wait | PlaceOn | PlacementPending | Refuse
 
 
 class Placed(Message, frozen=True):
@@ -183,7 +183,7 @@
         raise NotImplementedError
 
 
-class Concluded(Message, frozen=True):
+class RequestConcluded(Message, frozen=True):
     """A request's life has ended; told to plug-ins that learn or clean up."""
 
     record: "RequestRecord"
--- a/src/mimosafork/kernel/records.py
+++ b/src/mimosafork/kernel/records.py
@@ -72,7 +72,7 @@
 
     key: ClaimKey
     claim_id: ClaimId
-    settled: bool = False
+    confirmed: bool = False
 
 
 class RequestRecord(msgspec.Struct):
@@ -113,11 +113,11 @@
     predicted_first_token: timedelta | None = None
     avoid: set[EndpointId] = msgspec.field(default_factory=set)
     claim: HeldClaim | None = None
-    shared_run: PlaceOn | None = None
-    run_elsewhere: bool = False
-    stream_base: str | None = None
+    attached_run: PlaceOn | None = None
+    may_have_run_elsewhere: bool = False
+    stream_id_prefix: str | None = None
     caller_gone: bool = False
-    part_run: bool = False
+    prefill_may_have_run: bool = False
     hedged: Attempt | None = None
 
     @property
@@ -131,17 +131,17 @@
         return self.attempts[-1] if self.attempts else None
 
     @property
-    def answers_others(self) -> bool:
+    def is_shareable(self) -> bool:
         """Whether the run may answer other calls under the same key.
 
         That of another call does. So does the one run of a non-idempotent request:
         its caller may come back for it, and there will be no other.
         """
         once = self.request.repeatability is Repeatability.NON_IDEMPOTENT
-        return self.shared_run is not None or (once and self.claim is not None)
+        return self.attached_run is not None or (once and self.claim is not None)
 
     @property
-    def has_begun(self) -> bool:
+    def has_received_token(self) -> bool:
         """Whether a token of the answer is known to have come.
 
         How many an open attempt has delivered is told only when it ends; that its
@@ -158,14 +158,14 @@
         UNKNOWN: "failed" would invite its caller to send it again. So is one whose
         attempt is still open and silent.
         """
-        if self.run_elsewhere or self.shared_run is not None:
+        if self.may_have_run_elsewhere or self.attached_run is not None:
             return Outcome.UNKNOWN
         exposures = {attempt.exposure for attempt in self.attempts}
-        if Exposure.POSSIBLE not in exposures and not self.part_run:
+        if Exposure.POSSIBLE not in exposures and not self.prefill_may_have_run:
             return Outcome.NOT_RUN
         if self.request.repeatability is Repeatability.NON_IDEMPOTENT:
             return Outcome.UNKNOWN
         open_attempt = any(attempt.failure is None for attempt in self.attempts)
-        if open_attempt and not self.has_begun:
+        if open_attempt and not self.has_received_token:
             return Outcome.UNKNOWN
         return Outcome.FAILED
--- a/src/mimosafork/leases/keeper.py
+++ b/src/mimosafork/leases/keeper.py
@@ -7,7 +7,7 @@
 
 from ..clock import Clock
 from ..ids import FencingNumber
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.leases import Duty, Lease
 from ..storage.errors import StoreUnavailableError, UnknownResultError
 from ..storage.table import ABSENT, Condition, Conflict, Row, Table, Write
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        identity: Identity,
+        identity: InstanceIdentity,
         duty: Duty,
         table: Table,
         clock: Clock,
--- a/src/mimosafork/leases/row.py
+++ b/src/mimosafork/leases/row.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..ids import AvailabilityZoneId, FencingNumber, Incarnation, InstanceId
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.leases import Duty
 from ..storage.table import Row
 
@@ -37,7 +37,7 @@
     fencing: FencingNumber
     write_id: str
 
-    def held_by(self, identity: Identity) -> bool:
+    def held_by(self, identity: InstanceIdentity) -> bool:
         """Return whether an instance's present incarnation holds it."""
         return (self.holder, self.incarnation) == (
             identity.instance,
--- a/src/mimosafork/peers/exchanger.py
+++ b/src/mimosafork/peers/exchanger.py
@@ -13,7 +13,7 @@
 
 from ..clock import Clock
 from ..ids import Incarnation, InstanceId, Revision
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.base import Message
 from ..kernel.messages.peers import Origin, PeerValue, Scope
 from ..telemetry.catalogue.peers import INCARNATION_SUPERSEDED
@@ -47,7 +47,7 @@
         ``IP:PORT`` at which peers reach it.
     """
 
-    identity: Identity
+    identity: InstanceIdentity
     fleet: str
     address: str
 
--- a/src/mimosafork/peers/kinds/cache.py
+++ b/src/mimosafork/peers/kinds/cache.py
@@ -4,12 +4,12 @@
 
 from ...kernel.messages.base import Message
 from ...kernel.messages.cache import (
-    CacheNews,
-    CacheNewsHeard,
+    CacheChanges,
+    CacheChangesReceived,
     CacheSummary,
-    CacheSummaryHeard,
-    CacheWanted,
-    CacheWantedHeard,
+    CacheSummaryReceived,
+    CacheSummaryRequest,
+    CacheSummaryRequestReceived,
 )
 from ...kernel.messages.peers import Origin, Scope
 from ...kernel.messages.watch import EndpointKey
@@ -20,7 +20,7 @@
 
 
 @register_kind
-class CacheNewsKind(ArrayKind[CacheNews]):
+class CacheNewsKind(ArrayKind[CacheChanges]):
     """A batch of news; its key names the engine and a slot of a small ring.
 
     The newest entry of a key replaces the one before, so batches that follow each
@@ -28,15 +28,15 @@
     """
 
     number = 5
-    value_type = CacheNews
+    value_type = CacheChanges
     scopes = ZONE_ONLY
     time_to_live = timedelta(seconds=30)
     max_bytes = 1200
 
-    def message(self, key: str, value: CacheNews, origin: Origin) -> Message:
+    def message(self, key: str, value: CacheChanges, origin: Origin) -> Message:
         """Return the news with their engine."""
         endpoint = key.rpartition(SLOT_SEPARATOR)[0]
-        return CacheNewsHeard(EndpointKey(endpoint), value, origin)
+        return CacheChangesReceived(EndpointKey(endpoint), value, origin)
 
 
 @register_kind
@@ -51,19 +51,19 @@
 
     def message(self, key: str, value: CacheSummary, origin: Origin) -> Message:
         """Return the summary with its engine."""
-        return CacheSummaryHeard(EndpointKey(key), value, origin)
+        return CacheSummaryReceived(EndpointKey(key), value, origin)
 
 
 @register_kind
-class CacheWantedKind(ArrayKind[CacheWanted]):
+class CacheWantedKind(ArrayKind[CacheSummaryRequest]):
     """Written by an instance that has missed a batch, or has just started."""
 
     number = 7
-    value_type = CacheWanted
+    value_type = CacheSummaryRequest
     scopes = ZONE_ONLY
     time_to_live = timedelta(seconds=10)
     max_bytes = 20
 
-    def message(self, key: str, value: CacheWanted, origin: Origin) -> Message:
+    def message(self, key: str, value: CacheSummaryRequest, origin: Origin) -> Message:
         """Return the wish with its engine."""
-        return CacheWantedHeard(EndpointKey(key), origin)
+        return CacheSummaryRequestReceived(EndpointKey(key), origin)
--- a/src/mimosafork/peers/kinds/demand.py
+++ b/src/mimosafork/peers/kinds/demand.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from ...kernel.messages.base import Message
-from ...kernel.messages.limits import ZONE_DEMAND, AccountDemand, AccountDemandHeard
+from ...kernel.messages.limits import ZONE_DEMAND, AccountDemand, AccountDemandReceived
 from ...kernel.messages.peers import Origin, Scope
 from .base import ArrayKind, register_kind
 
@@ -20,4 +20,4 @@
 
     def message(self, key: str, value: AccountDemand, origin: Origin) -> Message:
         """Return the demand with its origin."""
-        return AccountDemandHeard(value, key == ZONE_DEMAND, origin)
+        return AccountDemandReceived(value, key == ZONE_DEMAND, origin)
--- a/src/mimosafork/peers/kinds/endpoints.py
+++ b/src/mimosafork/peers/kinds/endpoints.py
@@ -7,11 +7,11 @@
 from ...kernel.messages.watch import (
     EndpointKey,
     EndpointLoad,
-    EndpointLoadHeard,
+    EndpointLoadReceived,
+    EndpointProbeFailure,
+    EndpointProbeFailureReceived,
     EndpointProfile,
-    EndpointProfileHeard,
-    EndpointSilence,
-    EndpointSilenceHeard,
+    EndpointProfileReceived,
 )
 from .base import ArrayKind, register_kind
 
@@ -30,7 +30,7 @@
 
     def message(self, key: str, value: EndpointProfile, origin: Origin) -> Message:
         """Return the profile with its endpoint."""
-        return EndpointProfileHeard(EndpointKey(key), value, origin)
+        return EndpointProfileReceived(EndpointKey(key), value, origin)
 
 
 @register_kind
@@ -45,19 +45,19 @@
 
     def message(self, key: str, value: EndpointLoad, origin: Origin) -> Message:
         """Return the load with its endpoint."""
-        return EndpointLoadHeard(EndpointKey(key), value, origin)
+        return EndpointLoadReceived(EndpointKey(key), value, origin)
 
 
 @register_kind
-class EndpointSilenceKind(ArrayKind[EndpointSilence]):
+class EndpointSilenceKind(ArrayKind[EndpointProbeFailure]):
     """Written when an endpoint stops answering and renewed while it is silent."""
 
     number = 4
-    value_type = EndpointSilence
+    value_type = EndpointProbeFailure
     scopes = BOTH
     time_to_live = timedelta(seconds=30)
     max_bytes = 40
 
-    def message(self, key: str, value: EndpointSilence, origin: Origin) -> Message:
+    def message(self, key: str, value: EndpointProbeFailure, origin: Origin) -> Message:
         """Return the word with its endpoint."""
-        return EndpointSilenceHeard(EndpointKey(key), value, origin)
+        return EndpointProbeFailureReceived(EndpointKey(key), value, origin)
--- a/src/mimosafork/peers/kinds/quarantine.py
+++ b/src/mimosafork/peers/kinds/quarantine.py
@@ -7,9 +7,9 @@
 from ...kernel.messages.peers import Origin, Scope
 from ...kernel.messages.quarantine import (
     EndpointIsolation,
-    EndpointIsolationHeard,
+    EndpointIsolationReceived,
     Suspicion,
-    SuspicionHeard,
+    SuspicionReceived,
 )
 from .base import ArrayKind, register_kind
 
@@ -26,7 +26,7 @@
 
     def message(self, key: str, value: Suspicion, origin: Origin) -> Message:
         """Return the suspicion with the body's digest."""
-        return SuspicionHeard(Digest(key), value, origin)
+        return SuspicionReceived(Digest(key), value, origin)
 
 
 @register_kind
@@ -41,4 +41,4 @@
 
     def message(self, key: str, value: EndpointIsolation, origin: Origin) -> Message:
         """Return the isolation with its endpoint."""
-        return EndpointIsolationHeard(EndpointId(key), value, origin)
+        return EndpointIsolationReceived(EndpointId(key), value, origin)
--- a/src/mimosafork/peers/task.py
+++ b/src/mimosafork/peers/task.py
@@ -11,7 +11,7 @@
 from ..clock import Clock
 from ..ids import Revision
 from ..kernel.messages.base import Message
-from ..kernel.messages.peers import DrainAnnounced, MeetInstances, Publish
+from ..kernel.messages.peers import AddPeerCandidates, AnnounceDrain, Publish
 from ..runtime.task import Task
 from .client import CALL_TIMEOUT, PeersClient
 from .configuration import ConfigurationShare, Offer
@@ -70,7 +70,7 @@
     configuration: ConfigurationText
 
 
-PeersInput = PeersMessage | Publish | MeetInstances | DrainAnnounced
+PeersInput = PeersMessage | Publish | AddPeerCandidates | AnnounceDrain
 
 
 class PeersTask(Task[PeersInput]):
@@ -200,7 +200,7 @@
             self.next_round_s = self._now_s()
 
     @handle.register
-    def _(self, message: MeetInstances) -> None:
+    def _(self, message: AddPeerCandidates) -> None:
         known = len(self.partners.contacts)
         self.partners.meet(message.instances)
         if known == 0 and self.partners.contacts:
@@ -214,7 +214,7 @@
         self._renew_state(self._now_s())
 
     @handle.register
-    def _(self, message: DrainAnnounced) -> None:
+    def _(self, message: AnnounceDrain) -> None:
         self.draining = True
         self._renew_state(self._now_s())
         self.next_round_s = self._now_s()
--- a/src/mimosafork/platform/calls.py
+++ b/src/mimosafork/platform/calls.py
@@ -15,8 +15,8 @@
 from ..gateway.heads import Header, RequestHead, end_to_end_headers, first_header_value
 from ..gateway.response_reader import ResponseHead
 from ..kernel.messages.base import Effect
-from ..kernel.messages.dispatch import Helper
-from ..kernel.messages.placement import PartFailure
+from ..kernel.messages.dispatch import PrefillHelper
+from ..kernel.messages.placement import GangStepFailure
 from ..routing.table import ApiKey
 from . import names
 from .orders import failure_of, order_of
@@ -114,7 +114,7 @@
         """Return what has an endpoint carry out an effect."""
         return order_of(effect)
 
-    def order_failure(self, status: int) -> PartFailure | None:
+    def order_failure(self, status: int) -> GangStepFailure | None:
         """Return why an order was not carried out; None if it was."""
         return failure_of(status)
 
@@ -172,7 +172,7 @@
     return ApiKey(key.strip().decode("latin-1"))
 
 
-def helper_list(helpers: tuple[Helper, ...]) -> bytes:
+def helper_list(helpers: tuple[PrefillHelper, ...]) -> bytes:
     """Return the value that names the helpers of a prompt, and their memory."""
     parts = [
         helper.address
--- a/src/mimosafork/platform/orders.py
+++ b/src/mimosafork/platform/orders.py
@@ -8,7 +8,7 @@
 
 from ..gateway.dialect import OrderMessage
 from ..kernel.messages.base import Effect
-from ..kernel.messages.placement import FreePart, PartFailure, ReserveMemory
+from ..kernel.messages.placement import FreeOwnHolding, GangStepFailure, ReserveMemory
 from . import names
 
 MILLISECOND = timedelta(milliseconds=1)
@@ -43,7 +43,7 @@
 
 
 @order_of.register
-def _(effect: FreePart) -> OrderMessage:
+def _(effect: FreeOwnHolding) -> OrderMessage:
     return message_of({names.OPERATION: names.RELEASE, names.ID: effect.holding_id})
 
 
@@ -52,10 +52,10 @@
     return OrderMessage(names.ORDER_PATH, msgspec.json.encode(document))
 
 
-def failure_of(status: int) -> PartFailure | None:
+def failure_of(status: int) -> GangStepFailure | None:
     """Return what an answer's status says; None if the order is done."""
     if status in DONE:
         return None
     if status in SHORT_OF_MEMORY:
-        return PartFailure.NO_MEMORY
-    return PartFailure.REFUSED
+        return GangStepFailure.NO_MEMORY
+    return GangStepFailure.REFUSED
--- a/src/mimosafork/policies/admission.py
+++ b/src/mimosafork/policies/admission.py
@@ -6,7 +6,7 @@
 from ..kernel.context import Context
 from ..kernel.messages.problems import Problem, ProblemCode
 from ..kernel.messages.requests import RequestKind
-from ..kernel.plugins import Proceed, Refuse, Stage, Verdict
+from ..kernel.plugins import Proceed, Refuse, ReviewDecision, Stage
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
 
@@ -19,7 +19,7 @@
 
     order = 10
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Refuse with the reason, or proceed."""
         if context.state.stopping:
             return _refuse(ProblemCode.SHUTTING_DOWN, "this instance is stopping", True)
--- a/src/mimosafork/policies/affinity.py
+++ b/src/mimosafork/policies/affinity.py
@@ -34,7 +34,7 @@
         self.places: OrderedDict[Digest, dict[EndpointId, timedelta]] = OrderedDict()
         self.index: CacheIndex | None = None
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-in that hears of what others have sent."""
         self.index = find(CacheIndex)
 
--- a/src/mimosafork/policies/baselines.py
+++ b/src/mimosafork/policies/baselines.py
@@ -23,7 +23,7 @@
         usable = [
             endpoint
             for endpoint in context.state.fleet.serving(record.request.target)
-            if endpoint.takes_new_work(context.now)
+            if endpoint.accepts_new_requests(context.now)
         ]
         fresh = [
             endpoint for endpoint in usable if endpoint.endpoint_id not in record.avoid
@@ -81,7 +81,7 @@
 
 def _requests_on(endpoint: Endpoint) -> int:
     """Return the larger of the reported requests and this instance's own."""
-    own = len(endpoint.own)
+    own = len(endpoint.own_requests)
     if endpoint.report is None:
         return own
     return max(own, endpoint.report.running + endpoint.report.waiting)
@@ -91,8 +91,8 @@
     """Return the reported waiting tokens and those sent since the report."""
     since = sum(
         each.prompt_tokens
-        for each in endpoint.own.values()
-        if each.at > endpoint.reported_at and not each.prefilled
+        for each in endpoint.own_requests.values()
+        if each.dispatched_at > endpoint.reported_at and not each.prefilled
     )
     if endpoint.report is None:
         return since
--- a/src/mimosafork/policies/bounds.py
+++ b/src/mimosafork/policies/bounds.py
@@ -43,7 +43,7 @@
         self.prediction = Prediction()
         self.long_share = FleetPolicy().long_share
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the prediction."""
         self.prediction = find(Prediction) or self.prediction
 
--- a/src/mimosafork/policies/cache_index.py
+++ b/src/mimosafork/policies/cache_index.py
@@ -13,13 +13,13 @@
 
 from ..ids import EndpointId, Incarnation, InstanceId
 from ..kernel.context import Context
-from ..kernel.fleet import LONG_AGO, Endpoint
+from ..kernel.fleet import DISTANT_PAST, Endpoint
 from ..kernel.messages.base import Message, Tick
 from ..kernel.messages.cache import (
-    CacheNewsHeard,
-    CacheSummaryHeard,
-    CacheWanted,
-    CacheWantedHeard,
+    CacheChangesReceived,
+    CacheSummaryReceived,
+    CacheSummaryRequest,
+    CacheSummaryRequestReceived,
 )
 from ..kernel.messages.fleet import (
     CacheEventKind,
@@ -91,7 +91,7 @@
     position: int
     marks: MarkSet = field(default_factory=MarkSet)
     doubtful: bool = False
-    fetched_at: timedelta = LONG_AGO
+    fetched_at: timedelta = DISTANT_PAST
 
 
 @register("cache-index")
@@ -102,10 +102,10 @@
         self.parts: dict[EndpointId, Part] = {}
         self.telling = Telling()
         self.membership: Membership | None = None
-        self.wanted_at = LONG_AGO
+        self.wanted_at = DISTANT_PAST
         self.wishes: dict[EndpointId, timedelta] = {}
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Look up the plug-in that says what this instance watches."""
         self.membership = find(Membership)
 
@@ -175,12 +175,12 @@
             self._fetch_if_due(part, message.endpoint, context)
 
     @handle.register
-    def _(self, message: CacheNewsHeard, context: Context) -> None:
+    def _(self, message: CacheChangesReceived, context: Context) -> None:
         endpoint = _endpoint_of(message.key, context)
         if endpoint is None or self._reads(endpoint):
             return
         part = self.parts.get(endpoint)
-        news = message.news
+        news = message.changes
         known = part is not None and part.source == message.origin.instance
         if part is None or not known or part.incarnation != news.incarnation:
             self._begin_heard(endpoint, message)
@@ -196,7 +196,7 @@
             part.marks.add(mark)
 
     @handle.register
-    def _(self, message: CacheSummaryHeard, context: Context) -> None:
+    def _(self, message: CacheSummaryReceived, context: Context) -> None:
         endpoint = _endpoint_of(message.key, context)
         if endpoint is None or self._reads(endpoint):
             return
@@ -216,7 +216,7 @@
         self.parts[endpoint] = Part(summary.incarnation, source, summary.batch, marks)
 
     @handle.register
-    def _(self, message: CacheWantedHeard, context: Context) -> None:
+    def _(self, message: CacheSummaryRequestReceived, context: Context) -> None:
         endpoint = _endpoint_of(message.key, context)
         if endpoint is None:
             return
@@ -263,9 +263,9 @@
             part.fetched_at = context.now
             context.emit(FetchCacheSnapshot(endpoint))
 
-    def _begin_heard(self, endpoint: EndpointId, message: CacheNewsHeard) -> None:
+    def _begin_heard(self, endpoint: EndpointId, message: CacheChangesReceived) -> None:
         """Begin a part in the middle: only what the batch says is known."""
-        news = message.news
+        news = message.changes
         part = Part(news.incarnation, message.origin.instance, news.batch)
         part.marks = MarkSet(from_bytes(news.stored))
         part.doubtful = news.batch != 1
@@ -283,7 +283,7 @@
             endpoint.endpoint_id
             for endpoint in context.state.fleet.endpoints.values()
             if self._lacks_summary(endpoint, context)
-            and context.now - self.wishes.get(endpoint.endpoint_id, LONG_AGO)
+            and context.now - self.wishes.get(endpoint.endpoint_id, DISTANT_PAST)
             >= WANTED_AGAIN
         ]
         if lacking:
@@ -291,7 +291,7 @@
             self.wishes[name] = context.now
             part = self.parts.get(name)
             position = 0 if part is None else part.position
-            context.emit(Publish(endpoint_key(name), CacheWanted(position)))
+            context.emit(Publish(endpoint_key(name), CacheSummaryRequest(position)))
 
     def _lacks_summary(self, endpoint: Endpoint, context: Context) -> bool:
         """Return whether an engine's watcher should tell all of its cache."""
@@ -321,7 +321,7 @@
         if self.membership is None:
             return False
         watched = self.membership.watched_endpoint(endpoint)
-        return watched is not None and watched.first
+        return watched is not None and watched.is_primary
 
     def _zone_endpoints(self) -> int:
         return 1 if self.membership is None else max(1, self.membership.zone_endpoints)
--- a/src/mimosafork/policies/cache_telling.py
+++ b/src/mimosafork/policies/cache_telling.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 
 from ..ids import EndpointId, Incarnation
-from ..kernel.fleet import LONG_AGO
-from ..kernel.messages.cache import CacheNews, CacheSummary
+from ..kernel.fleet import DISTANT_PAST
+from ..kernel.messages.cache import CacheChanges, CacheSummary
 from ..kernel.messages.peers import Publish
 from ..kernel.messages.watch import endpoint_key
 from .mark_set import MarkSet, to_bytes
@@ -48,8 +48,8 @@
     told: MarkSet = field(default_factory=MarkSet)
     waiting: dict[int, int] = field(default_factory=dict)
     gone: set[int] = field(default_factory=set)
-    batch_at: timedelta = LONG_AGO
-    summary_at: timedelta = LONG_AGO
+    batch_at: timedelta = DISTANT_PAST
+    summary_at: timedelta = DISTANT_PAST
     wants_summary: bool = True
 
 
@@ -137,6 +137,8 @@
             told.told.add(mark)
         told.waiting.clear()
         told.batch += 1
-        news = CacheNews(told.incarnation, told.batch, to_bytes(stored), to_bytes(gone))
+        news = CacheChanges(
+            told.incarnation, told.batch, to_bytes(stored), to_bytes(gone)
+        )
         key = f"{endpoint_key(endpoint)}#{told.batch % SLOTS}"
         return Publish(key, news)
--- a/src/mimosafork/policies/candidates.py
+++ b/src/mimosafork/policies/candidates.py
@@ -68,13 +68,15 @@
         usable = {
             each.endpoint_id: each
             for each in drawn
-            if each.endpoint_id in serving and each.takes_new_work(now)
+            if each.endpoint_id in serving and each.accepts_new_requests(now)
         }
         if not usable and group.size > SCANNED:
             # Most of a large group may be leaving or out of reach; then all are
             # looked at rather than a request refused while some could take it.
             usable = {
-                name: each for name, each in serving.items() if each.takes_new_work(now)
+                name: each
+                for name, each in serving.items()
+                if each.accepts_new_requests(now)
             }
         return list(usable.values())
 
--- a/src/mimosafork/policies/claims/attach.py
+++ b/src/mimosafork/policies/claims/attach.py
@@ -4,7 +4,7 @@
 from ...kernel.messages.attempts import Exposure, FailureKind
 from ...kernel.messages.fleet import EndpointKind
 from ...kernel.messages.requests import Repeatability
-from ...kernel.plugins import NotMine, Placement, PlaceOn, Placer
+from ...kernel.plugins import NotApplicable, Placement, PlaceOn, Placer
 from ...kernel.records import Attempt, RequestRecord
 from ...kernel.registry import register
 from .problems import never_again
@@ -27,25 +27,25 @@
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
         """Return the place to attach to, the end, or that it is another's."""
-        if record.shared_run is not None:
-            if _may_attach(record, record.shared_run, context):
-                return record.shared_run
-            record.shared_run = None
-            record.run_elsewhere = True
+        if record.attached_run is not None:
+            if _may_attach(record, record.attached_run, context):
+                return record.attached_run
+            record.attached_run = None
+            record.may_have_run_elsewhere = True
         own = _own_stream(record, context)
         if own is not None:
             return own
         if must_not_start(record):
             return never_again("the run was lost from sight and may not be repeated")
-        return NotMine()
+        return NotApplicable()
 
     def can_reattach(self, record: RequestRecord, context: Context) -> bool:
         """Return whether the next attempt would attach and so run nothing.
 
         A retry policy asks it before it gives a non-idempotent request up.
         """
-        if record.shared_run is not None:
-            return _may_attach(record, record.shared_run, context)
+        if record.attached_run is not None:
+            return _may_attach(record, record.attached_run, context)
         return _own_stream(record, context) is not None
 
 
@@ -53,7 +53,7 @@
     """Return whether a further start could be a second run of what must run once."""
     if record.request.repeatability is Repeatability.IDEMPOTENT:
         return False
-    if record.run_elsewhere:
+    if record.may_have_run_elsewhere:
         return True
     return any(each.exposure is Exposure.POSSIBLE for each in record.attempts)
 
--- a/src/mimosafork/policies/claims/closing.py
+++ b/src/mimosafork/policies/claims/closing.py
@@ -10,14 +10,20 @@
     AnswerKept,
     EndClaim,
     KeepAnswer,
-    KeepingOverdue,
-    NotePlace,
+    KeepAnswerTimedOut,
+    RecordStreamLocation,
     ReleaseClaim,
-    StreamPlace,
+    StreamLocation,
 )
 from ...kernel.messages.outcomes import Outcome, Retention
 from ...kernel.messages.requests import Repeatability, RequestKind
-from ...kernel.plugins import CompletionCleared, Concluded, Finisher, Hold, Proceed
+from ...kernel.plugins import (
+    CompletionCleared,
+    Finisher,
+    Hold,
+    Proceed,
+    RequestConcluded,
+)
 from ...kernel.records import HeldClaim, RequestRecord
 from ...kernel.registry import register
 
@@ -39,12 +45,12 @@
             return Proceed()
         claim = record.claim
         context.emit(KeepAnswer(record.request_id, claim.key, claim.claim_id))
-        if claim.settled:
-            context.wake_after(KEEP_PATIENCE, KeepingOverdue(record.request_id))
+        if claim.confirmed:
+            context.wake_after(KEEP_PATIENCE, KeepAnswerTimedOut(record.request_id))
         else:
             # The store has not even taken the claim: waiting for it to take the
             # answer would make an idempotent request wait for a dead store.
-            context.post(KeepingOverdue(record.request_id))
+            context.post(KeepAnswerTimedOut(record.request_id))
         return Hold()
 
     @singledispatchmethod
@@ -57,7 +63,7 @@
         context.post(CompletionCleared(message.request_id, retention))
 
     @handle.register
-    def _(self, message: KeepingOverdue, context: Context) -> None:
+    def _(self, message: KeepAnswerTimedOut, context: Context) -> None:
         context.post(CompletionCleared(message.request_id, Retention.NOT_KEPT))
 
     @handle.register
@@ -68,13 +74,15 @@
         if record.request.kind is not RequestKind.MODEL:
             return
         current = record.current
-        place = StreamPlace(
+        place = StreamLocation(
             current.stream_id, current.endpoint, current.incarnation, current.address
         )
-        context.emit(NotePlace(record.claim.key, record.claim.claim_id, place))
+        context.emit(
+            RecordStreamLocation(record.claim.key, record.claim.claim_id, place)
+        )
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         record, claim = message.record, message.record.claim
         if claim is None:
             return
@@ -89,7 +97,7 @@
 
 def keeps_whole(record: RequestRecord) -> bool:
     """Return whether this instance sees the whole answer of its own run."""
-    return record.shared_run is None and record.request.resume_offset == 0
+    return record.attached_run is None and record.request.resume_offset == 0
 
 
 def _frees_key(record: RequestRecord, outcome: Outcome) -> bool:
--- a/src/mimosafork/policies/claims/existing.py
+++ b/src/mimosafork/policies/claims/existing.py
@@ -56,7 +56,7 @@
 
 def _returned(record: RequestRecord) -> Refuse:
     """Refuse a caller that comes back for the rest of an answer that nobody has."""
-    if record.claim is not None and record.claim.settled:
+    if record.claim is not None and record.claim.confirmed:
         return problems.never_again("the call has begun before and left no trace")
     return problems.earlier_call_unseen()
 
--- a/src/mimosafork/policies/claims/search.py
+++ b/src/mimosafork/policies/claims/search.py
@@ -3,7 +3,7 @@
 from ...ids import StreamId
 from ...kernel.configuration import FleetPolicy
 from ...kernel.context import Context
-from ...kernel.messages.claims import Claim, EndpointToAsk
+from ...kernel.messages.claims import CandidateEndpoint, Claim
 from ...kernel.messages.fleet import EndpointKind
 from ...kernel.records import RequestRecord
 from .keys import FIRST_GENERATION, stream_base_of, stream_ids
@@ -25,7 +25,7 @@
 
 def endpoints_to_ask(
     record: RequestRecord, context: Context
-) -> tuple[EndpointToAsk, ...]:
+) -> tuple[CandidateEndpoint, ...]:
     """Return the engines that serve the model, leaving ones too."""
     found = []
     for endpoint in context.state.fleet.serving(record.request.target):
@@ -35,5 +35,5 @@
         incarnation = max(
             entry.incarnation, report.incarnation if report else entry.incarnation
         )
-        found.append(EndpointToAsk(entry.endpoint, incarnation, entry.address))
+        found.append(CandidateEndpoint(entry.endpoint, incarnation, entry.address))
     return tuple(found[:MOST_ENDPOINTS])
--- a/src/mimosafork/policies/claims/stage.py
+++ b/src/mimosafork/policies/claims/stage.py
@@ -11,14 +11,14 @@
     AnswerReplayed,
     Claim,
     ClaimLost,
-    ClaimOverdue,
+    ClaimTimedOut,
     ClaimUnavailable,
     ClaimWon,
     FindStream,
     PaceClaims,
     ReplayAnswer,
-    SearchOverdue,
-    StreamPlace,
+    SearchTimedOut,
+    StreamLocation,
     StreamSearched,
     WriteClaim,
 )
@@ -27,13 +27,13 @@
 from ...kernel.plugins import (
     Answered,
     Bypass,
-    Concluded,
     Hold,
     PlaceOn,
     Proceed,
+    RequestConcluded,
+    ReviewDecision,
     Stage,
     StageCleared,
-    Verdict,
 )
 from ...kernel.records import HeldClaim, RequestRecord
 from ...kernel.registry import register
@@ -81,7 +81,7 @@
         self.silent_until = timedelta(0)
         self.paced_for = 1
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Hold what is claimed until the store, or its silence, has decided."""
         request = record.request
         if not wants_claim(request):
@@ -117,13 +117,13 @@
             time_left=request.deadline - context.now,
         )
         key, required = claim_key_of(request), needs_claim(request)
-        record.stream_base = stream_base_of(request, generation)
+        record.stream_id_prefix = stream_base_of(request, generation)
         record.claim = HeldClaim(key, claim.claim_id)
         pending = self.pending.setdefault(record.request_id, Pending())
         pending.phase = Phase.CLAIMING
         context.emit(WriteClaim(record.request_id, key, claim, required, replaces))
         patience = REQUIRED_PATIENCE if required else OPTIONAL_PATIENCE
-        context.wake_after(patience, ClaimOverdue(record.request_id, claim.claim_id))
+        context.wake_after(patience, ClaimTimedOut(record.request_id, claim.claim_id))
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -135,11 +135,11 @@
         record = self._record(message, context)
         if record is None or record.claim is None:
             return
-        record.claim.settled = True
+        record.claim.confirmed = True
         pending = self._in_phase(record, Phase.CLAIMING)
         if pending is None:
             return
-        record.stream_base = stream_base_of(record.request, message.generation)
+        record.stream_id_prefix = stream_base_of(record.request, message.generation)
         if record.request.resume_offset:
             self._search(record, pending, context)
         else:
@@ -160,7 +160,7 @@
         # Should the other call's run be lost, an idempotent request starts one of
         # its own, which its caller's return has to find by the key as well.
         following = message.existing.generation + 1
-        record.stream_base = stream_base_of(record.request, following)
+        record.stream_id_prefix = stream_base_of(record.request, following)
         pending.existing = message.existing
         self._follow(record, pending, message.existing, context)
 
@@ -169,7 +169,7 @@
         self._without_store(message, context)
 
     @handle.register
-    def _(self, message: ClaimOverdue, context: Context) -> None:
+    def _(self, message: ClaimTimedOut, context: Context) -> None:
         self._without_store(message, context)
 
     @handle.register
@@ -177,7 +177,7 @@
         self._searched(message, message.place, context)
 
     @handle.register
-    def _(self, message: SearchOverdue, context: Context) -> None:
+    def _(self, message: SearchTimedOut, context: Context) -> None:
         self._searched(message, None, context)
 
     @handle.register
@@ -201,7 +201,7 @@
             context.emit(PaceClaims(instances))
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         self.pending.pop(message.record.request_id, None)
 
     def _follow(
@@ -216,7 +216,7 @@
         if step is Next.REFUSE_BODY:
             self._clear(record, problems.key_reused(), context)
             return
-        record.run_elsewhere = True
+        record.may_have_run_elsewhere = True
         if step is Next.REPLAY:
             pending.phase = Phase.REPLAYING
             key, offset = claim_key_of(record.request), record.request.resume_offset
@@ -238,12 +238,12 @@
             endpoints=endpoints_to_ask(record, context),
         )
         context.emit(search)
-        context.wake_after(SEARCH_PATIENCE, SearchOverdue(record.request_id))
+        context.wake_after(SEARCH_PATIENCE, SearchTimedOut(record.request_id))
 
     def _searched(
         self,
-        message: StreamSearched | SearchOverdue,
-        place: StreamPlace | None,
+        message: StreamSearched | SearchTimedOut,
+        place: StreamLocation | None,
         context: Context,
     ) -> None:
         record = context.state.requests.get(message.request_id)
@@ -253,7 +253,7 @@
         if place is None:
             self._without_run(record, pending, context)
             return
-        record.shared_run = PlaceOn(
+        record.attached_run = PlaceOn(
             place.endpoint,
             place.incarnation,
             place.address,
@@ -277,7 +277,7 @@
         self._clear(record, verdict, context)
 
     def _without_store(
-        self, message: ClaimUnavailable | ClaimOverdue, context: Context
+        self, message: ClaimUnavailable | ClaimTimedOut, context: Context
     ) -> None:
         record = self._record(message, context)
         pending = self._in_phase(record, Phase.CLAIMING)
@@ -295,7 +295,7 @@
 
     def _record(
         self,
-        message: ClaimWon | ClaimLost | ClaimUnavailable | ClaimOverdue,
+        message: ClaimWon | ClaimLost | ClaimUnavailable | ClaimTimedOut,
         context: Context,
     ) -> RequestRecord | None:
         """Return the record that still has the claim a message speaks of."""
@@ -310,6 +310,8 @@
         pending = self.pending.get(record.request_id)
         return pending if pending is not None and pending.phase is phase else None
 
-    def _clear(self, record: RequestRecord, verdict: Verdict, context: Context) -> None:
+    def _clear(
+        self, record: RequestRecord, verdict: ReviewDecision, context: Context
+    ) -> None:
         self.pending.pop(record.request_id, None)
         context.post(StageCleared(record.request_id, self.name, verdict))
--- a/src/mimosafork/policies/deadlines.py
+++ b/src/mimosafork/policies/deadlines.py
@@ -11,8 +11,8 @@
     Proceed,
     QueueDiscipline,
     Refuse,
+    ReviewDecision,
     Stage,
-    Verdict,
 )
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
@@ -49,13 +49,13 @@
         self.discipline: QueueDiscipline | None = None
         self.drains: defaultdict[str, DrainRate] = defaultdict(DrainRate)
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked."""
         self.prediction = find(Prediction) or self.prediction
         self.scores = find(FirstTokenScores) or self.scores
         self.discipline = find(QueueDiscipline)
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Refuse with an honest time to come back, or proceed."""
         request = record.request
         if request.kind is RequestKind.SERVICE:
--- a/src/mimosafork/policies/ejection.py
+++ b/src/mimosafork/policies/ejection.py
@@ -13,11 +13,11 @@
 
 from ..ids import EndpointId, Incarnation, ModelId, RequestId, ServiceId
 from ..kernel.context import Context
-from ..kernel.fleet import LONG_AGO, Endpoint
+from ..kernel.fleet import DISTANT_PAST, Endpoint
 from ..kernel.messages.attempts import AttemptFinished, FirstToken
 from ..kernel.messages.base import Message, Tick
 from ..kernel.messages.fleet import InstancesListed
-from ..kernel.plugins import Concluded, Plugin, PluginFinder
+from ..kernel.plugins import Plugin, PluginFinder, RequestConcluded
 from ..kernel.registry import register
 from .prediction import SHORTEST_S, Prediction, fleet_policy
 
@@ -86,7 +86,7 @@
     first_tokens: deque[Observation] = field(default_factory=lambda: deque(maxlen=KEPT))
     gaps: deque[Observation] = field(default_factory=lambda: deque(maxlen=KEPT))
     ejections: int = 0
-    ejected_at: timedelta = LONG_AGO
+    ejected_at: timedelta = DISTANT_PAST
 
     @property
     def on_trial(self) -> bool:
@@ -110,9 +110,9 @@
         self.prediction: Prediction | None = None
         self.histories: dict[EndpointId, History] = {}
         self.ended: dict[RequestId, Ended] = {}
-        self.looked_at = LONG_AGO
+        self.looked_at = DISTANT_PAST
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the prediction."""
         self.prediction = find(Prediction)
 
@@ -154,7 +154,7 @@
             self.ended[message.request_id] = Ended(context.now, tokens)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         ended = self.ended.pop(message.record.request_id, None)
         current = message.record.current
         if ended is None or current is None or current.first_token_at is None:
@@ -201,7 +201,8 @@
         seen = {
             each.endpoint_id: self.histories[each.endpoint_id]
             for each in group
-            if each.endpoint_id in self.histories and each.takes_new_work(context.now)
+            if each.endpoint_id in self.histories
+            and each.accepts_new_requests(context.now)
         }
         if len(seen) <= ENOUGH_PEERS:
             return
@@ -267,7 +268,7 @@
             continue
         now = context.now
         ejected = sum(_is_ejected(each, now) for each in group.values())
-        usable = sum(each.takes_new_work(now) for each in group.values())
+        usable = sum(each.accepts_new_requests(now) for each in group.values())
         is_last = usable <= 1
         if is_last or ejected + 1 > share * len(group):
             return False
--- a/src/mimosafork/policies/endpoint_values.py
+++ b/src/mimosafork/policies/endpoint_values.py
@@ -6,8 +6,8 @@
 from ..ids import EndpointId, Incarnation
 from ..kernel.messages.fleet import LoadReport
 from ..kernel.messages.watch import (
-    KV_WHOLE,
-    PREFILL_UNIT,
+    KV_SHARE_SCALE,
+    PREFILL_UNIT_TOKENS,
     EndpointLoad,
     EndpointProfile,
 )
@@ -36,8 +36,11 @@
         max(0, lag // MS),
         report.running,
         report.waiting,
-        ceil(report.waiting_prefill_tokens / PREFILL_UNIT),
-        min(KV_WHOLE, KV_WHOLE * report.kv_used // max(1, report.kv_capacity)),
+        ceil(report.waiting_prefill_tokens / PREFILL_UNIT_TOKENS),
+        min(
+            KV_SHARE_SCALE,
+            KV_SHARE_SCALE * report.kv_used // max(1, report.kv_capacity),
+        ),
         report.draining,
     )
 
@@ -58,8 +61,8 @@
         lag=load.lag_ms * MS + age,
         running=load.running,
         waiting=load.waiting,
-        waiting_prefill_tokens=load.prefill_units * PREFILL_UNIT,
-        kv_used=load.kv_share * profile.kv_capacity // KV_WHOLE,
+        waiting_prefill_tokens=load.prefill_units * PREFILL_UNIT_TOKENS,
+        kv_used=load.kv_share * profile.kv_capacity // KV_SHARE_SCALE,
         kv_capacity=profile.kv_capacity,
         prefill_rate=float(profile.prefill_rate),
         models=profile.models,
--- a/src/mimosafork/policies/endpoint_words.py
+++ b/src/mimosafork/policies/endpoint_words.py
@@ -12,19 +12,19 @@
 
 from ..ids import EndpointId
 from ..kernel.context import Context
-from ..kernel.fleet import LONG_AGO, Endpoint
+from ..kernel.fleet import DISTANT_PAST, Endpoint
 from ..kernel.messages.base import Message
 from ..kernel.messages.fleet import LoadReport, LoadReported, ProbeFailed
 from ..kernel.messages.peers import PeerValue, Publish, Scope
 from ..kernel.messages.watch import (
     EndpointKey,
     EndpointLoad,
-    EndpointLoadHeard,
+    EndpointLoadReceived,
+    EndpointProbeFailure,
+    EndpointProbeFailureReceived,
     EndpointProfile,
-    EndpointProfileHeard,
-    EndpointSilence,
-    EndpointSilenceHeard,
-    SpeakForZone,
+    EndpointProfileReceived,
+    PublishForZone,
     WatchedEndpoint,
     endpoint_key,
 )
@@ -50,11 +50,11 @@
 class Told:
     """What this instance has told of one endpoint, in one scope."""
 
-    load_at: timedelta = LONG_AGO
+    load_at: timedelta = DISTANT_PAST
     load: EndpointLoad | None = None
-    profile_at: timedelta = LONG_AGO
+    profile_at: timedelta = DISTANT_PAST
     profile: EndpointProfile | None = None
-    silence_at: timedelta = LONG_AGO
+    silence_at: timedelta = DISTANT_PAST
 
 
 @dataclass(slots=True)
@@ -62,9 +62,9 @@
     """What peers have told of one endpoint."""
 
     profile: EndpointProfile | None = None
-    pending: EndpointLoadHeard | None = None
-    pending_at: timedelta = LONG_AGO
-    load_at: timedelta = LONG_AGO
+    pending: EndpointLoadReceived | None = None
+    pending_at: timedelta = DISTANT_PAST
+    load_at: timedelta = DISTANT_PAST
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
         self.heard: dict[EndpointKey, Heard] = {}
         self.membership: Membership | None = None
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Look up the plug-in that says what this instance watches."""
         self.membership = find(Membership)
 
@@ -94,7 +94,7 @@
 
     @handle.register
     def _(self, message: LoadReported, context: Context) -> None:
-        if message.heard_from is not None:
+        if message.probed_by is not None:
             return
         watched = self._watched(message.report.endpoint)
         endpoint = context.state.fleet.endpoints.get(message.report.endpoint)
@@ -104,7 +104,7 @@
         pace = self._pace(context, ZONE_PACE_PER_ENDPOINT)
         heard = self._heard_of(endpoint_key(message.report.endpoint))
         stands_in = context.now - heard.load_at > STAND_IN_AFTER * pace
-        if watched.first or stands_in:
+        if watched.is_primary or stands_in:
             report = message.report
             _tell(words.zone, report, report.lag, pace, Scope.ZONE, context)
 
@@ -116,7 +116,7 @@
             _tell_silence(told, endpoint, Scope.ZONE, context)
 
     @handle.register
-    def _(self, message: SpeakForZone, context: Context) -> None:
+    def _(self, message: PublishForZone, context: Context) -> None:
         fleet = context.state.fleet
         pace = self._pace(context, FLEET_PACE_PER_ENDPOINT)
         for endpoint in fleet.endpoints.values():
@@ -131,7 +131,7 @@
         self._forget_removed(context)
 
     @handle.register
-    def _(self, message: EndpointProfileHeard, context: Context) -> None:
+    def _(self, message: EndpointProfileReceived, context: Context) -> None:
         heard = self._heard_of(message.key)
         known = heard.profile
         if known is None or message.profile.incarnation >= known.incarnation:
@@ -142,15 +142,15 @@
             self._join_heard(heard.pending, heard, age, context)
 
     @handle.register
-    def _(self, message: EndpointLoadHeard, context: Context) -> None:
+    def _(self, message: EndpointLoadReceived, context: Context) -> None:
         heard = self._heard_of(message.key)
         heard.load_at = context.now
         self._join_heard(message, heard, message.origin.age, context)
 
     @handle.register
-    def _(self, message: EndpointSilenceHeard, context: Context) -> None:
+    def _(self, message: EndpointProbeFailureReceived, context: Context) -> None:
         endpoint = context.state.fleet.by_key.get(message.key)
-        silence = message.silence
+        silence = message.failure
         if endpoint is None or silence.incarnation < endpoint.entry.incarnation:
             return
         at = context.now - message.origin.age - silence.age_ms * MS
@@ -159,7 +159,7 @@
 
     def _join_heard(
         self,
-        message: EndpointLoadHeard,
+        message: EndpointLoadReceived,
         heard: Heard,
         age: timedelta,
         context: Context,
@@ -173,14 +173,14 @@
         if (
             endpoint is None
             or profile is None
-            or life_of(profile.incarnation) != message.load.life
+            or life_of(profile.incarnation) != message.load.incarnation_bits
         ):
             heard.pending = message
             heard.pending_at = context.now - (age - message.origin.age)
             return
         heard.pending = None
         report = report_of(endpoint.endpoint_id, message.load, profile, age)
-        context.post(LoadReported(report, heard_from=message.origin.instance))
+        context.post(LoadReported(report, probed_by=message.origin.instance))
 
     def _watched(self, endpoint: EndpointId) -> WatchedEndpoint | None:
         if self.membership is None:
@@ -248,7 +248,7 @@
         return
     told.silence_at = context.now
     age = max(timedelta(0), context.now - endpoint.failed_at)
-    silence = EndpointSilence(endpoint.entry.incarnation, age // MS)
+    silence = EndpointProbeFailure(endpoint.entry.incarnation, age // MS)
     _publish(endpoint.endpoint_id, silence, scope, urgent, context)
 
 
--- a/src/mimosafork/policies/fair_shares.py
+++ b/src/mimosafork/policies/fair_shares.py
@@ -8,7 +8,13 @@
 from ..kernel.context import Context
 from ..kernel.messages.base import Message
 from ..kernel.messages.requests import RequestKind
-from ..kernel.plugins import Concluded, PluginFinder, Proceed, Stage, Verdict
+from ..kernel.plugins import (
+    PluginFinder,
+    Proceed,
+    RequestConcluded,
+    ReviewDecision,
+    Stage,
+)
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
 from .engine_load import FIRST_RATE
@@ -66,11 +72,11 @@
         self.weights: dict[Holder, float] = {}
         self.excess_s: dict[Holder, float] | None = None
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the prediction."""
         self.prediction = find(Prediction)
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Note the request and its rank; never refuse."""
         request = record.request
         if request.kind is RequestKind.SERVICE or self.prediction is None:
@@ -89,7 +95,7 @@
         """Keep up with ended requests."""
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         held = self.held.pop(message.record.request_id, None)
         if held is None:
             return
--- a/src/mimosafork/policies/gangs/placer.py
+++ b/src/mimosafork/policies/gangs/placer.py
@@ -16,12 +16,12 @@
 from ...kernel.messages.base import Message, Tick
 from ...kernel.messages.outcomes import Outcome
 from ...kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportFailed,
     ImportKv,
     KvImported,
     MemoryReserved,
-    PartFailure,
     PrefillSegment,
     ReservationFailed,
     ReserveMemory,
@@ -32,16 +32,16 @@
 from ...kernel.messages.recovery import HoldingKind
 from ...kernel.messages.requests import RequestKind
 from ...kernel.plugins import (
-    Concluded,
-    InHand,
-    NotMine,
+    NotApplicable,
     Placed,
     Placement,
     PlacementFailed,
+    PlacementPending,
     PlaceOn,
     Placer,
     PluginFinder,
     Refuse,
+    RequestConcluded,
     Wait,
 )
 from ...kernel.records import RequestRecord
@@ -80,7 +80,7 @@
         self.failures: dict[RequestId, int] = {}
         self.not_before: dict[RequestId, timedelta] = {}
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked."""
         self.prediction = find(Prediction) or self.prediction
         self.priorities = find(AgeingPriorities)
@@ -90,9 +90,9 @@
         """Begin a gang, wait for memory, or refuse what the fleet can't hold."""
         request = record.request
         if request.kind is RequestKind.SERVICE:
-            return NotMine()
+            return NotApplicable()
         if not self.prediction.is_beyond_one(request):
-            return NotMine()
+            return NotApplicable()
         pairs = [
             (endpoint, self.prediction.load_of(endpoint))
             for endpoint in context.state.fleet.serving(request.target)
@@ -105,7 +105,7 @@
             return late
         if context.now < self.not_before.get(request.request_id, context.now):
             return Wait("gang-pause")
-        usable = [pair for pair in pairs if pair[0].takes_new_work(context.now)]
+        usable = [pair for pair in pairs if pair[0].accepts_new_requests(context.now)]
         if should_yield(record, usable, context):
             return Wait("gang-yields")
         rooms = free_room(usable, share)
@@ -117,7 +117,7 @@
         gang = make_gang(request.request_id, number, segments)
         self.gangs[request.request_id] = gang
         self._reserve_next(gang, record, context)
-        return InHand()
+        return PlacementPending()
 
     def _reserve_next(
         self, gang: Gang, record: RequestRecord, context: Context
@@ -194,7 +194,7 @@
         gang.step = Step.PREFILLING
         gang.stream_id = StreamId(gang.name("s", gang.segment_at))
         gang.hold(member, HoldingKind.STREAM, gang.stream_id)
-        record.part_run = True
+        record.prefill_may_have_run = True
         context.emit(
             PrefillSegment(
                 request_id=gang.request_id,
@@ -240,7 +240,7 @@
         part = gang.parts.pop(holding_id, None)
         if part is None:
             return
-        context.emit(FreePart(part.endpoint, part.address, part.kind, holding_id))
+        context.emit(FreeOwnHolding(part.endpoint, part.address, part.kind, holding_id))
         load = self.prediction.loads.get(part.endpoint)
         if load is not None:
             load.finish(RequestId(holding_id))
@@ -253,13 +253,13 @@
                 self._free(gang, holding_id, context)
         return gang
 
-    def _fail(self, gang: Gang, failure: PartFailure, context: Context) -> None:
+    def _fail(self, gang: Gang, failure: GangStepFailure, context: Context) -> None:
         """Free everything and give the request back to the queue, or give up."""
         request_id = gang.request_id
         self._dissolve(request_id, context)
         pause_s = PAUSE_S * (0.5 + context.random.random())
         self.not_before[request_id] = context.now + timedelta(seconds=pause_s)
-        if failure is not PartFailure.NO_MEMORY:
+        if failure is not GangStepFailure.NO_MEMORY:
             self.failures[request_id] = self.failures.get(request_id, 0) + 1
         refuse = None
         if self.failures.get(request_id, 0) >= MOST_FAILURES:
@@ -302,7 +302,7 @@
             # would be held until the deadline if nobody freed it.
             kind = HoldingKind.EXPORT
             context.emit(
-                FreePart(message.endpoint, message.address, kind, message.handle)
+                FreeOwnHolding(message.endpoint, message.address, kind, message.handle)
             )
             return
         gang, record = found
@@ -344,7 +344,7 @@
         self._dissolve(message.request_id, context)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         request_id = message.record.request_id
         self._dissolve(request_id, context)
         self.made.pop(request_id, None)
@@ -355,7 +355,7 @@
     def _(self, message: Tick, context: Context) -> None:
         for gang in list(self.gangs.values()):
             if gang.step is not Step.RUNNING and _has_lost_one(gang, context):
-                self._fail(gang, PartFailure.FAILED, context)
+                self._fail(gang, GangStepFailure.FAILED, context)
 
 
 def _has_lost_one(gang: Gang, context: Context) -> bool:
--- a/src/mimosafork/policies/limits/shares.py
+++ b/src/mimosafork/policies/limits/shares.py
@@ -18,8 +18,8 @@
 
 from ...ids import AvailabilityZoneId, InstanceId
 from ...kernel.context import Context
-from ...kernel.fleet import LONG_AGO
-from ...kernel.messages.limits import AccountDemand, AccountDemandHeard, AccountKey
+from ...kernel.fleet import DISTANT_PAST
+from ...kernel.messages.limits import AccountDemand, AccountDemandReceived, AccountKey
 from ...kernel.messages.peers import MemberState
 
 SETTLE = timedelta(seconds=10)
@@ -47,7 +47,7 @@
     """
 
     current: Demands = field(default_factory=dict)
-    at: timedelta = LONG_AGO
+    at: timedelta = DISTANT_PAST
     past: deque[tuple[timedelta, Demands]] = field(default_factory=deque)
 
     def renew(self, demand: AccountDemand, now: timedelta) -> None:
@@ -104,7 +104,7 @@
         self.last: dict[AccountKey, float] = {}
         self.is_cut_off = False
 
-    def hear(self, message: AccountDemandHeard, context: Context) -> None:
+    def hear(self, message: AccountDemandReceived, context: Context) -> None:
         """Note what a peer has told."""
         origin = message.origin
         if message.of_zone:
--- a/src/mimosafork/policies/limits/stage.py
+++ b/src/mimosafork/policies/limits/stage.py
@@ -7,17 +7,17 @@
 from ...ids import AccountId, RequestId
 from ...kernel.configuration import AccountPolicy
 from ...kernel.context import Context
-from ...kernel.fleet import LONG_AGO
+from ...kernel.fleet import DISTANT_PAST
 from ...kernel.messages.attempts import AttemptFinished, Usage
 from ...kernel.messages.base import Message, Tick
 from ...kernel.messages.configuration import ConfigurationReceived
-from ...kernel.messages.limits import AccountDemandHeard, account_key
+from ...kernel.messages.limits import AccountDemandReceived, account_key
 from ...kernel.messages.outcomes import Outcome
 from ...kernel.messages.peers import MembersChanged
 from ...kernel.messages.problems import Problem, ProblemCode
 from ...kernel.messages.requests import RequestKind
-from ...kernel.messages.watch import SpeakForZone
-from ...kernel.plugins import Concluded, Proceed, Refuse, Stage, Verdict
+from ...kernel.messages.watch import PublishForZone
+from ...kernel.plugins import Proceed, Refuse, RequestConcluded, ReviewDecision, Stage
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from .bucket import Bucket, DemandMeter
@@ -62,9 +62,9 @@
         self.telling = DemandTelling(self.shares)
         self.accounts: dict[AccountId, Account] = {}
         self.charges: dict[RequestId, Charge] = {}
-        self.refreshed_at = LONG_AGO
+        self.refreshed_at = DISTANT_PAST
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Take the request's tokens, or refuse with the time of their refill."""
         request = record.request
         policy = _policy_of(request.account, context)
@@ -93,7 +93,7 @@
             charge.usage = message.usage
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         charge = self.charges.pop(message.record.request_id, None)
         account = self.accounts.get(charge.account) if charge is not None else None
         if charge is not None and account is not None:
@@ -101,7 +101,7 @@
             account.bucket.give_back(unused, context.now.total_seconds())
 
     @handle.register
-    def _(self, message: AccountDemandHeard, context: Context) -> None:
+    def _(self, message: AccountDemandReceived, context: Context) -> None:
         self.shares.hear(message, context)
 
     @handle.register
@@ -109,12 +109,12 @@
         self.shares.silent_zones = frozenset(message.silent_zones)
 
     @handle.register
-    def _(self, message: SpeakForZone, context: Context) -> None:
+    def _(self, message: PublishForZone, context: Context) -> None:
         self.telling.tell_zone(context)
 
     @handle.register
     def _(self, message: ConfigurationReceived, context: Context) -> None:
-        self.refreshed_at = LONG_AGO
+        self.refreshed_at = DISTANT_PAST
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
@@ -151,7 +151,7 @@
     def _account(self, policy: AccountPolicy, context: Context) -> Account:
         known = self.accounts.get(policy.account)
         if known is None:
-            if self.refreshed_at == LONG_AGO:
+            if self.refreshed_at == DISTANT_PAST:
                 self._refresh(context)
             part = self._part(policy, context)
             size = policy.burst_tokens * part
@@ -170,14 +170,14 @@
     return None if configuration is None else configuration.accounts.get(account)
 
 
-def _cost(message: Concluded, charge: Charge) -> int:
+def _cost(message: RequestConcluded, charge: Charge) -> int:
     """Return the tokens that a request has really cost.
 
     A request that was answered by another call's run costs that one. What a broken
     run has cost is not told, so its prompt and what the caller got count.
     """
     record = message.record
-    if message.conclusion.outcome is Outcome.NOT_RUN or record.shared_run is not None:
+    if message.conclusion.outcome is Outcome.NOT_RUN or record.attached_run is not None:
         return 0
     if not record.attempts:
         return 0
--- a/src/mimosafork/policies/limits/telling.py
+++ b/src/mimosafork/policies/limits/telling.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from ...kernel.context import Context
-from ...kernel.fleet import LONG_AGO
+from ...kernel.fleet import DISTANT_PAST
 from ...kernel.messages.limits import (
     INSTANCE_DEMAND,
     ZONE_DEMAND,
@@ -49,9 +49,9 @@
     def __init__(self, shares: Shares) -> None:
         self.shares = shares
         self.own = NOTHING
-        self.own_at = LONG_AGO
+        self.own_at = DISTANT_PAST
         self.zone = NOTHING
-        self.zone_at = LONG_AGO
+        self.zone_at = DISTANT_PAST
 
     def tell_own(self, wanted: Iterable[Wanted], context: Context) -> None:
         """Publish the demand here, if it is time."""
--- a/src/mimosafork/policies/membership.py
+++ b/src/mimosafork/policies/membership.py
@@ -13,9 +13,14 @@
 from ..kernel.context import Context
 from ..kernel.messages.attempts import AttemptFailed
 from ..kernel.messages.base import Message, Tick
-from ..kernel.messages.fleet import EndpointEntry, InstancesListed, LifeState
-from ..kernel.messages.peers import MeetInstances, Member, MembersChanged, MemberState
-from ..kernel.messages.watch import SpeakForZone, WatchedEndpoint, WatchEndpoints
+from ..kernel.messages.fleet import EndpointEntry, InstancesListed, LifecycleState
+from ..kernel.messages.peers import (
+    AddPeerCandidates,
+    Member,
+    MembersChanged,
+    MemberState,
+)
+from ..kernel.messages.watch import PublishForZone, WatchedEndpoint, WatchEndpoints
 from ..kernel.plugins import Plugin
 from ..kernel.registry import register
 from ..kernel.rendezvous import ranked
@@ -69,7 +74,7 @@
 
     @handle.register
     def _(self, message: InstancesListed, context: Context) -> None:
-        context.emit(MeetInstances(message.instances))
+        context.emit(AddPeerCandidates(message.instances))
         self._assign(context)
 
     @handle.register
@@ -88,7 +93,7 @@
         for attempt in record.attempts if record is not None else ():
             if attempt.number == message.attempt:
                 fleet = context.state.fleet
-                fleet.apply_drain_word(attempt.endpoint, context.now)
+                fleet.mark_draining(attempt.endpoint, context.now)
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
@@ -100,7 +105,7 @@
         if self.speaks_for_zone and context.now - self.spoke_at >= SPEAK_PERIOD:
             self.spoke_at = context.now
             zone = context.state.identity.availability_zone
-            context.post(SpeakForZone(zone))
+            context.post(PublishForZone(zone))
 
     def candidates(self, context: Context) -> list[InstanceId]:
         """Return the instances of the own zone that share its duties.
@@ -131,7 +136,7 @@
         return {
             entry.instance
             for entry in context.state.fleet.instances.values()
-            if entry.availability_zone == zone and entry.state is LifeState.LIVE
+            if entry.availability_zone == zone and entry.state is LifecycleState.LIVE
         } - leaving
 
     def watched_endpoint(self, endpoint: EndpointId) -> WatchedEndpoint | None:
@@ -179,6 +184,6 @@
         order = ranked(f"watch {entry.endpoint}", assignment.candidates)
         if own in order[:WATCHERS]:
             watched[entry.endpoint] = WatchedEndpoint(
-                entry.endpoint, entry.address, entry.kind, first=order[0] == own
+                entry.endpoint, entry.address, entry.kind, is_primary=order[0] == own
             )
     return watched
--- a/src/mimosafork/policies/model_rights.py
+++ b/src/mimosafork/policies/model_rights.py
@@ -5,7 +5,7 @@
 from ..kernel.context import Context
 from ..kernel.messages.problems import Problem, ProblemCode
 from ..kernel.messages.requests import RequestKind
-from ..kernel.plugins import Proceed, Refuse, Stage, Verdict
+from ..kernel.plugins import Proceed, Refuse, ReviewDecision, Stage
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
 
@@ -19,7 +19,7 @@
 
     order = 11
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Refuse with the reason, or proceed."""
         configuration = context.state.configuration
         if record.request.kind is not RequestKind.MODEL or configuration is None:
--- a/src/mimosafork/policies/prediction.py
+++ b/src/mimosafork/policies/prediction.py
@@ -20,7 +20,7 @@
 from ..kernel.messages.base import Message
 from ..kernel.messages.fleet import EndpointKind, InstancesListed, LoadReported
 from ..kernel.messages.requests import Request
-from ..kernel.plugins import Concluded, Plugin
+from ..kernel.plugins import Plugin, RequestConcluded
 from ..kernel.registry import register
 from .engine_load import EngineLoad, Sent
 
@@ -288,7 +288,7 @@
         self._forget(message.request_id)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         self._learn_answer(message, context)
         self._forget(message.record.request_id)
 
@@ -315,7 +315,7 @@
             part = min(1.0, max(0.0, seen_part))
             known.blocking += ENDPOINT_MEMORY * (part - known.blocking)
 
-    def _learn_answer(self, message: Concluded, context: Context) -> None:
+    def _learn_answer(self, message: RequestConcluded, context: Context) -> None:
         current = message.record.current
         if message.conclusion.problem is not None or current is None:
             return
--- a/src/mimosafork/policies/priorities.py
+++ b/src/mimosafork/policies/priorities.py
@@ -8,7 +8,7 @@
 from ..kernel.fleet import Endpoint
 from ..kernel.messages.base import Message
 from ..kernel.messages.configuration import ConfigurationReceived
-from ..kernel.plugins import Concluded, PluginFinder, QueueDiscipline
+from ..kernel.plugins import PluginFinder, QueueDiscipline, RequestConcluded
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
 from .engine_load import FIRST_RATE
@@ -55,7 +55,7 @@
         self.weight = WORK_WEIGHT
         self.work_s: dict[RequestId, float] = {}
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked."""
         self.prediction = find(Prediction)
         self.fair_shares = find(FairShares)
@@ -70,7 +70,7 @@
         self.weight = WORK_WEIGHT * (1 - share) / share
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         self.work_s.pop(message.record.request_id, None)
 
     def predicted_work_s(self, record: RequestRecord) -> float:
--- a/src/mimosafork/policies/quarantine/crashes.py
+++ b/src/mimosafork/policies/quarantine/crashes.py
@@ -6,7 +6,7 @@
 from ...ids import Digest
 from ...kernel.context import Context
 from ...kernel.fleet import Endpoint
-from ...kernel.messages.quarantine import CrashEvidence, Life
+from ...kernel.messages.quarantine import CrashEvidence, EndpointIncarnation
 
 SILENCE = timedelta(seconds=10)
 """An endpoint that nobody reaches for so long, while its neighbours answer, is
@@ -36,7 +36,7 @@
         Bodies of which others have told that they were there too.
     """
 
-    life: Life
+    life: EndpointIncarnation
     at: timedelta
     in_progress: int = 0
     in_prefill: int = 0
@@ -70,7 +70,7 @@
         )
 
 
-def break_of(life: Life, is_prefilled: bool, context: Context) -> Break:
+def break_of(life: EndpointIncarnation, is_prefilled: bool, context: Context) -> Break:
     """Return a break whose first connection has just broken.
 
     The endpoint's report is older than the break and may miss some requests; this
@@ -80,7 +80,7 @@
     endpoint = context.state.fleet.endpoints.get(life.endpoint)
     if endpoint is None:
         return broken
-    own = endpoint.own.values()
+    own = endpoint.own_requests.values()
     broken.in_progress = 1 + len(own)
     broken.in_prefill = sum(not each.prefilled for each in own) + (not is_prefilled)
     report = endpoint.report
--- a/src/mimosafork/policies/quarantine/isolation.py
+++ b/src/mimosafork/policies/quarantine/isolation.py
@@ -7,7 +7,7 @@
 from ...kernel.context import Context
 from ...kernel.fleet import Endpoint
 from ...kernel.messages.peers import Publish, Scope
-from ...kernel.messages.quarantine import EndpointIsolation, EndpointIsolationHeard
+from ...kernel.messages.quarantine import EndpointIsolation, EndpointIsolationReceived
 
 ISOLATION = timedelta(seconds=6)
 """For how long an endpoint is kept free at a time."""
@@ -60,9 +60,9 @@
         context.emit(Publish(name, EndpointIsolation(0), Scope.FLEET, urgent=True))
         self._mark(name, context)
 
-    def hear(self, message: EndpointIsolationHeard, context: Context) -> None:
+    def hear(self, message: EndpointIsolationReceived, context: Context) -> None:
         """Note what a peer keeps free, or no longer does."""
-        left = message.isolation.left_ms * MS - message.origin.age
+        left = message.isolation.remaining_ms * MS - message.origin.age
         group = self.others.setdefault(message.endpoint, {})
         group[message.origin.instance] = context.now + left
         self._mark(message.endpoint, context)
@@ -76,7 +76,7 @@
         name = endpoint.endpoint_id
         known = self.own.get(name)
         report = endpoint.report
-        if known is None or report is None or endpoint.own:
+        if known is None or report is None or endpoint.own_requests:
             return False
         if context.now - known.renewed_at >= ISOLATION:
             return False
--- a/src/mimosafork/policies/quarantine/ledger.py
+++ b/src/mimosafork/policies/quarantine/ledger.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from ...ids import Digest, EndpointId
-from ...kernel.messages.quarantine import CrashEvidence, Life, Suspicion
+from ...kernel.messages.quarantine import CrashEvidence, EndpointIncarnation, Suspicion
 
 LIFETIME = timedelta(hours=1)
 """Evidence that has not grown for so long is forgotten."""
@@ -42,13 +42,13 @@
 
     Attributes
     ----------
-    dropped : dict of Life
+    dropped : dict of EndpointIncarnation
         Evidence that counts no more, however often it is heard again.
     """
 
     changed_at: timedelta
-    evidence: dict[Life, CrashEvidence] = field(default_factory=dict)
-    dropped: dict[Life, None] = field(default_factory=dict)
+    evidence: dict[EndpointIncarnation, CrashEvidence] = field(default_factory=dict)
+    dropped: dict[EndpointIncarnation, None] = field(default_factory=dict)
 
     @property
     def verdict(self) -> Verdict:
@@ -101,7 +101,7 @@
 
     def add(self, digest: Digest, evidence: CrashEvidence, at: timedelta) -> bool:
         """Join evidence with what is known; return whether it was news."""
-        life = evidence.life
+        life = evidence.endpoint_incarnation
         case = self.cases.get(digest)
         if case is None:
             case = self.cases[digest] = Case(at)
@@ -114,7 +114,7 @@
         case.changed_at = max(case.changed_at, at)
         return True
 
-    def confirm(self, digest: Digest, life: Life, at: timedelta) -> bool:
+    def confirm(self, digest: Digest, life: EndpointIncarnation, at: timedelta) -> bool:
         """Note that a life has surely ended; return whether that was news."""
         case = self.cases.get(digest)
         known = None if case is None else case.evidence.get(life)
@@ -122,7 +122,9 @@
             return False
         return self.add(digest, replace(known, is_confirmed=True), at)
 
-    def drop(self, digest: Digest, lives: Iterable[Life], at: timedelta) -> bool:
+    def drop(
+        self, digest: Digest, lives: Iterable[EndpointIncarnation], at: timedelta
+    ) -> bool:
         """Drop evidence for good; return whether any had counted."""
         case = self.cases.get(digest)
         if case is None:
--- a/src/mimosafork/policies/quarantine/sole_run.py
+++ b/src/mimosafork/policies/quarantine/sole_run.py
@@ -6,15 +6,15 @@
 from ...kernel.context import Context
 from ...kernel.fleet import Endpoint
 from ...kernel.messages.base import Message
-from ...kernel.messages.quarantine import EndpointIsolationHeard, Life
+from ...kernel.messages.quarantine import EndpointIncarnation, EndpointIsolationReceived
 from ...kernel.plugins import (
-    Concluded,
-    NotMine,
+    NotApplicable,
     Placement,
     PlaceOn,
     Placer,
     PluginFinder,
     Refuse,
+    RequestConcluded,
     Wait,
 )
 from ...kernel.records import RequestRecord
@@ -42,10 +42,10 @@
 
     def __init__(self) -> None:
         self.ledger = Ledger()
-        self.breaks: Mapping[Life, Break] = {}
+        self.breaks: Mapping[EndpointIncarnation, Break] = {}
         self.isolations = Isolations()
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Share what the plug-in that gathers the evidence knows."""
         quarantine = find(Quarantine)
         if quarantine is not None:
@@ -56,7 +56,7 @@
         """Return a place for a suspect, or that the request is none."""
         verdict = self.ledger.verdict(record.request.body_digest)
         if verdict is Verdict.CLEAR:
-            return NotMine()
+            return NotApplicable()
         if verdict is Verdict.CONDEMNED:
             return Refuse(condemned_problem())
         if self.ledger.cases[record.request.body_digest].is_open:
@@ -68,14 +68,14 @@
         """React to the ends of sole runs and to peers."""
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         if self._suspect_waits(message.record, context):
             return
         for attempt in message.record.attempts:
             self.isolations.end(attempt.endpoint, context)
 
     @handle.register
-    def _(self, message: EndpointIsolationHeard, context: Context) -> None:
+    def _(self, message: EndpointIsolationReceived, context: Context) -> None:
         self.isolations.hear(message, context)
 
     def _suspect_waits(self, record: RequestRecord, context: Context) -> bool:
@@ -128,7 +128,7 @@
         """
         if endpoint.leaving or endpoint.unreachable_since is not None:
             return False
-        life = Life(endpoint.endpoint_id, endpoint.entry.incarnation)
+        life = EndpointIncarnation(endpoint.endpoint_id, endpoint.entry.incarnation)
         return life not in self.breaks
 
     def _may_isolate(
@@ -143,7 +143,7 @@
         isolated = sum(_is_isolated(each, context) for each in others)
         if isolated >= max(1, int(ISOLATED_SHARE * len(serving))):
             return False
-        if any(each.takes_new_work(context.now) for each in others):
+        if any(each.accepts_new_requests(context.now) for each in others):
             return True
         return _is_idle(endpoint) or _is_isolated(endpoint, context)
 
@@ -155,6 +155,6 @@
 
 def _is_idle(endpoint: Endpoint) -> bool:
     report = endpoint.report
-    if endpoint.own or report is None:
+    if endpoint.own_requests or report is None:
         return False
     return report.running + report.waiting == 0
--- a/src/mimosafork/policies/quarantine/stage.py
+++ b/src/mimosafork/policies/quarantine/stage.py
@@ -13,13 +13,13 @@
 from ...kernel.messages.problems import Problem, ProblemCode
 from ...kernel.messages.quarantine import (
     DropSuspicion,
-    KeepSuspicion,
-    Life,
-    SuspicionHeard,
+    EndpointIncarnation,
+    StoreSuspicion,
+    SuspicionReceived,
     SuspicionsRead,
 )
-from ...kernel.plugins import Concluded, Proceed, Refuse, Stage
-from ...kernel.plugins import Verdict as StageVerdict
+from ...kernel.plugins import Proceed, Refuse, RequestConcluded, Stage
+from ...kernel.plugins import ReviewDecision as StageVerdict
 from ...kernel.records import Attempt, RequestRecord
 from ...kernel.registry import register
 from ...kernel.rendezvous import ranked
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.ledger = Ledger()
-        self.breaks: dict[Life, Break] = {}
+        self.breaks: dict[EndpointIncarnation, Break] = {}
         self.ended_at_once: RequestId | None = None
         self.looked_at = timedelta(0)
 
@@ -89,7 +89,7 @@
                 self._note_break(record, attempt, context)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         record = message.record
         if message.conclusion.outcome is Outcome.COMPLETED:
             self._clear(record.request.body_digest, context)
@@ -98,7 +98,7 @@
         self.ended_at_once = None
 
     @handle.register
-    def _(self, message: SuspicionHeard, context: Context) -> None:
+    def _(self, message: SuspicionReceived, context: Context) -> None:
         at = context.now - message.origin.age
         is_news = self.ledger.join(message.digest, message.suspicion, at)
         if is_news and self._is_witness(message, context):
@@ -106,7 +106,10 @@
         for evidence in message.suspicion.evidence:
             if not evidence.is_confirmed:
                 # Its writer may be dead before it can tell how this ended.
-                known = self.breaks.setdefault(evidence.life, Break(evidence.life, at))
+                known = self.breaks.setdefault(
+                    evidence.endpoint_incarnation,
+                    Break(evidence.endpoint_incarnation, at),
+                )
                 known.heard.add(message.digest)
 
     @handle.register
@@ -128,7 +131,7 @@
         self, record: RequestRecord, attempt: Attempt, context: Context
     ) -> None:
         """Take a request that was cut in mid-answer for a possible culprit."""
-        life = Life(attempt.endpoint, attempt.incarnation)
+        life = EndpointIncarnation(attempt.endpoint, attempt.incarnation)
         is_prefilled = attempt.first_token_at is not None
         broken = self.breaks.get(life)
         if broken is None:
@@ -155,14 +158,18 @@
                     self._report(digest, broken.life, context)
 
     def _settle(
-        self, digest: Digest, life: Life, has_ended: bool, context: Context
+        self,
+        digest: Digest,
+        life: EndpointIncarnation,
+        has_ended: bool,
+        context: Context,
     ) -> bool:
         """Confirm or drop evidence; return whether that changed anything."""
         if has_ended:
             return self.ledger.confirm(digest, life, context.now)
         return self.ledger.drop(digest, [life], context.now)
 
-    def _is_witness(self, message: SuspicionHeard, context: Context) -> bool:
+    def _is_witness(self, message: SuspicionReceived, context: Context) -> bool:
         """Return whether this instance tells again what it has just heard.
 
         What an instance has told is gone with its life, so that its successor, and
@@ -185,13 +192,15 @@
         suspicion = self.ledger.suspicion(digest)
         context.emit(Publish(digest, suspicion, Scope.FLEET, urgent=True))
 
-    def _report(self, digest: Digest, life: Life, context: Context) -> None:
+    def _report(
+        self, digest: Digest, life: EndpointIncarnation, context: Context
+    ) -> None:
         """Log a confirmed crash, and keep it if the body ran alone."""
         case = self.ledger.cases[digest]
         evidence = tuple(each for each in case.evidence.values() if each.is_confirmed)
         sole = sum(each.is_sole for each in evidence)
         if sole:
-            context.emit(KeepSuspicion(digest, evidence))
+            context.emit(StoreSuspicion(digest, evidence))
         if case.verdict is Verdict.CONDEMNED:
             log_event(logger, REQUEST_QUARANTINED, digest=digest, crashes=sole)
             return
--- a/src/mimosafork/policies/reporting.py
+++ b/src/mimosafork/policies/reporting.py
@@ -19,7 +19,7 @@
     OrderReport,
     RequestReport,
 )
-from ..kernel.plugins import Concluded, Plugin
+from ..kernel.plugins import Plugin, RequestConcluded
 from ..kernel.records import Attempt, RequestRecord
 from ..kernel.registry import register
 
@@ -40,7 +40,7 @@
         """React to a message."""
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         record, conclusion = message.record, message.conclusion
         problem = conclusion.problem
         context.emit(
--- a/src/mimosafork/policies/retry.py
+++ b/src/mimosafork/policies/retry.py
@@ -83,7 +83,7 @@
         self.budgets: dict[ModelId | ServiceId, RetryBudget] = {}
         self.attach: AttachToRun | None = None
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the placer that knows whether an attempt would run nothing."""
         self.attach = find(AttachToRun)
 
--- a/src/mimosafork/policies/rollout.py
+++ b/src/mimosafork/policies/rollout.py
@@ -10,7 +10,7 @@
 from ..kernel.context import Context
 from ..kernel.fleet import Endpoint
 from ..kernel.messages.base import Message, Tick
-from ..kernel.messages.fleet import EndpointKind, FencingMode, LifeState
+from ..kernel.messages.fleet import EndpointKind, FencingMode, LifecycleState
 from ..kernel.messages.leases import Duty, Lease, LeaseChanged
 from ..kernel.messages.orders import (
     ORDER_TIMEOUT,
@@ -249,7 +249,7 @@
         entry = endpoint.entry
         if entry.kind is not EndpointKind.MODEL_ENGINE:
             continue
-        if entry.availability_zone != zone or entry.state is LifeState.LEAVING:
+        if entry.availability_zone != zone or entry.state is LifecycleState.LEAVING:
             continue
         if endpoint.unreachable_since is None:
             yield endpoint
--- a/src/mimosafork/policies/routing.py
+++ b/src/mimosafork/policies/routing.py
@@ -3,7 +3,7 @@
 from ..kernel.context import Context
 from ..kernel.messages.requests import RequestKind
 from ..kernel.plugins import (
-    NotMine,
+    NotApplicable,
     Placement,
     PlaceOn,
     Placer,
@@ -39,7 +39,7 @@
         self.bounds: EngineBounds | None = None
         self.deadlines: DeadlineCheck | None = None
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked."""
         self.scores = find(FirstTokenScores) or self.scores
         self.priorities = find(AgeingPriorities)
@@ -49,7 +49,7 @@
     def place(self, record: RequestRecord, context: Context) -> Placement:
         """Return the endpoint, wait for room, or give up."""
         if record.request.kind is RequestKind.SERVICE:
-            return NotMine()
+            return NotApplicable()
         candidates = self.scores.find(record, context)
         if not candidates:
             return self._without_endpoint(record, context)
--- a/src/mimosafork/policies/scoring.py
+++ b/src/mimosafork/policies/scoring.py
@@ -67,7 +67,7 @@
         self.candidates = Candidates()
         self.rates: dict[ModelId | ServiceId, FleetRate] = {}
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked."""
         self.prediction = find(Prediction) or self.prediction
         self.affinity = find(PrefixAffinity)
--- a/src/mimosafork/policies/services.py
+++ b/src/mimosafork/policies/services.py
@@ -3,7 +3,14 @@
 from ..kernel.context import Context
 from ..kernel.fleet import Endpoint
 from ..kernel.messages.requests import RequestKind
-from ..kernel.plugins import NotMine, Placement, PlaceOn, Placer, PluginFinder, Wait
+from ..kernel.plugins import (
+    NotApplicable,
+    Placement,
+    PlaceOn,
+    Placer,
+    PluginFinder,
+    Wait,
+)
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
 from .candidates import Candidates
@@ -27,14 +34,14 @@
         self.candidates = Candidates()
         self.deadlines = DeadlineCheck()
 
-    def join(self, find: PluginFinder) -> None:
+    def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the check of deadlines."""
         self.deadlines = find(DeadlineCheck) or self.deadlines
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
         """Return the replica, or wait if there is none."""
         if record.request.kind is not RequestKind.SERVICE:
-            return NotMine()
+            return NotApplicable()
         found = self.candidates.of(record.request.target, (), context)
         fresh = [each for each in found if each.entry.endpoint not in record.avoid]
         usable = fresh or found
@@ -49,7 +56,7 @@
             report = endpoint.report
             reported = report.running + report.waiting if report is not None else 0
             far = endpoint.entry.availability_zone != own_zone
-            return len(endpoint.own), reported, far
+            return len(endpoint.own_requests), reported, far
 
         entry = min(drawn, key=load_of).entry
         return PlaceOn(entry.endpoint, entry.incarnation, entry.address)
--- a/src/mimosafork/quarantine/task.py
+++ b/src/mimosafork/quarantine/task.py
@@ -14,8 +14,8 @@
 from ..kernel.messages.quarantine import (
     CrashEvidence,
     DropSuspicion,
-    KeepSuspicion,
-    KeptSuspicion,
+    StoredSuspicion,
+    StoreSuspicion,
     SuspicionsRead,
 )
 from ..runtime.task import Task
@@ -37,8 +37,8 @@
     written: datetime
 
 
-class SuspicionTask(Task[KeepSuspicion | DropSuspicion]):
-    """Carries out `KeepSuspicion` and `DropSuspicion`, and reads all now and then.
+class SuspicionTask(Task[StoreSuspicion | DropSuspicion]):
+    """Carries out `StoreSuspicion` and `DropSuspicion`, and reads all now and then.
 
     With the store out, suspicions spread by gossip alone; nothing waits for this.
 
@@ -84,7 +84,7 @@
         if read:
             self.send_to_kernel(SuspicionsRead(tuple(read)))
 
-    def receive(self, message: KeepSuspicion | DropSuspicion) -> None:
+    def receive(self, message: StoreSuspicion | DropSuspicion) -> None:
         """Write, as often as other writers come in between."""
         for _ in range(TRIES):
             try:
@@ -94,7 +94,7 @@
                 logger.debug("a suspicion was not written: %s", error)
                 return
 
-    def _write(self, message: KeepSuspicion | DropSuspicion) -> bool:
+    def _write(self, message: StoreSuspicion | DropSuspicion) -> bool:
         """Write on the condition of what was read; return whether it is done.
 
         A write of unknown result is let be: what it says reaches the peers by
@@ -102,7 +102,7 @@
         """
         row = self.table.get(TABLE, message.digest)
         value: Mapping[str, Any] | None = None
-        if isinstance(message, KeepSuspicion):
+        if isinstance(message, StoreSuspicion):
             known = () if row is None else _evidence_of(row)
             joined = _joined(known, message.evidence)
             body = _RowBody(joined, self.clock.now())
@@ -113,7 +113,7 @@
         write = Write(TABLE, message.digest, value)
         return self.table.transact((condition,), (write,)).committed
 
-    def _kept(self, row: Row) -> KeptSuspicion | None:
+    def _kept(self, row: Row) -> StoredSuspicion | None:
         """Return what a row says; None if it is too old or can't be read."""
         try:
             body = msgspec.convert(row.value, _RowBody)
@@ -121,7 +121,7 @@
             return None
         age = max(timedelta(0), self.clock.now() - body.written.astimezone(UTC))
         if age <= SUSPICION_TTL:
-            return KeptSuspicion(Digest(row.key), body.evidence, age)
+            return StoredSuspicion(Digest(row.key), body.evidence, age)
         if self.random.random() < DELETING_SHARE:
             self._delete(row)
         return None
--- a/src/mimosafork/relay/exchange.py
+++ b/src/mimosafork/relay/exchange.py
@@ -197,7 +197,7 @@
         data = b"".join([token(event, attempt) for event in events])
         self.delivered += sum([event.tokens for event in events])
         self.ports.counters.events += len(events)
-        if dispatch.keep:
+        if dispatch.keep_answer:
             self.capture.take(events)
         if data:
             self.ports.counters.bytes_out += len(data)
@@ -218,18 +218,18 @@
         self.ports.tell_kernel(AttemptFinished(self.request_id, attempt, usage))
 
     def _take_ending(self, upstream: Upstream) -> Usage | None:
-        keep = upstream.dispatch.keep
+        keep_answer = upstream.dispatch.keep_answer
         if isinstance(upstream, ServiceUpstream) and upstream.response is not None:
             response = upstream.response
             self.answer.respond(response)
-            if keep:
+            if keep_answer:
                 captured = self.capture.whole_response(self.request_id, response)
                 self.ports.keep_answer(captured)
         if not isinstance(upstream, EngineUpstream) or upstream.ending is None:
             return None
         ending = upstream.ending
         self.answer.finish(ending.finish or "", ending.usage)
-        if keep:
+        if keep_answer:
             self.ports.keep_answer(self.capture.whole_stream(self.request_id, ending))
         if ending.usage is None:
             return None
--- a/src/mimosafork/relay/task.py
+++ b/src/mimosafork/relay/task.py
@@ -15,7 +15,7 @@
 from ..kernel.messages.base import Message
 from ..kernel.messages.dispatch import CancelAttempt, Dispatch
 from ..kernel.messages.outcomes import Conclude
-from ..kernel.messages.placement import PartFailure, PrefillSegment, SegmentFailed
+from ..kernel.messages.placement import GangStepFailure, PrefillSegment, SegmentFailed
 from ..runtime.kernel_task import KernelTask
 from ..runtime.task import Task
 from .cancelling import drop_opened
@@ -192,7 +192,7 @@
             SegmentFailed(
                 message.request_id,
                 message.stream_id,
-                PartFailure.UNREACHED,
+                GangStepFailure.UNREACHED,
                 Exposure.NEVER_SENT,
             )
         )
--- a/src/mimosafork/runtime/duties_adapter.py
+++ b/src/mimosafork/runtime/duties_adapter.py
@@ -3,11 +3,11 @@
 from random import Random
 
 from ..clock import Clock
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.base import Effect
 from ..kernel.messages.leases import Duty
 from ..kernel.messages.orders import ReadState, SendOrder
-from ..kernel.messages.quarantine import DropSuspicion, KeepSuspicion
+from ..kernel.messages.quarantine import DropSuspicion, StoreSuspicion
 from ..kernel.messages.recovery import FreeHolding, ListHoldings
 from ..leases.keeper import LeaseKeeper
 from ..leases.task import LeaseTask, Release
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        identity: Identity,
+        identity: InstanceIdentity,
         table: Table,
         http: HttpClient,
         clock: Clock,
@@ -67,7 +67,7 @@
         kernel_task.register(ReadState, self._order)
         kernel_task.register(ListHoldings, self._clean)
         kernel_task.register(FreeHolding, self._clean)
-        kernel_task.register(KeepSuspicion, self._suspect)
+        kernel_task.register(StoreSuspicion, self._suspect)
         kernel_task.register(DropSuspicion, self._suspect)
 
     def start(self) -> None:
@@ -95,7 +95,7 @@
             self.orders.send(effect)
 
     def _suspect(self, effect: Effect) -> None:
-        if isinstance(effect, KeepSuspicion | DropSuspicion):
+        if isinstance(effect, StoreSuspicion | DropSuspicion):
             self.suspicions.send(effect)
 
     def _clean(self, effect: Effect) -> None:
--- a/src/mimosafork/runtime/fleet_page.py
+++ b/src/mimosafork/runtime/fleet_page.py
@@ -60,7 +60,7 @@
         reported=report is not None,
         draining=endpoint.draining,
         unreachable=endpoint.unreachable_since is not None,
-        own_requests=len(endpoint.own),
+        own_requests=len(endpoint.own_requests),
         running=report.running if report is not None else 0,
         waiting=report.waiting if report is not None else 0,
     )
--- a/src/mimosafork/runtime/instance.py
+++ b/src/mimosafork/runtime/instance.py
@@ -8,7 +8,7 @@
 from ..endpoints.connector import Connector, ConnectorLimits
 from ..endpoints.reservations import ReservationAdapter
 from ..kernel.configuration import Configuration
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.core import Kernel
 from ..kernel.messages.configuration import ConfigurationReceived
 from ..kernel.messages.problems import ProblemCode
@@ -184,11 +184,11 @@
         """Return whether this instance has the newest configuration it can reach."""
         return self.followed.follower.is_ready(self.configuration is not None)
 
-    def make_identity(self) -> Identity:
+    def make_identity(self) -> InstanceIdentity:
         """Return who this instance is."""
         own = self.settings.instance
         now_ms = int(self.clock.now().timestamp() * 1000)
-        return Identity(
+        return InstanceIdentity(
             own.id, self.settings.incarnation(now_ms), own.availability_zone
         )
 
--- a/src/mimosafork/runtime/own_listing.py
+++ b/src/mimosafork/runtime/own_listing.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from ..clock import Clock
-from ..kernel.messages.fleet import EntryInstance, LifeState
+from ..kernel.messages.fleet import EntryInstance, LifecycleState
 from ..runtime.task import Task
 from ..storage.errors import PlatformError
 from ..storage.instances import InstanceListClient
@@ -18,7 +18,7 @@
 RETRY_PERIOD = timedelta(seconds=2)
 
 
-class OwnListing(Task[LifeState]):
+class OwnListing(Task[LifecycleState]):
     """Enters this instance at its start, and takes it out at its end.
 
     While the list can't be written the instance works all the same: peers learn of
@@ -60,7 +60,7 @@
             logger.debug("this instance can't be listed: %s", error)
             self.due = self.clock.monotonic() + RETRY_PERIOD
 
-    def receive(self, message: LifeState) -> None:
+    def receive(self, message: LifecycleState) -> None:
         """Change the entry's state."""
         self.entry = replace(self.entry, state=message)
         self.idle()
--- a/src/mimosafork/runtime/peers_adapter.py
+++ b/src/mimosafork/runtime/peers_adapter.py
@@ -4,10 +4,10 @@
 from random import Random
 
 from ..clock import Clock
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.base import Effect
-from ..kernel.messages.fleet import EntryInstance, LifeState
-from ..kernel.messages.peers import DrainAnnounced, MeetInstances, Publish
+from ..kernel.messages.fleet import EntryInstance, LifecycleState
+from ..kernel.messages.peers import AddPeerCandidates, AnnounceDrain, Publish
 from ..network.http import HttpClient
 from ..peers.configuration import Offer
 from ..peers.exchanger import PeerIdentity
@@ -34,7 +34,7 @@
     def __init__(
         self,
         settings: InstanceSettings,
-        identity: Identity,
+        identity: InstanceIdentity,
         http: HttpClient,
         clock: Clock,
         random: Random,
@@ -59,7 +59,7 @@
             self.task.exchanger.who.address,
             identity.availability_zone,
             identity.incarnation,
-            LifeState.LIVE,
+            LifecycleState.LIVE,
             settings.operations.advertised_address or "",
         )
         client = InstanceListClient(http, settings.platform.instances)
@@ -76,7 +76,7 @@
 
     def register(self, kernel_task: KernelTask) -> None:
         """Take the effects about peers."""
-        for effect in (Publish, MeetInstances, DrainAnnounced):
+        for effect in (Publish, AddPeerCandidates, AnnounceDrain):
             kernel_task.register(effect, self.take)
 
     def observe(self, metrics: Metrics) -> None:
@@ -93,10 +93,10 @@
 
     def take(self, effect: Effect) -> None:
         """Hand an effect to the tasks."""
-        if isinstance(effect, Publish | MeetInstances | DrainAnnounced):
+        if isinstance(effect, Publish | AddPeerCandidates | AnnounceDrain):
             self.task.send(effect)
-        if isinstance(effect, DrainAnnounced):
-            self.listing.send(LifeState.LEAVING)
+        if isinstance(effect, AnnounceDrain):
+            self.listing.send(LifecycleState.LEAVING)
 
     def start(self) -> None:
         """Start exchanging."""
--- a/src/mimosafork/storage/instances.py
+++ b/src/mimosafork/storage/instances.py
@@ -25,7 +25,7 @@
     EndpointKind,
     EntryInstance,
     InstancesListed,
-    LifeState,
+    LifecycleState,
 )
 from ..network.errors import NetworkError
 from ..network.http import Answer, HttpClient
@@ -55,7 +55,7 @@
     address: str
     availability_zone: str
     incarnation: int
-    state: LifeState
+    state: LifecycleState
     peer_address: str | None = None
     operations_address: str | None = None
     service: str | None = None
--- a/src/mimosafork/watch/task.py
+++ b/src/mimosafork/watch/task.py
@@ -244,4 +244,4 @@
 def _reads_cache(watch: Watch) -> bool:
     """Return whether this instance reads an endpoint's cache events."""
     target = watch.target
-    return target.first and target.kind is EndpointKind.MODEL_ENGINE
+    return target.is_primary and target.kind is EndpointKind.MODEL_ENGINE
--- a/tests/functional/test_peers.py
+++ b/tests/functional/test_peers.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from mimosafork.ids import Digest, Revision
-from mimosafork.kernel.messages.peers import DrainAnnounced, MembersChanged, MemberState
+from mimosafork.kernel.messages.peers import AnnounceDrain, MembersChanged, MemberState
 from mimosafork.peers.frames import ConfigurationText
 from mimosafork.peers.task import HoldConfiguration
 from tests.support.functions import function_tests
@@ -40,7 +40,7 @@
     with running_node("n1") as first, running_node("n2") as second:
         introduce(first, second)
         eventually(lambda: "n1" in _live(second))
-        first.task.send(DrainAnnounced())
+        first.task.send(AnnounceDrain())
 
         eventually(lambda: _state(second, "n1") is MemberState.DRAINING)
 
--- a/tests/run.py
+++ b/tests/run.py
@@ -7,7 +7,7 @@
 
 from .support import known_red
 from .support.known_red import KnownRed, Verdict
-from .support.recorder import Outcome, Status
+from .support.recorder import TestOutcome, TestStatus
 from .support.workers import Group, run_groups
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -76,7 +76,7 @@
     return parser.parse_args(argv)
 
 
-def run(suites: Sequence[str], pattern: str, jobs: int) -> list[Outcome]:
+def run(suites: Sequence[str], pattern: str, jobs: int) -> list[TestOutcome]:
     """Run suites: unit tests in one worker, a worker for each functional module.
 
     Parameters
@@ -93,7 +93,7 @@
     list of Outcome
         In the order in which the tests ended.
     """
-    outcomes: list[Outcome] = []
+    outcomes: list[TestOutcome] = []
     for suite in suites:
         modules = modules_of(suite)
         if suite == "unit":
@@ -145,7 +145,7 @@
     return any(entry.test.startswith(f"tests.{suite}.") for suite in suites)
 
 
-def show(verdict: Verdict, outcomes: Sequence[Outcome]) -> None:
+def show(verdict: Verdict, outcomes: Sequence[TestOutcome]) -> None:
     """Print failures, known failures, the slowest tests and the tally.
 
     Parameters
@@ -161,7 +161,7 @@
     print("\nslowest:")
     for each in slowest:
         print(f"{each.duration_s:9.3f}s {each.test}")
-    skipped = sum(each.status is Status.SKIPPED for each in verdict.failed)
+    skipped = sum(each.status is TestStatus.SKIPPED for each in verdict.failed)
     if skipped:
         print(f"{skipped} skipped, counted as failed")
     for entry in verdict.passed_over:
--- a/tests/support/claim_world.py
+++ b/tests/support/claim_world.py
@@ -17,7 +17,7 @@
 from mimosafork.claims.writer import ClaimWriter, StoreAnswer
 from mimosafork.clock import ManualClock
 from mimosafork.ids import Incarnation, InstanceId, StreamId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import (
     AttemptFailed,
@@ -32,11 +32,11 @@
     EndClaim,
     FindStream,
     KeepAnswer,
-    NotePlace,
     PaceClaims,
+    RecordStreamLocation,
     ReleaseClaim,
     ReplayAnswer,
-    StreamPlace,
+    StreamLocation,
     StreamSearched,
     WriteClaim,
 )
@@ -48,7 +48,7 @@
 from mimosafork.kernel.messages.fleet import (
     EntryInstance,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReported,
 )
 from mimosafork.kernel.messages.outcomes import Conclude
@@ -127,7 +127,7 @@
         self.outbox: list[Dispatch] = []
         self.timers: list[tuple[timedelta, Message]] = []
         self.writer = ClaimWriter(world.table, world.clock, self.inbox.append)
-        identity = Identity(InstanceId(name), Incarnation(incarnation), ZONE)
+        identity = InstanceIdentity(InstanceId(name), Incarnation(incarnation), ZONE)
         seed = Random(f"{name}.{incarnation}")
         self.kernel = Kernel(identity, world.clock, seed, claim_plugins(retry))
         self.tell(ConfigurationReceived(configuration()))
@@ -162,7 +162,7 @@
         assert isinstance(effect, PaceClaims | ConfigurationChanged), effect
 
     @carry_out.register(WriteClaim)
-    @carry_out.register(NotePlace)
+    @carry_out.register(RecordStreamLocation)
     @carry_out.register(ReleaseClaim)
     @carry_out.register(EndClaim)
     def _(self, effect: Effect) -> None:
@@ -254,7 +254,7 @@
                 "a:2",
                 ZONE,
                 Incarnation(node.incarnation),
-                LifeState.LIVE,
+                LifecycleState.LIVE,
             )
             for node in self.nodes
         )
@@ -287,13 +287,13 @@
         for node in self.running():
             node.fire_timers()
 
-    def find(self, search: FindStream) -> StreamPlace | None:
+    def find(self, search: FindStream) -> StreamLocation | None:
         """Return where a stream is, as the engines say."""
         for engine in self.engines.values():
             for stream_id in search.stream_ids:
                 if stream_id in engine.streams:
                     entry = engine_entry(engine.name, incarnation=engine.incarnation)
-                    return StreamPlace(
+                    return StreamLocation(
                         stream_id, entry.endpoint, entry.incarnation, entry.address
                     )
         return None
--- a/tests/support/claims.py
+++ b/tests/support/claims.py
@@ -11,10 +11,10 @@
 from mimosafork.kernel.messages.claims import (
     Claim,
     ClaimLost,
-    ClaimOverdue,
+    ClaimTimedOut,
     ClaimUnavailable,
     ClaimWon,
-    StreamPlace,
+    StreamLocation,
     StreamSearched,
     WriteClaim,
 )
@@ -97,9 +97,9 @@
     return ClaimUnavailable(RequestId(name), written(bench, name).claim.claim_id)
 
 
-def overdue(bench: Bench, name: str) -> ClaimOverdue:
+def overdue(bench: Bench, name: str) -> ClaimTimedOut:
     """Return the timer of a claim that the store says nothing about."""
-    return ClaimOverdue(RequestId(name), written(bench, name).claim.claim_id)
+    return ClaimTimedOut(RequestId(name), written(bench, name).claim.claim_id)
 
 
 def lost(bench: Bench, name: str, existing: Claim) -> ClaimLost:
@@ -126,7 +126,7 @@
 def found(name: str, endpoint: str = "e2", stream_id: str = "s.1") -> StreamSearched:
     """Return the word that an engine has the stream."""
     entry = engine_entry(endpoint)
-    place = StreamPlace(
+    place = StreamLocation(
         StreamId(stream_id), entry.endpoint, entry.incarnation, entry.address
     )
     return StreamSearched(RequestId(name), place)
--- a/tests/support/crashing_fleet.py
+++ b/tests/support/crashing_fleet.py
@@ -13,7 +13,7 @@
 import mimosafork.policies  # noqa: F401  (registers the plug-ins)
 from mimosafork.clock import ManualClock
 from mimosafork.ids import Incarnation, InstanceId, RequestId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import (
     AttemptFailed,
@@ -32,7 +32,7 @@
 )
 from mimosafork.kernel.messages.outcomes import Conclude
 from mimosafork.kernel.messages.peers import Origin, Publish
-from mimosafork.kernel.messages.quarantine import DropSuspicion, KeepSuspicion
+from mimosafork.kernel.messages.quarantine import DropSuspicion, StoreSuspicion
 from mimosafork.kernel.messages.requests import Request, Submit
 from mimosafork.kernel.messages.timers import WakeAt
 from mimosafork.kernel.registry import create
@@ -132,7 +132,7 @@
 
     def kernel(self, number: int) -> Kernel:
         """Return the kernel of an instance that has just started."""
-        identity = Identity(InstanceId(f"i{number}"), Incarnation(1), ZONE)
+        identity = InstanceIdentity(InstanceId(f"i{number}"), Incarnation(1), ZONE)
         kernel = Kernel(identity, self.clock, Random(number), create(PLUGINS))
         self.tell(kernel, ConfigurationReceived(configuration()))
         entries = tuple(engine_entry(name) for name in self.engines)
@@ -202,7 +202,7 @@
                 self.conclusions[effect.request_id] = effect
             elif isinstance(effect, Publish):
                 self._publish(kernel, effect)
-            elif isinstance(effect, KeepSuspicion | DropSuspicion):
+            elif isinstance(effect, StoreSuspicion | DropSuspicion):
                 self.kept.append(effect)
 
     def _tick(self, kernel: Kernel) -> None:
--- a/tests/support/gang_engines.py
+++ b/tests/support/gang_engines.py
@@ -6,12 +6,12 @@
 from mimosafork.kernel.messages.base import Effect, Message
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportFailed,
     ImportKv,
     KvImported,
     MemoryReserved,
-    PartFailure,
     PrefillSegment,
     ReservationFailed,
     ReserveMemory,
@@ -32,7 +32,7 @@
         The same by engine.
     held_back : list of Effect
         Effects of the kinds in `holding_back`, not answered.
-    failing : dict of type to PartFailure
+    failing : dict of type to GangStepFailure
         Kinds of effects that are answered by a failure.
     """
 
@@ -42,7 +42,7 @@
         self.by_engine: dict[str, dict[str, int]] = {}
         self.holding_back: set[type[Effect]] = set()
         self.held_back: list[Effect] = []
-        self.failing: dict[type[Effect], PartFailure] = {}
+        self.failing: dict[type[Effect], GangStepFailure] = {}
         self.order: list[str] = []
         self.most_held: dict[str, int] = {}
 
@@ -64,13 +64,13 @@
                 self.held_back.append(effect)
                 continue
             for message in self.answer(effect):
-                waiting += self.bench.tell(message)
+                waiting += self.bench.handle(message)
 
     def release_one(self) -> Effect:
         """Answer the oldest effect that was held back."""
         effect = self.held_back.pop(0)
         for message in self.answer(effect):
-            self.serve(self.bench.tell(message))
+            self.serve(self.bench.handle(message))
         return effect
 
     def hold(self, engine: str, name: str, tokens: int) -> bool:
@@ -96,7 +96,7 @@
         if failure is None:
             if self.hold(effect.endpoint, effect.reservation, effect.tokens):
                 return [MemoryReserved(effect.request_id, effect.reservation)]
-            failure = PartFailure.NO_MEMORY
+            failure = GangStepFailure.NO_MEMORY
         return [ReservationFailed(effect.request_id, effect.reservation, failure)]
 
     @answer.register
@@ -135,6 +135,6 @@
         return []
 
     @answer.register
-    def _(self, effect: FreePart) -> list[Message]:
+    def _(self, effect: FreeOwnHolding) -> list[Message]:
         self.by_engine.get(effect.endpoint, {}).pop(effect.holding_id, None)
         return []
--- a/tests/support/gateway_kernels.py
+++ b/tests/support/gateway_kernels.py
@@ -17,7 +17,7 @@
     RequestId,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import (
     AttemptFailed,
@@ -52,7 +52,7 @@
 
     def list_endpoint(self, name: str, slots: int = 8) -> None:
         """Tell the kernel that an endpoint takes work."""
-        self.tell(EndpointUsable(listed(name, slots)))
+        self.handle(EndpointUsable(listed(name, slots)))
 
     def dispatches(self, request_id: str) -> list[Dispatch]:
         """Return the attempts of a request so far."""
@@ -72,7 +72,7 @@
         refusal: str | None = None,
     ) -> None:
         """Let an attempt fail."""
-        self.tell(
+        self.handle(
             AttemptFailed(
                 dispatch.request_id,
                 dispatch.attempt,
@@ -87,12 +87,12 @@
 
     def finish(self, dispatch: Dispatch) -> None:
         """Let an attempt answer and end well."""
-        self.tell(FirstToken(dispatch.request_id, dispatch.attempt))
-        self.tell(AttemptFinished(dispatch.request_id, dispatch.attempt))
+        self.handle(FirstToken(dispatch.request_id, dispatch.attempt))
+        self.handle(AttemptFinished(dispatch.request_id, dispatch.attempt))
 
     def retried(self, dispatch: Dispatch) -> Dispatch | None:
         """Let the pause pass; return the next attempt, if there is one."""
-        self.pass_time(RETRY_PAUSE, RetryDue(dispatch.request_id))
+        self.handle_after(RETRY_PAUSE, RetryDue(dispatch.request_id))
         newest = self.dispatches(dispatch.request_id)[-1]
         return newest if newest.attempt > dispatch.attempt else None
 
@@ -106,7 +106,7 @@
 def gateway_bench(endpoints: int = 3) -> GatewayBench:
     """Return a kernel that knows some plain endpoints."""
     clock = ManualClock(start=timedelta(seconds=100))
-    identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
+    identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
     bench = GatewayBench(kernel, clock)
     for number in range(endpoints):
