--- a/tests/support/gateway_world.py
+++ b/tests/support/gateway_world.py
@@ -33,7 +33,7 @@
     RequestId,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import (
     AttemptFailed,
@@ -44,7 +44,7 @@
     Exposure,
     FailureKind,
     FirstToken,
-    HedgedAttemptHeard,
+    HedgedAttemptResumed,
 )
 from mimosafork.kernel.messages.base import Effect, Message, Tick
 from mimosafork.kernel.messages.dispatch import (
@@ -55,9 +55,9 @@
 from mimosafork.kernel.messages.lifecycle import StopNow
 from mimosafork.kernel.messages.outcomes import Conclude, Outcome
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     MemoryReserved,
-    PartFailure,
     ReservationFailed,
     ReserveMemory,
 )
@@ -66,9 +66,9 @@
 from mimosafork.kernel.messages.routing import (
     EndpointLeaving,
     EndpointUsable,
-    TableInForce,
+    RoutingTableChanged,
 )
-from mimosafork.kernel.messages.sharing import CrashTold
+from mimosafork.kernel.messages.sharing import CrashSuspicionUpdated
 from mimosafork.kernel.messages.timers import WakeAt
 from mimosafork.kernel.registry import create
 
@@ -141,7 +141,7 @@
     """What an instance will learn of an order, and when."""
 
     order: ReserveMemory
-    failure: PartFailure | None
+    failure: GangStepFailure | None
     at: timedelta
 
 
@@ -160,7 +160,7 @@
         self.clock = ManualClock(start=timedelta(seconds=100))
         self.judge = Judge()
         self.tables = TableHistory()
-        identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
+        identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
         self.kernel = Kernel(identity, self.clock, Random(seed), create(PLUGINS))
         self.directory = Directory(
             self.tables, EndpointRows(), self.clock, Random(seed)
@@ -204,7 +204,7 @@
     def directory_changed(self, change: DirectoryChange) -> None:
         """Tell the kernel of a change, as the gateway's server does."""
         if isinstance(change, TableChanged):
-            self.post(TableInForce(change.table))
+            self.post(RoutingTableChanged(change.table))
         elif change.entry.takes_new_work:
             self.post(EndpointUsable(change.entry.listed))
         else:
@@ -231,7 +231,9 @@
             self.judge.crashed(digest, endpoints, self.now)
         else:
             self.judge.cleared(digest)
-        self.post(CrashTold(digest, frozenset(endpoints), cleared=not endpoints))
+        self.post(
+            CrashSuspicionUpdated(digest, frozenset(endpoints), cleared=not endpoints)
+        )
 
     # Callers
 
@@ -311,7 +313,7 @@
             self.end_silent(effect.failure)
         elif isinstance(effect, WakeAt):
             self.wakes.append(effect)
-        elif isinstance(effect, ReserveMemory | FreePart):
+        elif isinstance(effect, ReserveMemory | FreeOwnHolding):
             self.order(effect)
         elif isinstance(effect, Conclude):
             self.conclude(effect)
@@ -405,25 +407,25 @@
 
     # Memory
 
-    def order(self, effect: ReserveMemory | FreePart) -> None:
+    def order(self, effect: ReserveMemory | FreeOwnHolding) -> None:
         """Carry out an order, or lose it."""
         known = self.endpoints[effect.endpoint]
         lives = self.living.get(effect.address) == effect.endpoint
-        if isinstance(effect, FreePart):
+        if isinstance(effect, FreeOwnHolding):
             if lives and known.reachable and not known.deaf:
                 known.memory.reservations.pop(effect.holding_id, None)
             return
         if not lives or not known.reachable:
-            self.reply(effect, PartFailure.UNREACHED, timedelta(0))
+            self.reply(effect, GangStepFailure.UNREACHED, timedelta(0))
         elif known.deaf:
-            self.reply(effect, PartFailure.LOST, ORDER_WITHIN)
+            self.reply(effect, GangStepFailure.LOST, ORDER_WITHIN)
             self.late_orders.append(effect)
         else:
             failure = known.memory.reserve(effect, self.now)
             self.reply(effect, failure, ORDER_TAKES if self.slow else timedelta(0))
 
     def reply(
-        self, order: ReserveMemory, failure: PartFailure | None, after: timedelta
+        self, order: ReserveMemory, failure: GangStepFailure | None, after: timedelta
     ) -> None:
         """Let an order's answer come, or that it got none."""
         if after:
@@ -505,7 +507,7 @@
         sent.heard_at = self.now
         if sent.hedged:
             name, attempt = sent.dispatch.request_id, sent.dispatch.attempt
-            self.post(HedgedAttemptHeard(name, attempt))
+            self.post(HedgedAttemptResumed(name, attempt))
         if sent.call.request.terms is not None and sent.call.request.terms.streams:
             sent.call.events += 1
             sent.call.head_sent = True
@@ -602,10 +604,10 @@
 
     def report_silence(self, sent: Sent) -> None:
         """Tell the kernel of an attempt that has been silent for too long."""
-        patience = sent.dispatch.patience
+        patience = sent.dispatch.silence_timeouts
         if patience is None or sent.phase is Phase.ENDED:
             return
-        allowed = patience.further if sent.begun else patience.first
+        allowed = patience.between_events if sent.begun else patience.first_event
         silence = self.now - sent.heard_at
         if silence >= allowed:
             sent.heard_at = self.now
--- a/tests/support/kernels.py
+++ b/tests/support/kernels.py
@@ -30,7 +30,7 @@
     ModelPolicy,
     ServicePolicy,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
 from mimosafork.kernel.messages.base import Effect, Message
@@ -40,7 +40,7 @@
     EndpointEntry,
     EndpointKind,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
 )
@@ -71,7 +71,7 @@
     effects: list[Effect] = field(default_factory=list)
     sequence: int = 0
 
-    def tell(self, message: Message) -> list[Effect]:
+    def handle(self, message: Message) -> list[Effect]:
         """Handle a message; return and keep the effects."""
         emitted = self.kernel.handle(message)
         self.effects.extend(emitted)
@@ -79,12 +79,12 @@
 
     def submit(self, request: Request) -> list[Effect]:
         """Submit a request."""
-        return self.tell(Submit(request))
+        return self.handle(Submit(request))
 
-    def pass_time(self, step: timedelta, message: Message) -> list[Effect]:
+    def handle_after(self, step: timedelta, message: Message) -> list[Effect]:
         """Let time pass, then handle a message."""
         self.clock.advance(step)
-        return self.tell(message)
+        return self.handle(message)
 
     def emitted(self, kind: type[E]) -> list[E]:
         """Return all effects of a type so far."""
@@ -112,7 +112,7 @@
         """Deliver a load report of an idle engine, with changes."""
         self.sequence += 1
         base = load_report(endpoint, self.sequence)
-        return self.tell(LoadReported(replace(base, **changes)))
+        return self.handle(LoadReported(replace(base, **changes)))
 
 
 def load_report(endpoint: str, sequence: int) -> LoadReport:
@@ -143,7 +143,7 @@
         address=f"{endpoint}:1",
         availability_zone=AvailabilityZoneId(zone),
         incarnation=Incarnation(incarnation),
-        state=LifeState.LIVE,
+        state=LifecycleState.LIVE,
     )
 
 
@@ -189,7 +189,7 @@
     return replace(request, **changes)
 
 
-def failed(
+def attempt_failure(
     name: str,
     attempt: int = 1,
     kind: FailureKind = FailureKind.BROKEN,
@@ -214,10 +214,10 @@
     Model engines have reported that they are idle.
     """
     clock = ManualClock()
-    identity = Identity(InstanceId("i1"), Incarnation(1), ZONE)
+    identity = InstanceIdentity(InstanceId("i1"), Incarnation(1), ZONE)
     bench = Bench(Kernel(identity, clock, Random(seed), plugins), clock)
-    bench.tell(ConfigurationReceived(settings or configuration()))
-    bench.tell(InstancesListed(tuple(endpoints), ()))
+    bench.handle(ConfigurationReceived(settings or configuration()))
+    bench.handle(InstancesListed(tuple(endpoints), ()))
     for entry in endpoints:
         if entry.kind is EndpointKind.MODEL_ENGINE:
             bench.report(entry.endpoint, incarnation=entry.incarnation)
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from .recorder import Outcome, Status
+from .recorder import TestOutcome, TestStatus
 
 SEPARATOR = ": "
 
@@ -47,8 +47,8 @@
         Listed tests that failed, as their line says.
     """
 
-    passed: tuple[Outcome, ...]
-    failed: tuple[Outcome, ...]
+    passed: tuple[TestOutcome, ...]
+    failed: tuple[TestOutcome, ...]
     passed_over: tuple[KnownRed, ...]
 
     @property
@@ -110,7 +110,7 @@
 
 
 def judge(
-    outcomes: Iterable[Outcome], listed: Iterable[KnownRed], whole: bool
+    outcomes: Iterable[TestOutcome], listed: Iterable[KnownRed], whole: bool
 ) -> Verdict:
     """Set the outcomes of a run against the listed failures.
 
@@ -129,13 +129,13 @@
     Verdict
         Each outcome in exactly one place.
     """
-    passed: list[Outcome] = []
-    failed: list[Outcome] = []
+    passed: list[TestOutcome] = []
+    failed: list[TestOutcome] = []
     passed_over: list[KnownRed] = []
     open_entries = {each.test: each for each in listed}
     for outcome in outcomes:
         entry = open_entries.pop(outcome.test, None)
-        if entry is not None and outcome.status is Status.FAILED:
+        if entry is not None and outcome.status is TestStatus.FAILED:
             passed_over.append(entry)
         elif entry is not None and outcome.passed and is_flaky(entry):
             passed.append(outcome)
@@ -162,7 +162,7 @@
     return entry.cause.strip().startswith("flaky")
 
 
-def stale(entry: KnownRed, why: str) -> Outcome:
+def stale(entry: KnownRed, why: str) -> TestOutcome:
     """Return the failure that an untrue line stands for.
 
     Parameters
@@ -177,4 +177,4 @@
     Outcome
         Under the identifier of the listed test.
     """
-    return Outcome(entry.test, Status.FAILED, detail=f"{entry.test} {why}")
+    return TestOutcome(entry.test, TestStatus.FAILED, detail=f"{entry.test} {why}")
--- a/tests/support/limits.py
+++ b/tests/support/limits.py
@@ -13,11 +13,15 @@
 from mimosafork.ids import AvailabilityZoneId, Incarnation, InstanceId, Revision
 from mimosafork.kernel import registry
 from mimosafork.kernel.configuration import AccountPolicy
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.base import Effect, Tick
 from mimosafork.kernel.messages.configuration import ConfigurationReceived
-from mimosafork.kernel.messages.fleet import EntryInstance, InstancesListed, LifeState
+from mimosafork.kernel.messages.fleet import (
+    EntryInstance,
+    InstancesListed,
+    LifecycleState,
+)
 from mimosafork.kernel.messages.outcomes import Conclude
 from mimosafork.kernel.messages.peers import (
     Member,
@@ -29,7 +33,7 @@
 )
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.kernel.messages.requests import Submit
-from mimosafork.kernel.messages.watch import SpeakForZone
+from mimosafork.kernel.messages.watch import PublishForZone
 from mimosafork.peers.kinds.base import kind_of
 from mimosafork.policies.limits import AccountLimits
 
@@ -79,7 +83,7 @@
         settings = configuration(accounts=[self.policy])
         self.kernels = {}
         for name, zone in self.zone_of.items():
-            identity = Identity(
+            identity = InstanceIdentity(
                 InstanceId(name), Incarnation(1), AvailabilityZoneId(zone)
             )
             plugins = registry.create(PLUGINS)
@@ -159,7 +163,7 @@
     def _speak(self) -> None:
         for zone in self.zones:
             name = f"{zone}-0"
-            message = SpeakForZone(AvailabilityZoneId(zone))
+            message = PublishForZone(AvailabilityZoneId(zone))
             self._take(name, self.kernels[name].handle(message))
 
     def _take(self, name: str, effects: Iterable[Effect]) -> None:
@@ -212,5 +216,5 @@
         peer_address="10.0.0.1:1",
         availability_zone=AvailabilityZoneId(zone),
         incarnation=Incarnation(1),
-        state=LifeState.LIVE,
+        state=LifecycleState.LIVE,
     )
--- a/tests/support/order_zone.py
+++ b/tests/support/order_zone.py
@@ -20,7 +20,7 @@
     Revision,
 )
 from mimosafork.kernel.configuration import Configuration, ModelPolicy
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.base import Message, Tick
 from mimosafork.kernel.messages.configuration import ConfigurationReceived
@@ -29,7 +29,7 @@
     EndpointKind,
     FencingMode,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
 )
@@ -163,7 +163,7 @@
     def __init__(self, zone: "OrderZone", name: str) -> None:
         self.zone = zone
         clock = zone.clock
-        identity = Identity(InstanceId(name), Incarnation(1), ZONE)
+        identity = InstanceIdentity(InstanceId(name), Incarnation(1), ZONE)
         self.http = FakeHttp(zone)
         self.view = LeaseView()
         plugins = [Rollout(), BoundedRetry(), FirstCome()]
@@ -281,7 +281,7 @@
         f"127.0.0.1:{number + 1}",
         ZONE,
         Incarnation(1),
-        LifeState.LIVE,
+        LifecycleState.LIVE,
     )
     return FakeEngine(entry, mode, [FakeModel("1", timedelta(0))])
 
--- a/tests/support/peer_nodes.py
+++ b/tests/support/peer_nodes.py
@@ -8,19 +8,19 @@
 
 from mimosafork.clock import Clock, ManualClock, SystemClock
 from mimosafork.ids import AvailabilityZoneId, Incarnation, InstanceId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.messages.base import Message
-from mimosafork.kernel.messages.fleet import EntryInstance, LifeState
-from mimosafork.kernel.messages.peers import MeetInstances
+from mimosafork.kernel.messages.fleet import EntryInstance, LifecycleState
+from mimosafork.kernel.messages.peers import AddPeerCandidates
 from mimosafork.peers.configuration import ConfigurationShare
 from mimosafork.peers.exchanger import Exchanger, PeerIdentity
 from mimosafork.peers.frames import ConfigurationText
 from mimosafork.peers.task import HoldConfiguration, PeersTask
 
 
-def identity(name: str, zone: str = "az-1", incarnation: int = 1) -> Identity:
+def identity(name: str, zone: str = "az-1", incarnation: int = 1) -> InstanceIdentity:
     """Return an instance's identity."""
-    return Identity(
+    return InstanceIdentity(
         InstanceId(name), Incarnation(incarnation), AvailabilityZoneId(zone)
     )
 
@@ -78,7 +78,7 @@
             who.address,
             who.identity.availability_zone,
             who.identity.incarnation,
-            LifeState.LIVE,
+            LifecycleState.LIVE,
         )
 
 
@@ -108,4 +108,4 @@
     """Let each node read a list with all of them."""
     listed = tuple(each.listed for each in nodes)
     for each in nodes:
-        each.task.send(MeetInstances(listed))
+        each.task.send(AddPeerCandidates(listed))
--- a/tests/support/policies.py
+++ b/tests/support/policies.py
@@ -43,4 +43,4 @@
 
 def tick(bench: Bench, seconds: float = 0.05) -> None:
     """Let time pass and the kernel look at its timers."""
-    bench.pass_time(timedelta(seconds=seconds), Tick())
+    bench.handle_after(timedelta(seconds=seconds), Tick())
--- a/tests/support/recorder.py
+++ b/tests/support/recorder.py
@@ -11,7 +11,7 @@
 TEST_LIMIT_S = 180.0
 
 
-class Status(Enum):
+class TestStatus(Enum):
     """How one test ended."""
 
     PASSED = "passed"
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class TestOutcome:
     """One test that ran.
 
     Parameters
@@ -36,17 +36,17 @@
     """
 
     test: str
-    status: Status
+    status: TestStatus
     duration_s: float = 0.0
     detail: str = ""
 
     @property
     def passed(self) -> bool:
         """Say whether the test counts as passed; a skipped one does not."""
-        return self.status is Status.PASSED
+        return self.status is TestStatus.PASSED
 
 
-class Recorder(unittest.TestResult):
+class TestRecorder(unittest.TestResult):
     """Report an `Outcome` for each test as soon as it ends.
 
     A test that hangs would keep the whole run from ending: once a test exceeds
@@ -59,17 +59,17 @@
         Is given each outcome.
     """
 
-    def __init__(self, report: Callable[[Outcome], None]) -> None:
+    def __init__(self, report: Callable[[TestOutcome], None]) -> None:
         super().__init__()
         self.buffer = True
         self.report = report
         self.started = 0.0
-        self.trouble: list[str] = []
+        self.problem_details: list[str] = []
         self.skip_reason: str | None = None
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802, D102
         super().startTest(test)
-        self.trouble = []
+        self.problem_details = []
         self.skip_reason = None
         self.started = time.monotonic()
         # The buffer of this class has no descriptor to dump to; the real one has.
@@ -80,9 +80,9 @@
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802, D102
         faulthandler.cancel_dump_traceback_later()
         super().stopTest(test)
-        self.report(self.judge(test.id(), time.monotonic() - self.started))
+        self.report(self.outcome_of(test.id(), time.monotonic() - self.started))
 
-    def judge(self, test: str, duration_s: float) -> Outcome:
+    def outcome_of(self, test: str, duration_s: float) -> TestOutcome:
         """Sum up what the test reported while it ran.
 
         Parameters
@@ -97,29 +97,29 @@
         Outcome
             Failed if anything failed, even if a part was skipped too.
         """
-        if self.trouble:
-            detail = "\n".join(self.trouble)
-            return Outcome(test, Status.FAILED, duration_s, detail)
+        if self.problem_details:
+            detail = "\n".join(self.problem_details)
+            return TestOutcome(test, TestStatus.FAILED, duration_s, detail)
         if self.skip_reason is not None:
-            return Outcome(test, Status.SKIPPED, duration_s, self.skip_reason)
-        return Outcome(test, Status.PASSED, duration_s)
+            return TestOutcome(test, TestStatus.SKIPPED, duration_s, self.skip_reason)
+        return TestOutcome(test, TestStatus.PASSED, duration_s)
 
     def addError(self, test, err) -> None:  # type: ignore[no-untyped-def] # noqa: N802, D102
         super().addError(test, err)
         detail = self.errors[-1][1]
         if isinstance(test, unittest.TestCase):
-            self.trouble.append(detail)
+            self.problem_details.append(detail)
         else:  # a module's or class's own set-up, which no test stands for
-            self.report(Outcome(test.id(), Status.FAILED, detail=detail))
+            self.report(TestOutcome(test.id(), TestStatus.FAILED, detail=detail))
 
     def addFailure(self, test, err) -> None:  # type: ignore[no-untyped-def] # noqa: N802, D102
         super().addFailure(test, err)
-        self.trouble.append(self.failures[-1][1])
+        self.problem_details.append(self.failures[-1][1])
 
     def addSubTest(self, test, subtest, err) -> None:  # type: ignore[no-untyped-def] # noqa: N802, D102
         super().addSubTest(test, subtest, err)
         if err is not None:
-            self.trouble.append((self.failures + self.errors)[-1][1])
+            self.problem_details.append((self.failures + self.errors)[-1][1])
 
     def addSkip(self, test: unittest.TestCase, reason: str) -> None:  # noqa: N802, D102
         super().addSkip(test, reason)
@@ -127,8 +127,10 @@
 
     def addExpectedFailure(self, test, err) -> None:  # type: ignore[no-untyped-def] # noqa: N802, D102
         super().addExpectedFailure(test, err)
-        self.trouble.append("marked as expected to fail; KNOWN-RED.txt is the place")
+        self.problem_details.append(
+            "marked as expected to fail; KNOWN-RED.txt is the place"
+        )
 
     def addUnexpectedSuccess(self, test: unittest.TestCase) -> None:  # noqa: N802, D102
         super().addUnexpectedSuccess(test)
-        self.trouble.append("marked as expected to fail, but it passed")
+        self.problem_details.append("marked as expected to fail, but it passed")
--- a/tests/support/recovery_engine.py
+++ b/tests/support/recovery_engine.py
@@ -13,7 +13,7 @@
     EndpointEntry,
     EndpointKind,
     FencingMode,
-    LifeState,
+    LifecycleState,
     LoadReport,
 )
 from mimosafork.network.http import Answer
@@ -86,7 +86,7 @@
             self.name,
             ZONE,
             Incarnation(1),
-            LifeState.LIVE,
+            LifecycleState.LIVE,
         )
 
     def answers(self, now: timedelta) -> bool:
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -10,7 +10,7 @@
 from mimosafork.clock import ManualClock
 from mimosafork.ids import Digest, Incarnation, InstanceId, RequestId
 from mimosafork.kernel.configuration import Configuration, ModelPolicy
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import (
     AttemptFailed,
@@ -26,7 +26,7 @@
     EntryInstance,
     FencingMode,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReported,
     ProbeFailed,
 )
@@ -34,7 +34,7 @@
 from mimosafork.kernel.messages.orders import ReadState, SendOrder
 from mimosafork.kernel.messages.outcomes import Conclude
 from mimosafork.kernel.messages.peers import Origin, Publish
-from mimosafork.kernel.messages.quarantine import DropSuspicion, KeepSuspicion
+from mimosafork.kernel.messages.quarantine import DropSuspicion, StoreSuspicion
 from mimosafork.kernel.messages.recovery import FreeHolding, ListHoldings
 from mimosafork.kernel.messages.requests import Request, Submit
 from mimosafork.kernel.messages.timers import WakeAt
@@ -78,7 +78,9 @@
     def __init__(self, world: "World", name: str, incarnation: int) -> None:
         self.world = world
         clock = world.clock
-        self.identity = Identity(InstanceId(name), Incarnation(incarnation), ZONE)
+        self.identity = InstanceIdentity(
+            InstanceId(name), Incarnation(incarnation), ZONE
+        )
         seed = Random(f"{name}/{incarnation}")
         self.kernel = Kernel(self.identity, clock, seed, create(PLUGINS))
         self.view = LeaseView()
@@ -156,7 +158,7 @@
             self.orders.receive(effect)
         elif isinstance(effect, ListHoldings | FreeHolding):
             self.cleaning.receive(effect)
-        elif isinstance(effect, KeepSuspicion | DropSuspicion):
+        elif isinstance(effect, StoreSuspicion | DropSuspicion):
             self.suspicions.receive(effect)
         elif isinstance(effect, Publish):
             self.world.spread(self, effect)
@@ -260,7 +262,7 @@
                 "a:2",
                 ZONE,
                 node.identity.incarnation,
-                LifeState.LIVE,
+                LifecycleState.LIVE,
             )
             for node in self.nodes.values()
         )
--- a/tests/support/repeating_fleet.py
+++ b/tests/support/repeating_fleet.py
@@ -17,7 +17,7 @@
 from mimosafork.gossip.exchange import Exchange
 from mimosafork.gossip.members import Address
 from mimosafork.ids import AvailabilityZoneId, Incarnation, RequestId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
 from mimosafork.kernel.messages.base import Effect, Message, Tick
@@ -60,7 +60,7 @@
         me = identity(number, boot, started_ms=boot)
         self.exchange: Exchange = network.add(me, [seed])
         fleet.zones[me.address] = me.zone
-        own = Identity(me.instance, Incarnation(1), ZONE)
+        own = InstanceIdentity(me.instance, Incarnation(1), ZONE)
         self.kernel = Kernel(own, network.clock, Random(boot), create(PLUGINS))
         retry = self.kernel.plugin(BudgetedRetry)
         retry.slack = fleet.budget.slack
--- a/tests/support/reserving_engines.py
+++ b/tests/support/reserving_engines.py
@@ -19,20 +19,20 @@
     Revision,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
 from mimosafork.kernel.messages.base import Effect, Message, Tick
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     MemoryReserved,
-    PartFailure,
     ReservationFailed,
     ReserveMemory,
 )
 from mimosafork.kernel.messages.requests import CallTerms, Request, RequestKind
-from mimosafork.kernel.messages.routing import EndpointUsable, TableInForce
+from mimosafork.kernel.messages.routing import EndpointUsable, RoutingTableChanged
 from mimosafork.kernel.messages.timers import WakeAt
 from mimosafork.kernel.registry import create
 from mimosafork.routing.engine import EngineFigures
@@ -94,7 +94,7 @@
 
     def reserve(
         self, order: ReserveMemory, now: timedelta, late: timedelta = timedelta(0)
-    ) -> PartFailure | None:
+    ) -> GangStepFailure | None:
         """Set memory aside, or renew what is.
 
         Parameters
@@ -110,7 +110,7 @@
             known.renewals += 1
             return None
         if order.tokens > self.free:
-            return PartFailure.NO_MEMORY
+            return GangStepFailure.NO_MEMORY
         self.reservations[order.reservation] = HeldMemory(order.tokens, until)
         return None
 
@@ -125,7 +125,7 @@
 
     Attributes
     ----------
-    unanswered : list of ReserveMemory or FreePart
+    unanswered : list of ReserveMemory or FreeOwnHolding
         Orders that silent engines got.
     order : list of str
         Engines in the order in which they were asked, renewals too.
@@ -136,19 +136,19 @@
     def set_up_engines(self, names: Iterable[str]) -> None:
         """Set up the engines and tell the kernel of them."""
         self.engines = {name: FakeModelEngine(name) for name in names}
-        self.unanswered_orders: list[ReserveMemory | FreePart] = []
+        self.unanswered_orders: list[ReserveMemory | FreeOwnHolding] = []
         self.reserve_order: list[str] = []
         self.wakes: list[WakeAt] = []
         self.delayed_answers: list[Message] | None = None
-        self.tell(TableInForce(table_of_pool()))
+        self.handle(RoutingTableChanged(table_of_pool()))
         for name in self.engines:
-            self.tell(EndpointUsable(listed_engine(name)))
+            self.handle(EndpointUsable(listed_engine(name)))
 
     def serve(self, message: Message) -> None:
         """Handle a message, and let the engines answer all orders at once."""
         messages = [message]
         while messages:
-            for effect in self.tell(messages.pop(0)):
+            for effect in self.handle(messages.pop(0)):
                 answer = self._carry_out(effect)
                 if answer is None:
                     continue
@@ -171,7 +171,7 @@
             if failure is None:
                 return MemoryReserved(request, name)
             return ReservationFailed(request, name, failure)
-        if isinstance(effect, FreePart):
+        if isinstance(effect, FreeOwnHolding):
             engine = self.engines[effect.endpoint]
             if engine.silent:
                 self.unanswered_orders.append(effect)
@@ -185,7 +185,7 @@
         for message in waiting:
             self.serve(message)
 
-    def lose_orders(self, failure: PartFailure = PartFailure.LOST) -> None:
+    def lose_orders(self, failure: GangStepFailure = GangStepFailure.LOST) -> None:
         """Tell the kernel that the open orders of silent engines got no answer."""
         lost = [o for o in self.unanswered_orders if isinstance(o, ReserveMemory)]
         self.unanswered_orders = [o for o in self.unanswered_orders if o not in lost]
@@ -244,7 +244,7 @@
 def reserving_bench(engines: int = 6, seed: int = 1) -> ReservingBench:
     """Return a kernel that knows some engines that keep reservations."""
     clock = ManualClock(start=START)
-    identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
+    identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(seed), create(PLUGINS))
     bench = ReservingBench(kernel, clock)
     bench.set_up_engines(f"e{number}" for number in range(engines))
--- a/tests/support/storm.py
+++ b/tests/support/storm.py
@@ -27,7 +27,7 @@
     Revision,
 )
 from mimosafork.kernel.configuration import Configuration, FleetPolicy, ModelPolicy
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import (
     AttemptFailed,
@@ -43,7 +43,7 @@
     EndpointEntry,
     EndpointKind,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
 )
@@ -147,7 +147,7 @@
         return len(self.engines) * SLOTS / SERVICE_S
 
     def _kernel(self, fleet: FleetPolicy, number: int) -> Kernel:
-        identity = Identity(InstanceId(f"i{number}"), Incarnation(1), ZONE)
+        identity = InstanceIdentity(InstanceId(f"i{number}"), Incarnation(1), ZONE)
         plugins = [*self.more_plugins, *create(PLUGINS)]
         kernel = Kernel(identity, self.clock, Random(number), plugins)
         model = ModelPolicy(MODEL, "1", 10_000, 100)
@@ -272,7 +272,7 @@
         f"127.0.0.1:{number + 1}",
         ZONE,
         Incarnation(1),
-        LifeState.LIVE,
+        LifecycleState.LIVE,
     )
 
 
--- a/tests/support/workers.py
+++ b/tests/support/workers.py
@@ -13,9 +13,9 @@
 from multiprocessing.connection import Connection, wait
 from multiprocessing.context import SpawnProcess
 
-from .recorder import Outcome, Recorder, Status
+from .recorder import TestOutcome, TestRecorder, TestStatus
 
-Report = Callable[[Outcome], None]
+Report = Callable[[TestOutcome], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
         return modules[modules.index(self.module) + 1 :] if self.module else ()
 
 
-def run_groups(groups: list[Group], jobs: int) -> Iterator[Outcome]:
+def run_groups(groups: list[Group], jobs: int) -> Iterator[TestOutcome]:
     """Run groups, at most some at once.
 
     Parameters
@@ -103,7 +103,7 @@
         for inbox in wait(list(running)):
             assert isinstance(inbox, Connection)
             message = receive(inbox)
-            if isinstance(message, Outcome):
+            if isinstance(message, TestOutcome):
                 yield message
                 continue
             if isinstance(message, Began):
@@ -139,7 +139,7 @@
     return Worker(group, process, inbox)
 
 
-def receive(inbox: Connection) -> Outcome | Began | Done | None:
+def receive(inbox: Connection) -> TestOutcome | Began | Done | None:
     """Read a worker's next message.
 
     Parameters
@@ -153,13 +153,13 @@
         None if the worker ended without its last message.
     """
     try:
-        message: Outcome | Began | Done = inbox.recv()
+        message: TestOutcome | Began | Done = inbox.recv()
     except EOFError:
         return None
     return message
 
 
-def lost(worker: Worker) -> Outcome:
+def lost(worker: Worker) -> TestOutcome:
     """Return the failure that a worker's early end stands for.
 
     Parameters
@@ -174,7 +174,7 @@
     """
     name = worker.module or "no module yet"
     detail = f"worker ended with exit code {worker.process.exitcode} at {name}"
-    return Outcome(f"worker at {name}", Status.FAILED, detail=detail)
+    return TestOutcome(f"worker at {name}", TestStatus.FAILED, detail=detail)
 
 
 def work(group: Group, outbox: Connection) -> None:
@@ -210,13 +210,15 @@
         tests = list(flatten(unittest.defaultTestLoader.loadTestsFromName(module)))
     except Exception:
         # unittest reports a failed import as a test, but lets a syntax error pass.
-        report(Outcome(module, Status.FAILED, detail=traceback.format_exc()))
+        report(TestOutcome(module, TestStatus.FAILED, detail=traceback.format_exc()))
         return
     if not tests:
         # A module that forgot its load_tests would otherwise pass unseen.
-        report(Outcome(module, Status.FAILED, detail=f"{module} holds no tests"))
+        report(
+            TestOutcome(module, TestStatus.FAILED, detail=f"{module} holds no tests")
+        )
     chosen = [each for each in tests if fnmatchcase(each.id(), f"*{pattern}*")]
-    unittest.TestSuite(chosen).run(Recorder(report))
+    unittest.TestSuite(chosen).run(TestRecorder(report))
 
 
 def flatten(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
--- a/tests/support/zones.py
+++ b/tests/support/zones.py
@@ -20,7 +20,7 @@
     EndpointEntry,
     EntryInstance,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
     ProbeFailed,
@@ -156,7 +156,7 @@
                 "127.0.0.1:2",
                 who.availability_zone,
                 who.incarnation,
-                LifeState.LIVE,
+                LifecycleState.LIVE,
             )
             for each in self.instances
             for who in [each.kernel.state.identity]
--- a/tests/unit/cache_index/test_cache_index.py
+++ b/tests/unit/cache_index/test_cache_index.py
@@ -10,12 +10,12 @@
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.base import Tick
 from mimosafork.kernel.messages.cache import (
-    CacheNews,
-    CacheNewsHeard,
+    CacheChanges,
+    CacheChangesReceived,
     CacheSummary,
-    CacheSummaryHeard,
-    CacheWanted,
-    CacheWantedHeard,
+    CacheSummaryReceived,
+    CacheSummaryRequest,
+    CacheSummaryRequestReceived,
 )
 from mimosafork.kernel.messages.fleet import (
     CacheEvent,
@@ -50,11 +50,11 @@
 
 def test_longest_cached_beginning_is_found() -> None:
     with _reading() as bench:
-        bench.tell(_snapshot(1, 10, SHORT, MIDDLE))
+        bench.handle(_snapshot(1, 10, SHORT, MIDDLE))
 
         assert _cached(bench) == CachedPrefix(8192, False)
 
-        bench.tell(_events(10, 12, (11, "stored", LONG), (12, "evicted", MIDDLE)))
+        bench.handle(_events(10, 12, (11, "stored", LONG), (12, "evicted", MIDDLE)))
         assert _cached(bench) == CachedPrefix(65_536, False)
 
 
@@ -70,50 +70,50 @@
     engine would prefill it anew.
     """
     with _reading() as bench:
-        bench.tell(_snapshot(1, 10, LONG))
+        bench.handle(_snapshot(1, 10, LONG))
         bench.clock.advance(timedelta(seconds=30))
 
-        bench.tell(_events(10, 12, (12, "stored", SHORT)))
+        bench.handle(_events(10, 12, (12, "stored", SHORT)))
 
         assert _cached(bench) == CachedPrefix(65_536, True)
         assert bench.emitted(FetchCacheSnapshot) == [FetchCacheSnapshot(E1)]
-        bench.tell(_snapshot(1, 12, SHORT))
+        bench.handle(_snapshot(1, 12, SHORT))
         assert _cached(bench) == CachedPrefix(1024, False)
 
 
 def test_lost_last_event_is_noticed_too() -> None:
     with _reading() as bench:
-        bench.tell(_snapshot(1, 10, LONG))
+        bench.handle(_snapshot(1, 10, LONG))
 
-        bench.tell(_events(10, 12, (11, "stored", SHORT)))
+        bench.handle(_events(10, 12, (11, "stored", SHORT)))
 
         assert _cached(bench).doubtful
 
 
 def test_snapshots_are_not_asked_for_at_every_gap() -> None:
     with _reading() as bench:
-        bench.tell(_snapshot(1, 0))
+        bench.handle(_snapshot(1, 0))
         for number in range(0, 40, 2):
             bench.clock.advance(timedelta(seconds=1))
-            bench.tell(_events(number, number + 2, (number + 2, "stored", SHORT)))
+            bench.handle(_events(number, number + 2, (number + 2, "stored", SHORT)))
 
         assert len(bench.emitted(FetchCacheSnapshot)) == 2
 
 
 def test_events_overtaken_by_a_snapshot_are_passed_over() -> None:
     with _reading() as bench:
-        bench.tell(_snapshot(1, 20, LONG))
+        bench.handle(_snapshot(1, 20, LONG))
 
-        bench.tell(_events(10, 12, (11, "evicted", LONG), (12, "stored", SHORT)))
+        bench.handle(_events(10, 12, (11, "evicted", LONG), (12, "stored", SHORT)))
 
         assert _cached(bench) == CachedPrefix(65_536, False)
 
 
 def test_events_of_another_life_are_not_mixed_in() -> None:
     with _reading() as bench:
-        bench.tell(_snapshot(1, 10, LONG))
+        bench.handle(_snapshot(1, 10, LONG))
 
-        bench.tell(_events(10, 11, (11, "stored", SHORT), incarnation=2))
+        bench.handle(_events(10, 11, (11, "stored", SHORT), incarnation=2))
 
         assert bench.emitted(FetchCacheSnapshot) == [FetchCacheSnapshot(E1)]
         assert _cached(bench) == CachedPrefix(65_536, False)
@@ -121,16 +121,16 @@
 
 def test_new_watcher_tells_the_longest_and_then_what_changes() -> None:
     with _reading() as bench:
-        bench.tell(_snapshot(1, 10, SHORT, LONG))
-        bench.tell(Tick())
+        bench.handle(_snapshot(1, 10, SHORT, LONG))
+        bench.handle(Tick())
         (summary,) = _published(bench, CacheSummary)
         assert summary.marks == to_bytes(sorted(map(_short, (SHORT, LONG))))
 
-        bench.tell(_events(10, 12, (11, "evicted", LONG), (12, "stored", MIDDLE)))
+        bench.handle(_events(10, 12, (11, "evicted", LONG), (12, "stored", MIDDLE)))
         bench.clock.advance(timedelta(seconds=3))
-        bench.tell(Tick())
+        bench.handle(Tick())
 
-        (news,) = _published(bench, CacheNews)
+        (news,) = _published(bench, CacheChanges)
         assert (news.stored, news.evicted) == (
             to_bytes([_short(MIDDLE)]),
             to_bytes([_short(LONG)]),
@@ -139,12 +139,12 @@
 
 def test_prefix_that_came_and_went_is_not_told() -> None:
     with _reading() as bench:
-        bench.tell(_snapshot(1, 10))
-        bench.tell(_events(10, 12, (11, "stored", LONG), (12, "evicted", LONG)))
+        bench.handle(_snapshot(1, 10))
+        bench.handle(_events(10, 12, (11, "stored", LONG), (12, "evicted", LONG)))
         bench.clock.advance(timedelta(seconds=3))
-        bench.tell(Tick())
+        bench.handle(Tick())
 
-        assert _published(bench, CacheNews) == []
+        assert _published(bench, CacheChanges) == []
 
 
 def test_missed_batch_makes_doubtful_and_a_summary_is_asked_for() -> None:
@@ -153,46 +153,46 @@
     Evictions in it would be missed, and prompts sent to where nothing is cached.
     """
     with _hearing() as bench:
-        bench.tell(_heard_summary(4, LONG))
-        bench.tell(_heard_news(5, stored=(SHORT,)))
+        bench.handle(_heard_summary(4, LONG))
+        bench.handle(_heard_news(5, stored=(SHORT,)))
         assert not _cached(bench).doubtful
 
-        bench.tell(_heard_news(7, stored=(MIDDLE,)))
+        bench.handle(_heard_news(7, stored=(MIDDLE,)))
 
         assert _cached(bench) == CachedPrefix(65_536, True)
         bench.clock.advance(timedelta(seconds=60))
-        bench.tell(Tick())
-        assert len(_published(bench, CacheWanted)) == 1
-        bench.tell(_heard_summary(7, MIDDLE))
+        bench.handle(Tick())
+        assert len(_published(bench, CacheSummaryRequest)) == 1
+        bench.handle(_heard_summary(7, MIDDLE))
         assert _cached(bench) == CachedPrefix(8192, False)
 
 
 def test_summary_older_than_the_news_does_not_revert_them() -> None:
     with _hearing() as bench:
-        bench.tell(_heard_summary(4, LONG))
-        bench.tell(_heard_news(5, evicted=(LONG,)))
+        bench.handle(_heard_summary(4, LONG))
+        bench.handle(_heard_news(5, evicted=(LONG,)))
 
-        bench.tell(_heard_summary(4, LONG))
+        bench.handle(_heard_summary(4, LONG))
 
         assert _cached(bench).tokens == 0
 
 
 def test_news_of_another_watcher_do_not_pass_for_the_next_batch() -> None:
     with _hearing() as bench:
-        bench.tell(_heard_summary(4, LONG))
+        bench.handle(_heard_summary(4, LONG))
 
-        bench.tell(_heard_news(5, stored=(SHORT,), name="i3"))
+        bench.handle(_heard_news(5, stored=(SHORT,), name="i3"))
 
         assert _cached(bench) == CachedPrefix(1024, True)
 
 
 def test_wish_heard_from_another_is_not_repeated() -> None:
     with _hearing() as bench:
-        bench.tell(CacheWantedHeard(endpoint_key(E1), _origin("i3")))
+        bench.handle(CacheSummaryRequestReceived(endpoint_key(E1), _origin("i3")))
         bench.clock.advance(timedelta(seconds=10))
-        bench.tell(Tick())
+        bench.handle(Tick())
 
-        assert _published(bench, CacheWanted) == []
+        assert _published(bench, CacheSummaryRequest) == []
 
 
 def test_zone_comes_to_know_a_cache_and_a_new_instance_too() -> None:
@@ -206,7 +206,7 @@
     first = next(
         each
         for each in zone.instances
-        if any(watched.first for watched in each.watched)
+        if any(watched.is_primary for watched in each.watched)
     )
     first.tell(_snapshot(1, 10, *PROMPT))
     zone.steps(4)
@@ -228,13 +228,13 @@
     Sent to another engine, the dossier would be prefilled once more.
     """
     with _reading() as bench:
-        bench.tell(_snapshot(1, 10, *PROMPT))
+        bench.handle(_snapshot(1, 10, *PROMPT))
         affinity = bench.kernel.plugin(PrefixAffinity)
         request = model_request("r1", prompt_tokens=70_000, prefix_marks=PROMPT)
 
         assert affinity.holders(request, bench.clock.monotonic()) == {E1: 65_536}
 
-        bench.tell(_events(10, 12, (12, "stored", SHORT)))
+        bench.handle(_events(10, 12, (12, "stored", SHORT)))
         assert affinity.holders(request, bench.clock.monotonic()) == {}
 
 
@@ -270,9 +270,9 @@
     """Give a kernel that hears of e1 from i2 and i3, who watch it."""
     with _reading() as bench:
         names = [f"i{number}" for number in range(1, 20)]
-        bench.tell(members(*names))
+        bench.handle(members(*names))
         assert bench.kernel.plugin(Membership).watched_endpoint(E1) is None
-        bench.tell(Tick())
+        bench.handle(Tick())
         bench.clock.advance(timedelta(seconds=40))
         bench.effects.clear()
         yield bench
@@ -319,19 +319,19 @@
     stored: tuple[PrefixMark, ...] = (),
     evicted: tuple[PrefixMark, ...] = (),
     name: str = "i2",
-) -> CacheNewsHeard:
-    news = CacheNews(
+) -> CacheChangesReceived:
+    news = CacheChanges(
         Incarnation(1),
         batch,
         to_bytes(map(_short, stored)),
         to_bytes(map(_short, evicted)),
     )
-    return CacheNewsHeard(endpoint_key(E1), news, _origin(name))
+    return CacheChangesReceived(endpoint_key(E1), news, _origin(name))
 
 
-def _heard_summary(batch: int, *marks: PrefixMark) -> CacheSummaryHeard:
+def _heard_summary(batch: int, *marks: PrefixMark) -> CacheSummaryReceived:
     summary = CacheSummary(Incarnation(1), batch, to_bytes(map(_short, marks)))
-    return CacheSummaryHeard(endpoint_key(E1), summary, _origin("i2"))
+    return CacheSummaryReceived(endpoint_key(E1), summary, _origin("i2"))
 
 
 def _published(bench: Bench, kind: type[PeerValue]) -> list[Any]:
--- a/tests/unit/claims/test_claim_stage.py
+++ b/tests/unit/claims/test_claim_stage.py
@@ -20,12 +20,16 @@
     EndClaim,
     FindStream,
     KeepAnswer,
-    NotePlace,
+    RecordStreamLocation,
     ReleaseClaim,
     ReplayAnswer,
     WriteClaim,
 )
-from mimosafork.kernel.messages.fleet import EntryInstance, InstancesListed, LifeState
+from mimosafork.kernel.messages.fleet import (
+    EntryInstance,
+    InstancesListed,
+    LifecycleState,
+)
 from mimosafork.kernel.messages.outcomes import Conclude, Outcome, Retention
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.policies.claims.stage import REQUIRED_PATIENCE
@@ -44,7 +48,7 @@
     written,
 )
 from tests.support.functions import function_tests
-from tests.support.kernels import ZONE, Bench, engine_entry, failed
+from tests.support.kernels import ZONE, Bench, attempt_failure, engine_entry
 
 LONG_GONE = timedelta(minutes=-1)
 
@@ -64,12 +68,17 @@
     """Have the platform list this instance and others, and both engines."""
     instances = tuple(
         EntryInstance(
-            InstanceId(name), "a:1", "a:2", ZONE, Incarnation(number), LifeState.LIVE
+            InstanceId(name),
+            "a:1",
+            "a:2",
+            ZONE,
+            Incarnation(number),
+            LifecycleState.LIVE,
         )
         for name, number in ({"i1": 1} | incarnations).items()
     )
     engines = (engine_entry("e1"), engine_entry("e2"))
-    bench.tell(InstancesListed(engines, instances))
+    bench.handle(InstancesListed(engines, instances))
 
 
 def test_nothing_is_sent_before_the_claim_holds() -> None:
@@ -81,9 +90,9 @@
         bench.submit(once("r"))
         assert written(bench, "r").required
         assert not bench.dispatches("r")
-        bench.tell(won(bench, "r"))
+        bench.handle(won(bench, "r"))
         (dispatch,) = bench.dispatches("r")
-        assert dispatch.keep
+        assert dispatch.keep_answer
 
 
 def test_store_down_refuses_what_must_run_once_and_lets_the_rest_go_on() -> None:
@@ -94,7 +103,7 @@
     """
     with claiming_kernel() as bench:
         bench.submit(once("draft"))
-        bench.tell(unavailable(bench, "draft"))
+        bench.handle(unavailable(bench, "draft"))
         code = ProblemCode.STORE_UNAVAILABLE
         conclusion = ended(bench, "draft", Outcome.NOT_RUN, code)
         assert conclusion.problem is not None
@@ -108,7 +117,7 @@
     with claiming_kernel() as bench:
         bench.submit(keyed("r"))
         assert not bench.dispatches("r")
-        bench.tell(overdue(bench, "r"))
+        bench.handle(overdue(bench, "r"))
         assert len(bench.dispatches("r")) == 1
         assert bench.conclusion("r") is None
 
@@ -121,18 +130,18 @@
     with claiming_kernel() as bench:
         bench.submit(once("r"))
         late = won(bench, "r")
-        bench.pass_time(REQUIRED_PATIENCE, overdue(bench, "r"))
+        bench.handle_after(REQUIRED_PATIENCE, overdue(bench, "r"))
         ended(bench, "r", Outcome.NOT_RUN, ProblemCode.STORE_UNAVAILABLE)
         (release,) = bench.emitted(ReleaseClaim)
         assert release.claim_id == late.claim_id
-        bench.tell(late)
+        bench.handle(late)
         assert not bench.dispatches("r")
 
 
 def test_key_with_another_body_is_refused_as_not_run() -> None:
     with claiming_kernel() as bench:
         bench.submit(once("r", body_digest=Digest("another")))
-        bench.tell(lost(bench, "r", other_claim()))
+        bench.handle(lost(bench, "r", other_claim()))
         ended(bench, "r", Outcome.NOT_RUN, ProblemCode.KEY_REUSED)
 
 
@@ -143,16 +152,16 @@
     """
     with claiming_kernel() as bench:
         bench.submit(once("r"))
-        bench.tell(lost(bench, "r", other_claim()))
+        bench.handle(lost(bench, "r", other_claim()))
         (search,) = bench.emitted(FindStream)
         assert {each.endpoint for each in search.endpoints} == {"e1", "e2"}
-        bench.tell(found("r", "e2", search.stream_ids[0]))
+        bench.handle(found("r", "e2", search.stream_ids[0]))
         (dispatch,) = bench.dispatches("r")
         assert dispatch.attach
         assert dispatch.endpoint == "e2"
         assert dispatch.stream_id == search.stream_ids[0]
-        assert not dispatch.keep
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        assert not dispatch.keep_answer
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
         ended(bench, "r", Outcome.COMPLETED, None)
         assert not bench.emitted(ReleaseClaim)
 
@@ -165,23 +174,23 @@
     """
     with claiming_kernel() as bench:
         bench.submit(once("waits", deadline=timedelta(seconds=5)))
-        bench.tell(lost(bench, "waits", other_claim()))
+        bench.handle(lost(bench, "waits", other_claim()))
         bench.submit(once("r"))
-        bench.tell(lost(bench, "r", other_claim()))
-        bench.tell(found("r"))
-        bench.tell(failed("r", 1, FailureKind.REFUSED, Exposure.REFUSED))
-        bench.tell(RetryDue(RequestId("r")))
+        bench.handle(lost(bench, "r", other_claim()))
+        bench.handle(found("r"))
+        bench.handle(attempt_failure("r", 1, FailureKind.REFUSED, Exposure.REFUSED))
+        bench.handle(RetryDue(RequestId("r")))
         ended(bench, "r", Outcome.UNKNOWN, ProblemCode.OUTCOME_UNKNOWN)
-        bench.pass_time(timedelta(seconds=5), Tick())
+        bench.handle_after(timedelta(seconds=5), Tick())
         ended(bench, "waits", Outcome.UNKNOWN, ProblemCode.DEADLINE_PASSED)
 
 
 def test_both_calls_derive_the_same_stream_id() -> None:
     with claiming_kernel() as first, claiming_kernel() as second:
         first.submit(once("r1"))
-        first.tell(won(first, "r1"))
+        first.handle(won(first, "r1"))
         second.submit(once("r2"))
-        second.tell(lost(second, "r2", other_claim()))
+        second.handle(lost(second, "r2", other_claim()))
         (search,) = second.emitted(FindStream)
         assert first.dispatches("r1")[0].stream_id in search.stream_ids
 
@@ -190,8 +199,8 @@
     with claiming_kernel() as bench:
         list_instances(bench, i2=1)
         bench.submit(once("r"))
-        bench.tell(lost(bench, "r", other_claim()))
-        bench.tell(not_found("r"))
+        bench.handle(lost(bench, "r", other_claim()))
+        bench.handle(not_found("r"))
         code = ProblemCode.KEY_IN_PROGRESS
         conclusion = ended(bench, "r", Outcome.UNKNOWN, code)
         assert conclusion.problem is not None
@@ -215,8 +224,8 @@
         with claiming_kernel() as bench:
             list_instances(bench, **listed)
             bench.submit(once("r"))
-            bench.tell(lost(bench, "r", existing))
-            bench.tell(not_found("r"))
+            bench.handle(lost(bench, "r", existing))
+            bench.handle(not_found("r"))
             code = ProblemCode.OUTCOME_UNKNOWN
             conclusion = ended(bench, "r", Outcome.UNKNOWN, code)
             assert conclusion.problem is not None
@@ -229,12 +238,12 @@
         list_instances(bench)
         bench.submit(keyed("r"))
         first = written(bench, "r")
-        bench.tell(lost(bench, "r", other_claim()))
-        bench.tell(not_found("r"))
+        bench.handle(lost(bench, "r", other_claim()))
+        bench.handle(not_found("r"))
         second = written(bench, "r")
         assert second.replaces == other_claim().claim_id
         assert second.claim.generation == first.claim.generation + 1
-        bench.tell(won(bench, "r"))
+        bench.handle(won(bench, "r"))
         (dispatch,) = bench.dispatches("r")
         assert dispatch.stream_id not in bench.emitted(FindStream)[0].stream_ids
 
@@ -247,15 +256,15 @@
     """
     with claiming_kernel() as bench, claiming_kernel() as other:
         bench.submit(keyed("r"))
-        bench.tell(lost(bench, "r", other_claim()))
-        bench.tell(found("r"))
-        bench.tell(failed("r", 1, FailureKind.ENGINE_FAILED))
-        bench.tell(RetryDue(RequestId("r")))
+        bench.handle(lost(bench, "r", other_claim()))
+        bench.handle(found("r"))
+        bench.handle(attempt_failure("r", 1, FailureKind.ENGINE_FAILED))
+        bench.handle(RetryDue(RequestId("r")))
         own = bench.dispatches("r")[1]
         assert not own.attach
         other.submit(keyed("again", resume_offset=5))
         newer = replace(other_claim(), generation=1)
-        other.tell(lost(other, "again", newer))
+        other.handle(lost(other, "again", newer))
         (search,) = other.emitted(FindStream)
         assert own.stream_id in search.stream_ids
 
@@ -273,10 +282,10 @@
     )
     with claiming_kernel() as bench:
         bench.submit(once("r", resume_offset=4))
-        bench.tell(lost(bench, "r", done))
+        bench.handle(lost(bench, "r", done))
         (replay,) = bench.emitted(ReplayAnswer)
         assert replay.offset == 4
-        bench.tell(AnswerReplayed(RequestId("r"), delivered=True))
+        bench.handle(AnswerReplayed(RequestId("r"), delivered=True))
         ended(bench, "r", Outcome.COMPLETED, None)
         assert not bench.dispatches("r")
 
@@ -289,9 +298,9 @@
     done = replace(other_claim(), state=ClaimState.DONE, answer_kept=True)
     with claiming_kernel() as bench:
         bench.submit(once("r"))
-        bench.tell(lost(bench, "r", done))
-        bench.tell(AnswerReplayed(RequestId("r"), delivered=False))
-        bench.tell(not_found("r"))
+        bench.handle(lost(bench, "r", done))
+        bench.handle(AnswerReplayed(RequestId("r"), delivered=False))
+        bench.handle(not_found("r"))
         conclusion = ended(bench, "r", Outcome.UNKNOWN, ProblemCode.STORE_UNAVAILABLE)
         assert conclusion.problem is not None
         assert conclusion.problem.retry_after is not None
@@ -304,10 +313,10 @@
     """
     with claiming_kernel() as bench:
         bench.submit(once("r"))
-        bench.tell(won(bench, "r"))
+        bench.handle(won(bench, "r"))
         first = bench.dispatches("r")[0]
-        bench.tell(failed("r", delivered_tokens=7))
-        bench.tell(RetryDue(RequestId("r")))
+        bench.handle(attempt_failure("r", delivered_tokens=7))
+        bench.handle(RetryDue(RequestId("r")))
         second = bench.dispatches("r")[1]
         assert second.attach
         assert (second.endpoint, second.stream_id) == (first.endpoint, first.stream_id)
@@ -322,9 +331,9 @@
     """
     with claiming_kernel(retry=CarelessRetry()) as bench:
         bench.submit(once("r"))
-        bench.tell(won(bench, "r"))
-        bench.tell(failed("r", 1, FailureKind.BROKEN))
-        bench.tell(failed("r", 2, FailureKind.REFUSED, Exposure.REFUSED))
+        bench.handle(won(bench, "r"))
+        bench.handle(attempt_failure("r", 1, FailureKind.BROKEN))
+        bench.handle(attempt_failure("r", 2, FailureKind.REFUSED, Exposure.REFUSED))
         starts = [each for each in bench.dispatches("r") if not each.attach]
         assert len(starts) == 1
         ended(bench, "r", Outcome.UNKNOWN, ProblemCode.OUTCOME_UNKNOWN)
@@ -336,8 +345,8 @@
     """A draft is refused as not run, and its resend is refused as perhaps run."""
     with claiming_kernel(endpoints=()) as bench:
         bench.submit(once("r", deadline=timedelta(seconds=5)))
-        bench.tell(won(bench, "r"))
-        bench.pass_time(timedelta(seconds=5), Tick())
+        bench.handle(won(bench, "r"))
+        bench.handle_after(timedelta(seconds=5), Tick())
         ended(bench, "r", Outcome.NOT_RUN, ProblemCode.DEADLINE_PASSED)
         (release,) = bench.emitted(ReleaseClaim)
         assert release.key == written(bench, "r").key
@@ -346,14 +355,14 @@
 def test_answer_is_kept_before_its_end_goes_out() -> None:
     with claiming_kernel() as bench:
         bench.submit(once("r"))
-        bench.tell(won(bench, "r"))
-        bench.tell(FirstToken(RequestId("r"), AttemptNumber(1)))
-        (note,) = bench.emitted(NotePlace)
+        bench.handle(won(bench, "r"))
+        bench.handle(FirstToken(RequestId("r"), AttemptNumber(1)))
+        (note,) = bench.emitted(RecordStreamLocation)
         assert note.place.stream_id == bench.dispatches("r")[0].stream_id
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
         assert len(bench.emitted(KeepAnswer)) == 1
         assert bench.conclusion("r") is None
-        bench.tell(AnswerKept(RequestId("r"), kept=True))
+        bench.handle(AnswerKept(RequestId("r"), kept=True))
         conclusion = ended(bench, "r", Outcome.COMPLETED, None)
         assert conclusion.retention is Retention.KEPT
         assert not bench.emitted(EndClaim)
@@ -364,8 +373,8 @@
     """Lookups end a second late while the store is down."""
     with claiming_kernel() as bench:
         bench.submit(keyed("r"))
-        bench.tell(unavailable(bench, "r"))
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        bench.handle(unavailable(bench, "r"))
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
         conclusion = ended(bench, "r", Outcome.COMPLETED, None)
         assert conclusion.retention is Retention.NOT_KEPT
 
@@ -378,9 +387,9 @@
     """
     with claiming_kernel() as bench:
         bench.submit(keyed("r", resume_offset=9))
-        bench.tell(unavailable(bench, "r"))
+        bench.handle(unavailable(bench, "r"))
         (search,) = bench.emitted(FindStream)
-        bench.tell(found("r", "e1", search.stream_ids[0]))
+        bench.handle(found("r", "e1", search.stream_ids[0]))
         (dispatch,) = bench.dispatches("r")
         assert dispatch.attach
         assert dispatch.offset == 9
@@ -395,8 +404,8 @@
         with claiming_kernel() as bench:
             bench.submit(once("r", resume_offset=9))
             said = unavailable(bench, "r") if store_down else won(bench, "r")
-            bench.tell(said)
-            bench.tell(not_found("r"))
+            bench.handle(said)
+            bench.handle(not_found("r"))
             assert not bench.dispatches("r")
             conclusion = bench.conclusion("r")
             assert conclusion is not None
--- a/tests/unit/claims/test_kept_answers.py
+++ b/tests/unit/claims/test_kept_answers.py
@@ -34,12 +34,12 @@
 from mimosafork.kernel.messages.claims import (
     AnswerKept,
     AnswerReplayed,
+    CandidateEndpoint,
     EndClaim,
-    EndpointToAsk,
     FindStream,
     KeepAnswer,
     ReplayAnswer,
-    StreamPlace,
+    StreamLocation,
 )
 from mimosafork.relay.answers import WholeAnswer
 from mimosafork.relay.capture import AnswerCapture
@@ -224,9 +224,9 @@
 
 
 def test_noted_place_is_asked_first_and_once() -> None:
-    noted = StreamPlace(StreamId("s.1"), EndpointId("e2"), Incarnation(1), "e2:1")
+    noted = StreamLocation(StreamId("s.1"), EndpointId("e2"), Incarnation(1), "e2:1")
     endpoints = tuple(
-        EndpointToAsk(EndpointId(name), Incarnation(1), f"{name}:1")
+        CandidateEndpoint(EndpointId(name), Incarnation(1), f"{name}:1")
         for name in ("e1", "e2")
     )
     ids = (StreamId("s.1"), StreamId("s.2"))
--- a/tests/unit/claims/test_lifecycle_seam.py
+++ b/tests/unit/claims/test_lifecycle_seam.py
@@ -20,9 +20,9 @@
     PlaceOn,
     Plugin,
     Proceed,
+    ReviewDecision,
     Stage,
     StageCleared,
-    Verdict,
 )
 from mimosafork.kernel.records import HeldClaim, RequestRecord
 from mimosafork.policies.admission import KnownTarget
@@ -41,7 +41,7 @@
 
     name = "holding"
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Hold."""
         return Hold()
 
@@ -51,7 +51,7 @@
 
     order = 60
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Refuse."""
         raise AssertionError("a bypassed stage was asked")
 
@@ -81,7 +81,7 @@
     """Submit a request and give it a claim."""
     bench.submit(model_request("r", deadline=DEADLINE))
     record = bench.kernel.state.requests[RequestId("r")]
-    record.claim = HeldClaim(ClaimKey("k"), ClaimId("c"), settled=True)
+    record.claim = HeldClaim(ClaimKey("k"), ClaimId("c"), confirmed=True)
     return record
 
 
@@ -94,7 +94,7 @@
     with bench_with(HoldingStage()) as bench:
         bench.submit(model_request("r", deadline=DEADLINE))
         late = StageCleared("r", "holding", Proceed())
-        bench.pass_time(DEADLINE + timedelta(seconds=1), late)
+        bench.handle_after(DEADLINE + timedelta(seconds=1), late)
         assert not bench.dispatches("r")
         conclusion = only_conclusion(bench)
         assert conclusion.outcome is Outcome.NOT_RUN
@@ -110,10 +110,10 @@
     """
     with bench_with() as bench:
         record = claimed(bench)
-        bench.tell(CallerGone(RequestId("r")))
+        bench.handle(CallerGone(RequestId("r")))
         assert record.caller_gone
         assert not bench.emitted(CancelAttempt)
-        bench.tell(WHOLE)
+        bench.handle(WHOLE)
         assert only_conclusion(bench).outcome is Outcome.COMPLETED
 
 
@@ -126,8 +126,8 @@
         bench.submit(model_request("r", deadline=DEADLINE))
         record = bench.kernel.state.requests[RequestId("r")]
         entry = engine_entry("e1")
-        record.shared_run = PlaceOn(entry.endpoint, entry.incarnation, entry.address)
-        bench.pass_time(DEADLINE, Tick())
+        record.attached_run = PlaceOn(entry.endpoint, entry.incarnation, entry.address)
+        bench.handle_after(DEADLINE, Tick())
         assert not bench.emitted(CancelAttempt)
         assert only_conclusion(bench).outcome is Outcome.UNKNOWN
 
@@ -135,11 +135,11 @@
 def test_finisher_holds_the_end_until_it_clears_it() -> None:
     with bench_with(HoldingFinisher()) as bench:
         claimed(bench)
-        bench.tell(WHOLE)
+        bench.handle(WHOLE)
         assert bench.conclusion("r") is None
-        bench.tell(CallerGone(RequestId("r")))
+        bench.handle(CallerGone(RequestId("r")))
         assert bench.conclusion("r") is None
-        bench.tell(CompletionCleared("r", Retention.KEPT))
+        bench.handle(CompletionCleared("r", Retention.KEPT))
         conclusion = only_conclusion(bench)
         assert conclusion.outcome is Outcome.COMPLETED
         assert conclusion.retention is Retention.KEPT
@@ -152,8 +152,8 @@
     """
     with bench_with(HoldingFinisher()) as bench:
         claimed(bench)
-        bench.tell(WHOLE)
-        bench.pass_time(DEADLINE, Tick())
+        bench.handle(WHOLE)
+        bench.handle_after(DEADLINE, Tick())
         conclusion = only_conclusion(bench)
         assert conclusion.outcome is Outcome.COMPLETED
         assert conclusion.retention is Retention.NOT_KEPT
@@ -163,14 +163,14 @@
 def test_bypass_skips_the_later_stages() -> None:
     with bench_with(HoldingStage(), RefusingStage()) as bench:
         bench.submit(model_request("r"))
-        bench.tell(StageCleared("r", "holding", Bypass()))
+        bench.handle(StageCleared("r", "holding", Bypass()))
         assert len(bench.dispatches("r")) == 1
 
 
 def test_answered_by_a_stage_completes_without_a_run() -> None:
     with bench_with(HoldingStage()) as bench:
         bench.submit(model_request("r"))
-        bench.tell(StageCleared("r", "holding", Answered()))
+        bench.handle(StageCleared("r", "holding", Answered()))
         assert not bench.dispatches("r")
         assert only_conclusion(bench).outcome is Outcome.COMPLETED
 
--- a/tests/unit/claims/test_relayed_claims.py
+++ b/tests/unit/claims/test_relayed_claims.py
@@ -47,12 +47,12 @@
     """A resend gets the half of an answer that its second attempt brought."""
     with relay_bench() as bench:
         captured = keeper_of(bench)
-        first = bench.start(keep=True)
+        first = bench.start(keep_answer=True)
         first.event(0, "Dear ")
         bench.read_until(b"Dear ")
         first.sock.close()
         assert isinstance(told_in_the_end(bench), AttemptFailed)
-        second = bench.start(2, keep=True, offset=1)
+        second = bench.start(2, keep_answer=True, offset=1)
         second.event(1, "council")
         second.event(2, finish="length")
         assert isinstance(told_in_the_end(bench), AttemptFinished)
@@ -72,7 +72,7 @@
     text = "x" * 2000
     with relay_bench(limits=limits) as bench:
         captured = keeper_of(bench)
-        engine = bench.start(keep=True)
+        engine = bench.start(keep_answer=True)
         engine.event(0, text)
         bench.read_until(b"x")
         exchange = bench.relay.exchanges[REQUEST]
--- a/tests/unit/endpoints/test_connector.py
+++ b/tests/unit/endpoints/test_connector.py
@@ -24,7 +24,7 @@
     ServiceId,
     StreamId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.messages.attempts import Exposure, FailureKind
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.network.http import HttpClient
@@ -33,7 +33,9 @@
 
 WAIT_S = 5.0
 CALL = ModelCall(ModelId("demo"), None, "a letter", 10)
-IDENTITY = Identity(InstanceId("i1"), Incarnation(4), AvailabilityZoneId("az-1"))
+IDENTITY = InstanceIdentity(
+    InstanceId("i1"), Incarnation(4), AvailabilityZoneId("az-1")
+)
 
 
 @dataclass
--- a/tests/unit/endpoints/test_reservations.py
+++ b/tests/unit/endpoints/test_reservations.py
@@ -13,14 +13,14 @@
 from mimosafork.endpoints.segments import prompt_part
 from mimosafork.endpoints.wire import STREAMS_PATH, wire_request
 from mimosafork.ids import EndpointId, Incarnation, InstanceId, ModelId, RequestId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.messages.attempts import AttemptFinished, Exposure
 from mimosafork.kernel.messages.base import Effect, Message
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportKv,
-    PartFailure,
     PrefillSegment,
     ReservationFailed,
     ReserveMemory,
@@ -39,7 +39,7 @@
 CAPACITY = 4_000
 PROMPT = "".join(f"Objection {number} of the páramo. " for number in range(800))
 PROMPT_TOKENS = -(-len(PROMPT.encode()) // 4)
-IDENTITY = Identity(
+IDENTITY = InstanceIdentity(
     InstanceId("i1"), Incarnation(1), engine_entry("x").availability_zone
 )
 MINUTE = timedelta(minutes=1)
@@ -71,12 +71,12 @@
                 self.adapter.send_to_kernel(
                     self.adapter.run_prefill(effect, self.call())
                 )
-            elif isinstance(effect, ReserveMemory | ImportKv | FreePart):
+            elif isinstance(effect, ReserveMemory | ImportKv | FreeOwnHolding):
                 self.adapter.execute(effect)
             elif isinstance(effect, Dispatch):
                 self.dispatch = effect
             while self.told:
-                waiting += self.bench.tell(self.told.pop(0))
+                waiting += self.bench.handle(self.told.pop(0))
 
     def holdings(self) -> dict[str, list[str]]:
         """Return what each engine holds."""
@@ -144,7 +144,7 @@
             expected, _ = whole(alone.start("whole", PROMPT, max_tokens=20))
         assert text == expected
         finished = AttemptFinished(RequestId("r"), zone.dispatch.attempt)
-        zone.serve(zone.bench.tell(finished))
+        zone.serve(zone.bench.handle(finished))
         assert not any(zone.holdings().values()), zone.holdings()
 
 
@@ -154,7 +154,7 @@
         request(zone)
         assert any(zone.holdings().values())
         zone.stop_before = None
-        zone.serve(zone.bench.tell(CallerGone(RequestId("r"))))
+        zone.serve(zone.bench.handle(CallerGone(RequestId("r"))))
         assert not any(zone.holdings().values()), zone.holdings()
 
 
@@ -165,7 +165,7 @@
         answer = zone.callers["e2"].call("POST", "/v1/reservations", json=body)
         assert answer.status == 201
         request(zone)
-        failures = zone.bench.emitted(FreePart)
+        failures = zone.bench.emitted(FreeOwnHolding)
         assert failures
         assert zone.holdings() == {"e1": [], "e2": ["x"], "e3": []}
         assert zone.bench.conclusion("r") is None
@@ -186,9 +186,9 @@
         zone.adapter.execute(replace(reserve, address="127.0.0.1:1"))
         lost, unreached = zone.told
         assert isinstance(lost, ReservationFailed)
-        assert lost.failure is PartFailure.LOST
+        assert lost.failure is GangStepFailure.LOST
         assert isinstance(unreached, ReservationFailed)
-        assert unreached.failure is PartFailure.UNREACHED
+        assert unreached.failure is GangStepFailure.UNREACHED
 
 
 def test_prefill_without_its_reservation_is_refused() -> None:
@@ -197,7 +197,7 @@
         zone.stop_before = PrefillSegment
         request(zone)
         (prefill,) = zone.bench.emitted(PrefillSegment)
-        free = FreePart(
+        free = FreeOwnHolding(
             prefill.endpoint,
             prefill.address,
             HoldingKind.RESERVATION,
@@ -206,7 +206,7 @@
         zone.adapter.execute(free)
         message = zone.adapter.run_prefill(prefill, zone.call())
         assert isinstance(message, SegmentFailed)
-        assert message.failure is PartFailure.NO_MEMORY
+        assert message.failure is GangStepFailure.NO_MEMORY
         assert message.exposure is Exposure.REFUSED
 
 
--- a/tests/unit/gateway/test_call_lines.py
+++ b/tests/unit/gateway/test_call_lines.py
@@ -33,7 +33,7 @@
     FailureKind,
     RetryDue,
 )
-from mimosafork.kernel.messages.dispatch import Dispatch, Helper
+from mimosafork.kernel.messages.dispatch import Dispatch, PrefillHelper
 from mimosafork.kernel.messages.outcomes import Conclude, Outcome
 from mimosafork.kernel.messages.problems import Problem, ProblemCode
 from mimosafork.kernel.messages.requests import Request, RequestKind
@@ -151,7 +151,7 @@
         Incarnation(1),
         "10.0.0.1:80",
         2000 * MS,
-        helpers=(Helper(EndpointId("h1"), "10.0.0.2:80"),),
+        helpers=(PrefillHelper(EndpointId("h1"), "10.0.0.2:80"),),
     )
 
 
--- a/tests/unit/gateway/test_fleet_view.py
+++ b/tests/unit/gateway/test_fleet_view.py
@@ -72,7 +72,7 @@
     case.assertIs(kept, belief.view(now + MOMENT))
     cold = replace(belief.listed, slots=3, cold_remaining=MOMENT)
     for listed in (cold, belief.listed):
-        bench.tell(EndpointUsable(listed))
+        bench.handle(EndpointUsable(listed))
         seen = belief.view(now)
         is_cold = listed.cold_remaining > timedelta(0)
         case.assertEqual((listed.slots, is_cold), (seen.slots, seen.cold))
@@ -83,7 +83,7 @@
     absence = UNREACHED_FOR
     for number in range(4):
         miss(bench, f"a{number}")
-        bench.pass_time(absence - MOMENT, Tick())
+        bench.handle_after(absence - MOMENT, Tick())
         case.assertEqual(set(), usable(bench))
         bench.clock.advance(MOMENT)
         case.assertEqual({"desk-0"}, usable(bench))
@@ -125,17 +125,17 @@
     list, older, then said that it is ready, and brought it back.
     """
     bench = gateway_bench(endpoints=2)
-    bench.tell(EndpointLeaving(EndpointId("desk-0"), final=True))
+    bench.handle(EndpointLeaving(EndpointId("desk-0"), final=True))
     bench.list_endpoint("desk-0")
     case.assertEqual({"desk-1"}, usable(bench))
-    bench.tell(EndpointLeaving(EndpointId("desk-9"), final=True))
+    bench.handle(EndpointLeaving(EndpointId("desk-9"), final=True))
     bench.list_endpoint("desk-9")
     case.assertEqual({"desk-1"}, usable(bench))
 
 
 def test_one_that_was_merely_missing_may_come_back() -> None:
     bench = gateway_bench(endpoints=2)
-    bench.tell(EndpointLeaving(EndpointId("desk-0")))
+    bench.handle(EndpointLeaving(EndpointId("desk-0")))
     case.assertEqual({"desk-1"}, usable(bench))
     bench.list_endpoint("desk-0")
     case.assertEqual({"desk-0", "desk-1"}, usable(bench))
@@ -163,17 +163,17 @@
     """
     bench = gateway_bench(endpoints=0)
     first = replace(desk_listed("desk-0"), started_ms=1000)
-    bench.tell(EndpointUsable(first))
+    bench.handle(EndpointUsable(first))
     miss(bench, "a")
     case.assertEqual(set(), usable(bench))
     second = replace(first, started_ms=2000)
-    bench.tell(EndpointUsable(second))
+    bench.handle(EndpointUsable(second))
     case.assertEqual({"desk-0"}, usable(bench))
-    bench.tell(EndpointLeaving(second.endpoint, final=True))
-    bench.tell(EndpointUsable(first))
-    bench.tell(EndpointUsable(second))
+    bench.handle(EndpointLeaving(second.endpoint, final=True))
+    bench.handle(EndpointUsable(first))
+    bench.handle(EndpointUsable(second))
     case.assertEqual(set(), usable(bench))
-    bench.tell(EndpointUsable(replace(first, started_ms=3000)))
+    bench.handle(EndpointUsable(replace(first, started_ms=3000)))
     case.assertEqual({"desk-0"}, usable(bench))
 
 
--- a/tests/unit/gateway/test_full_engines.py
+++ b/tests/unit/gateway/test_full_engines.py
@@ -14,7 +14,7 @@
 from mimosafork.kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.requests import Submit
-from mimosafork.kernel.messages.routing import PeerWorkTold
+from mimosafork.kernel.messages.routing import PeerWorkReplaced
 from mimosafork.placement.load_tracker import InFlightRequest, PrefillPart
 
 from ...support.functions import function_tests
@@ -116,9 +116,9 @@
     return FullFleet(benches, {EndpointId(f"e{n}") for n in range(engines)})
 
 
-def told(works: dict[str, int], now: timedelta) -> PeerWorkTold:
+def told(works: dict[str, int], now: timedelta) -> PeerWorkReplaced:
     """Return a peer's word of so many answers on each engine."""
-    return PeerWorkTold(
+    return PeerWorkReplaced(
         PEER,
         tuple(
             InFlightRequest(
--- a/tests/unit/gateway/test_gateway_machine.py
+++ b/tests/unit/gateway/test_gateway_machine.py
@@ -21,7 +21,7 @@
 from mimosafork.gateway.policies.reserving import MemoryKeeper
 from mimosafork.ids import EndpointId, InstanceId, RequestId, ServiceId
 from mimosafork.kernel.core import TICK
-from mimosafork.kernel.messages.routing import PeerSilent, PeerWorkTold
+from mimosafork.kernel.messages.routing import PeerWorkReplaced, PeerWorkUnknown
 from mimosafork.placement.load_tracker import InFlightRequest
 
 from ...support.functions import function_tests
@@ -283,14 +283,14 @@
         """Let a peer tell what it has running, or fall silent."""
         life = self.life_at(address)
         if silent or life is None:
-            self.world.post(PeerSilent(InstanceId("peer")))
+            self.world.post(PeerWorkUnknown(InstanceId("peer")))
             return
         now = self.world.now
         works = tuple(
             InFlightRequest(RequestId(f"peer/{n}"), life.name, started_at=now)
             for n in range(count)
         )
-        self.world.post(PeerWorkTold(InstanceId("peer"), works))
+        self.world.post(PeerWorkReplaced(InstanceId("peer"), works))
 
     @precondition(among(Trouble.PEERS))
     @rule(
--- a/tests/unit/gateway/test_hedged_ends.py
+++ b/tests/unit/gateway/test_hedged_ends.py
@@ -16,13 +16,13 @@
     Exposure,
     FailureKind,
     FirstToken,
-    HedgedAttemptHeard,
+    HedgedAttemptResumed,
     RetryDue,
 )
 from mimosafork.kernel.messages.base import Tick
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.routing import EndpointLeaving, EndpointUsable
-from mimosafork.kernel.messages.sharing import WorkBegun, WorkEnded
+from mimosafork.kernel.messages.sharing import PublishWork, PublishWorkEnd
 from mimosafork.placement.load_tracker import LoadTracker, PrefillPart
 from mimosafork.routing.listing import ListedEndpoint, ListedState
 
@@ -54,7 +54,7 @@
         Exposure.POSSIBLE,
         endpoint=dispatch.endpoint,
     )
-    bench.tell(AttemptHedged(*astuple(silent)))
+    bench.handle(AttemptHedged(*astuple(silent)))
 
 
 def test_a_restored_stream_that_breaks_later_still_waits_for_a_place() -> None:
@@ -66,14 +66,14 @@
     """
     bench = gateway_bench(endpoints=1)
     first = bench.begin(request_of(bench, "1"))
-    bench.tell(FirstToken(first.request_id, first.attempt))
-    bench.tell(EndpointLeaving(first.endpoint))
+    bench.handle(FirstToken(first.request_id, first.attempt))
+    bench.handle(EndpointLeaving(first.endpoint))
     hedge(bench, first)
-    bench.pass_time(MOMENT * 30, RetryDue(first.request_id))
-    bench.tell(HedgedAttemptHeard(first.request_id, first.attempt))
-    bench.pass_time(DEADLINE / 2, Tick())
+    bench.handle_after(MOMENT * 30, RetryDue(first.request_id))
+    bench.handle(HedgedAttemptResumed(first.request_id, first.attempt))
+    bench.handle_after(DEADLINE / 2, Tick())
     bench.fail(first)
-    bench.pass_time(MOMENT * 30, RetryDue(first.request_id))
+    bench.handle_after(MOMENT * 30, RetryDue(first.request_id))
     case.assertIsNone(bench.conclusion("1"))
 
 
@@ -85,13 +85,13 @@
     """
     bench = gateway_bench(endpoints=1)
     first = bench.begin(request_of(bench, "1"))
-    bench.tell(FirstToken(first.request_id, first.attempt))
+    bench.handle(FirstToken(first.request_id, first.attempt))
     hedge(bench, first)
     second = bench.retried(first)
     assert second is not None
     case.assertEqual(first.endpoint, second.endpoint)
     bench.fail(second, FailureKind.REFUSED, Exposure.REFUSED, 503, "not-run")
-    bench.tell(HedgedAttemptHeard(first.request_id, first.attempt))
+    bench.handle(HedgedAttemptResumed(first.request_id, first.attempt))
     book = bench.kernel.plugin(WorkPlacer).book
     case.assertEqual([first.request_id], list(book.own))
 
@@ -106,12 +106,12 @@
     peer_book = LoadTracker()
     first = bench.begin(request_of(bench, "1"))
     take_words(bench, peer_book)
-    bench.tell(FirstToken(first.request_id, first.attempt))
-    bench.pass_time(3 * SECOND, Tick())
+    bench.handle(FirstToken(first.request_id, first.attempt))
+    bench.handle_after(3 * SECOND, Tick())
     hedge(bench, first)
     take_words(bench, peer_book)
-    bench.pass_time(MOMENT, Tick())
-    bench.tell(HedgedAttemptHeard(first.request_id, first.attempt))
+    bench.handle_after(MOMENT, Tick())
+    bench.handle(HedgedAttemptResumed(first.request_id, first.attempt))
     take_words(bench, peer_book)
     case.assertEqual(0.0, peer_book.report_delay.mean_s)
 
@@ -121,11 +121,11 @@
     now = bench.clock.monotonic()
     instance = InstanceId("entry-1")
     for effect in bench.effects:
-        if isinstance(effect, WorkBegun):
+        if isinstance(effect, PublishWork):
             parts = (PrefillPart(effect.work.host, 10, 1.0),)
             work = replace(effect.work, parts=parts)
             peer_book.update_peer(instance, (work,), (), now)
-        elif isinstance(effect, WorkEnded):
+        elif isinstance(effect, PublishWorkEnd):
             peer_book.update_peer(instance, (), (effect.request_id,), now)
     bench.effects.clear()
 
--- a/tests/unit/gateway/test_kept_promises.py
+++ b/tests/unit/gateway/test_kept_promises.py
@@ -34,11 +34,11 @@
     Revision,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.base import Effect, Message
 from mimosafork.kernel.messages.requests import Submit
-from mimosafork.kernel.messages.routing import TableInForce
+from mimosafork.kernel.messages.routing import RoutingTableChanged
 from mimosafork.kernel.registry import create
 from mimosafork.platform.calls import PreparedDialect
 from mimosafork.routing.table import (
@@ -446,7 +446,7 @@
     instance, zone = InstanceId("entry-1"), AvailabilityZoneId("zone-a")
 
     def gateway_of(clock: ManualClock) -> Gateway:
-        identity = Identity(instance, Incarnation(1), zone)
+        identity = InstanceIdentity(instance, Incarnation(1), zone)
         kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
         return Gateway(kernel, PreparedDialect(), clock, Random(1), lambda: table)
 
@@ -454,7 +454,7 @@
         gateway = door.front
         assert isinstance(gateway, Gateway)
         door.accepting = gateway.new_connection
-        gateway.post(TableInForce(table))
+        gateway.post(RoutingTableChanged(table))
         yield gateway, door
         for ticker in filter(None, (gateway.ticker,)):
             ticker.cancel()
@@ -607,7 +607,7 @@
             caller = asked(door)
             door.run_in_loop(gateway.start)
             changed = drop(routing_table())
-            door.run_in_loop(lambda: gateway.post(TableInForce(changed)))  # noqa: B023
+            door.run_in_loop(lambda: gateway.post(RoutingTableChanged(changed)))  # noqa: B023
             door.run(LONG)
             check_told(caller, 503)
 
--- a/tests/unit/gateway/test_moved_streams.py
+++ b/tests/unit/gateway/test_moved_streams.py
@@ -19,9 +19,9 @@
     Revision,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
-from mimosafork.kernel.messages.routing import EndpointUsable, TableInForce
+from mimosafork.kernel.messages.routing import EndpointUsable, RoutingTableChanged
 from mimosafork.kernel.registry import create
 from mimosafork.platform.calls import PreparedDialect
 from mimosafork.routing.listing import ListedEndpoint, ListedState
@@ -156,7 +156,7 @@
     """Open the door of a gateway before two endpoints with free slots."""
 
     def gateway_of(clock: ManualClock) -> Gateway:
-        identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
+        identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
         kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
         return Gateway(kernel, PreparedDialect(), clock, Random(1), lambda: TABLE)
 
@@ -168,7 +168,7 @@
         listener = door.loop.run_until_complete(listening)
         port = listener.sockets[0].getsockname()[1]
         door.run_in_loop(gateway.start)
-        gateway.post(TableInForce(TABLE))
+        gateway.post(RoutingTableChanged(TABLE))
         for name in ("a", "b"):
             listed = ListedEndpoint(
                 EndpointId(name),
--- a/tests/unit/gateway/test_peer_works.py
+++ b/tests/unit/gateway/test_peer_works.py
@@ -18,9 +18,9 @@
 from mimosafork.ids import EndpointId, Revision
 from mimosafork.kernel.messages.base import Message
 from mimosafork.kernel.messages.routing import (
-    PeerSilent,
     PeerWorkChanged,
-    PeerWorkTold,
+    PeerWorkReplaced,
+    PeerWorkUnknown,
 )
 from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker
 from mimosafork.routing.engine import EngineFigures
@@ -78,13 +78,13 @@
     def take(self, message: Message) -> None:
         """Keep the book as the kernel does."""
         now = self.steady.monotonic()
-        if isinstance(message, PeerWorkTold):
+        if isinstance(message, PeerWorkReplaced):
             self.whole += 1
             self.book.replace_peer(message.instance, message.works, now)
         elif isinstance(message, PeerWorkChanged):
             works, ended = message.works, message.ended
             self.book.update_peer(message.instance, works, ended, now)
-        elif isinstance(message, PeerSilent):
+        elif isinstance(message, PeerWorkUnknown):
             self.book.remove_peer(message.instance)
 
     def run(self, span: timedelta, suspended: bool = False) -> None:
--- a/tests/unit/gateway/test_placing.py
+++ b/tests/unit/gateway/test_placing.py
@@ -16,8 +16,12 @@
 from mimosafork.kernel.messages.outcomes import Outcome
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.kernel.messages.requests import CallerGone
-from mimosafork.kernel.messages.routing import EndpointLeaving, PeerSilent, PeerWorkTold
-from mimosafork.kernel.messages.sharing import WorkBegun, WorkEnded
+from mimosafork.kernel.messages.routing import (
+    EndpointLeaving,
+    PeerWorkReplaced,
+    PeerWorkUnknown,
+)
+from mimosafork.kernel.messages.sharing import PublishWork, PublishWorkEnd
 from mimosafork.placement.load_tracker import InFlightRequest, LoadTracker, PrefillPart
 from mimosafork.routing.engine import DEFAULT_ANSWER_TOKENS
 
@@ -54,13 +58,13 @@
     case.assertEqual(4, len(book_of(bench).own))
     bench.finish(finished)
     bench.fail(failed)
-    bench.tell(CallerGone(left.request_id))
-    bench.pass_time(timedelta(seconds=1), Tick())
+    bench.handle(CallerGone(left.request_id))
+    bench.handle_after(timedelta(seconds=1), Tick())
     case.assertIsNotNone(bench.concluded(late.request_id))
     case.assertEqual({}, book_of(bench).own)
     case.assertFalse(any(book_of(bench).by_engine.values()))
-    begun = {effect.work.request for effect in bench.emitted(WorkBegun)}
-    ended = [effect.request_id for effect in bench.emitted(WorkEnded)]
+    begun = {effect.work.request for effect in bench.emitted(PublishWork)}
+    ended = [effect.request_id for effect in bench.emitted(PublishWorkEnd)]
     case.assertEqual(sorted(begun), sorted(ended))
 
 
@@ -84,19 +88,19 @@
         )
         for n in range(5)
     )
-    bench.tell(PeerWorkTold(PEER, works))
+    bench.handle(PeerWorkReplaced(PEER, works))
     used = {bench.begin(request_of(bench, f"a{n}")).endpoint for n in range(4)}
     case.assertEqual({EndpointId("desk-1")}, used)
-    bench.tell(PeerSilent(PEER))
+    bench.handle(PeerWorkUnknown(PEER))
     case.assertEqual(busy, bench.begin(request_of(bench, "b")).endpoint)
 
 
 def test_a_call_without_an_endpoint_waits_and_is_given_up_in_time() -> None:
     bench = gateway_bench(endpoints=0)
     bench.submit(request_of(bench, "a"))
-    bench.pass_time(DEADLINE * 0.25, Tick())
+    bench.handle_after(DEADLINE * 0.25, Tick())
     case.assertIsNone(bench.conclusion("a"))
-    bench.pass_time(MOMENT, Tick())
+    bench.handle_after(MOMENT, Tick())
     end = bench.concluded("a")
     assert end.problem is not None
     case.assertIs(Outcome.NOT_RUN, end.outcome)
@@ -112,23 +116,23 @@
     """
     bench = gateway_bench(endpoints=1)
     first = bench.begin(request_of(bench, "a"))
-    bench.pass_time(DEADLINE / 2, Tick())
-    bench.tell(EndpointLeaving(first.endpoint))
+    bench.handle_after(DEADLINE / 2, Tick())
+    bench.handle(EndpointLeaving(first.endpoint))
     bench.fail(first)
-    bench.pass_time(MOMENT * 30, RetryDue(first.request_id))
+    bench.handle_after(MOMENT * 30, RetryDue(first.request_id))
     case.assertIsNone(bench.conclusion("a"))
     bench.list_endpoint("desk-9")
-    bench.pass_time(MOMENT, Tick())
+    bench.handle_after(MOMENT, Tick())
     case.assertEqual("desk-9", bench.dispatches("a")[-1].endpoint)
 
 
 def test_a_waiting_call_is_placed_when_an_endpoint_comes() -> None:
     bench = gateway_bench(endpoints=1)
-    bench.tell(EndpointLeaving(EndpointId("desk-0")))
+    bench.handle(EndpointLeaving(EndpointId("desk-0")))
     bench.submit(request_of(bench, "a"))
     case.assertEqual([], bench.dispatches("a"))
     bench.list_endpoint("desk-1")
-    bench.tell(Tick())
+    bench.handle(Tick())
     case.assertEqual(1, len(bench.dispatches("a")))
 
 
--- a/tests/unit/gateway/test_quarantining.py
+++ b/tests/unit/gateway/test_quarantining.py
@@ -10,9 +10,9 @@
 from mimosafork.kernel.messages.outcomes import Outcome
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.kernel.messages.sharing import (
-    CrashCleared,
-    CrashSuspected,
-    CrashTold,
+    CrashSuspicionUpdated,
+    PublishCrashClearance,
+    PublishCrashSuspicion,
 )
 
 from ...support.functions import function_tests
@@ -53,7 +53,7 @@
     crash(bench, "bad", 2)
     case.assertFalse(refused(bench, "bad-x"))
     crash(bench, "bad", 1)
-    case.assertEqual(3, len(bench.emitted(CrashSuspected)))
+    case.assertEqual(3, len(bench.emitted(PublishCrashSuspicion)))
     case.assertTrue(refused(bench, "bad-y"))
     case.assertFalse(refused(bench, "other-1"))
 
@@ -81,7 +81,7 @@
     bench = gateway_bench(endpoints=6)
     crash(bench, "sound", 2)
     bench.finish(bench.begin(request_of(bench, "sound-x")))
-    case.assertEqual(digest_of("sound"), bench.emitted(CrashCleared)[0].digest)
+    case.assertEqual(digest_of("sound"), bench.emitted(PublishCrashClearance)[0].digest)
     crash(bench, "sound", 2)
     case.assertFalse(refused(bench, "sound-y"))
 
@@ -89,9 +89,9 @@
 def test_what_peers_saw_counts_and_is_cleared() -> None:
     bench = gateway_bench(endpoints=6)
     ends = frozenset(EndpointId(f"e{number}") for number in range(3))
-    bench.tell(CrashTold(digest_of("bad"), ends, cleared=False))
+    bench.handle(CrashSuspicionUpdated(digest_of("bad"), ends, cleared=False))
     case.assertTrue(refused(bench, "bad-x"))
-    bench.tell(CrashTold(digest_of("bad"), frozenset(), cleared=True))
+    bench.handle(CrashSuspicionUpdated(digest_of("bad"), frozenset(), cleared=True))
     case.assertFalse(refused(bench, "bad-y"))
 
 
@@ -105,8 +105,8 @@
     crash(bench, "bad", 3)
     for number in range(200):
         crash(bench, f"once{number}", 1)
-        bench.pass_time(timedelta(milliseconds=600), Tick())
-    bench.pass_time(KEPT_FOR + SOON, Tick())
+        bench.handle_after(timedelta(milliseconds=600), Tick())
+    bench.handle_after(KEPT_FOR + SOON, Tick())
     case.assertFalse(refused(bench, "bad-x"))
     crash(bench, "last", 1)
     case.assertLessEqual(len(bench.kernel.plugin(CrashQuarantine).suspicions), 2)
@@ -123,9 +123,9 @@
         bench.submit(request_of(bench, f"bad-{number}"))
     bench.submit(request_of(bench, "other-0"))
     known = frozenset({EndpointId("e1"), EndpointId("e2"), EndpointId("e3")})
-    bench.tell(CrashTold(digest_of("bad"), known, cleared=False))
+    bench.handle(CrashSuspicionUpdated(digest_of("bad"), known, cleared=False))
     bench.list_endpoint("desk-0")
-    bench.pass_time(SOON, Tick())
+    bench.handle_after(SOON, Tick())
     for number in range(4):
         problem = bench.concluded(f"bad-{number}").problem
         assert problem is not None
@@ -142,7 +142,7 @@
     bench = gateway_bench(endpoints=6)
     first = bench.begin(request_of(bench, "bad-0"))
     known = frozenset({EndpointId("e1"), EndpointId("e2")})
-    bench.tell(CrashTold(digest_of("bad"), known, cleared=False))
+    bench.handle(CrashSuspicionUpdated(digest_of("bad"), known, cleared=False))
     bench.fail(first)
     case.assertIsNone(bench.retried(first))
     end = bench.concluded("bad-0")
--- a/tests/unit/gateway/test_reserved_memory.py
+++ b/tests/unit/gateway/test_reserved_memory.py
@@ -12,8 +12,8 @@
 from mimosafork.ids import EndpointId, RequestId, ReservationId
 from mimosafork.kernel.messages.base import Message
 from mimosafork.kernel.messages.placement import (
+    GangStepFailure,
     MemoryReserved,
-    PartFailure,
     ReservationFailed,
     ReserveMemory,
 )
@@ -138,7 +138,7 @@
     )
 
 
-def failure_of(message: Message) -> PartFailure:
+def failure_of(message: Message) -> GangStepFailure:
     assert isinstance(message, ReservationFailed), message
     return message.failure
 
@@ -153,7 +153,7 @@
         engine.thread.call(lambda: engine.reservations.release("t"))
         thread.call(lambda: adapter.perform(reserve(engine.address, MEMORY + 1)))
         thread.run(adapter.settle())
-        case.assertIs(PartFailure.REFUSED, failure_of(told[-1]))
+        case.assertIs(GangStepFailure.REFUSED, failure_of(told[-1]))
 
 
 def test_a_dead_engine_is_told_from_a_silent_one() -> None:
@@ -163,12 +163,12 @@
         host, port = silent.getsockname()
         thread.call(lambda: adapter.perform(reserve(f"{host}:{port}")))
         thread.run(adapter.settle())
-        case.assertIs(PartFailure.UNREACHED, failure_of(told[-1]))
+        case.assertIs(GangStepFailure.UNREACHED, failure_of(told[-1]))
         silent.listen()
         began = SystemClock().monotonic()
         thread.call(lambda: adapter.perform(reserve(f"{host}:{port}")))
         thread.run(adapter.settle())
-        case.assertIs(PartFailure.LOST, failure_of(told[-1]))
+        case.assertIs(GangStepFailure.LOST, failure_of(told[-1]))
         took = SystemClock().monotonic() - began
         case.assertGreaterEqual(took, ANSWER_WITHIN * 0.9)
 
--- a/tests/unit/gateway/test_reserving.py
+++ b/tests/unit/gateway/test_reserving.py
@@ -28,7 +28,11 @@
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.lifecycle import StopNow
 from mimosafork.kernel.messages.outcomes import Outcome
-from mimosafork.kernel.messages.placement import FreePart, PartFailure, ReserveMemory
+from mimosafork.kernel.messages.placement import (
+    FreeOwnHolding,
+    GangStepFailure,
+    ReserveMemory,
+)
 from mimosafork.kernel.messages.requests import CallerGone, Submit
 from mimosafork.kernel.messages.routing import EndpointLeaving
 
@@ -208,7 +212,7 @@
     dispatch = bench.last_dispatch("r")
     case.assertEqual(set(bench.held()), set(tickets_of(dispatch)))
     case.assertNotIn(silent, {helper.endpoint for helper in dispatch.helpers})
-    released = [o for o in bench.unanswered_orders if isinstance(o, FreePart)]
+    released = [o for o in bench.unanswered_orders if isinstance(o, FreeOwnHolding)]
     case.assertTrue(released, "what may have been carried out must be released")
 
 
@@ -231,7 +235,7 @@
     bench.lose_orders()
     dispatch = bench.last_dispatch("r")
     case.assertNotIn(str(lost.reservation), tickets_of(dispatch))
-    released = {free.holding_id for free in bench.emitted(FreePart)}
+    released = {free.holding_id for free in bench.emitted(FreeOwnHolding)}
     case.assertEqual({str(lost.reservation)}, released)
     bench.run(timedelta(seconds=5))
     engine.reserve(lost, bench.clock.monotonic(), late=timedelta(seconds=5))
@@ -353,7 +357,7 @@
     bench = reserving_bench()
     bench.engines[dead].silent = True
     begun(bench)
-    bench.lose_orders(PartFailure.UNREACHED)
+    bench.lose_orders(GangStepFailure.UNREACHED)
     belief = bench.kernel.plugin(FleetView).endpoints[EndpointId(dead)]
     case.assertFalse(belief.view(bench.clock.monotonic()).usable)
     bench.run(ms(50))
@@ -536,8 +540,10 @@
             lost = {o.holding_id for o in self._lost_releases()}
             assert unwanted <= lost, unwanted - lost
 
-    def _lost_releases(self) -> list[FreePart]:
-        return [o for o in self.bench.unanswered_orders if isinstance(o, FreePart)]
+    def _lost_releases(self) -> list[FreeOwnHolding]:
+        return [
+            o for o in self.bench.unanswered_orders if isinstance(o, FreeOwnHolding)
+        ]
 
     def teardown(self) -> None:
         """Let all end that is left, and with it what is held."""
--- a/tests/unit/gateway/test_retrying.py
+++ b/tests/unit/gateway/test_retrying.py
@@ -363,16 +363,16 @@
         policy = bench.kernel.plugin(BudgetedRetry)
         policy.ratio, policy.slack = 0.0, 10.0
         first = bench.begin(request_of(bench, "a", time=late * 5))
-        bench.tell(EndpointLeaving(first.endpoint))
+        bench.handle(EndpointLeaving(first.endpoint))
         bench.fail(first)
         case.assertIsNone(bench.retried(first))
         case.assertEqual(0, policy.sent(DESK))
-        bench.pass_time(waited, Tick())
+        bench.handle_after(waited, Tick())
         for number in range(repeats):
             now = bench.clock.monotonic()
             policy.allowance(DESK).count_repeat(RequestId(f"r{number}"), now)
         bench.list_endpoint("desk-9")
-        bench.pass_time(RETRY_PAUSE, Tick())
+        bench.handle_after(RETRY_PAUSE, Tick())
         if allowed:
             case.assertEqual(2, len(bench.dispatches("a")))
             case.assertEqual(repeats + 1, policy.sent(DESK))
@@ -391,14 +391,14 @@
     policy = bench.kernel.plugin(BudgetedRetry)
     policy.ratio, policy.slack = 0.0, 3.0
     calls = [bench.begin(request_of(bench, f"a-{number}")) for number in range(3)]
-    bench.tell(EndpointLeaving(calls[0].endpoint))
+    bench.handle(EndpointLeaving(calls[0].endpoint))
     for first in calls:
         bench.fail(first, FailureKind.INVALID)
         case.assertIsNone(bench.retried(first))
     case.assertEqual(0, policy.room(DESK, bench.clock.monotonic()))
-    bench.pass_time(timedelta(seconds=1), Tick())
+    bench.handle_after(timedelta(seconds=1), Tick())
     bench.list_endpoint("desk-9")
-    bench.pass_time(RETRY_PAUSE, Tick())
+    bench.handle_after(RETRY_PAUSE, Tick())
     for number in range(3):
         case.assertEqual(2, len(bench.dispatches(f"a-{number}")))
     case.assertEqual(3, policy.sent(DESK))
--- a/tests/unit/gateway/test_silence.py
+++ b/tests/unit/gateway/test_silence.py
@@ -17,8 +17,8 @@
 from mimosafork.kernel.messages.base import Tick
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.requests import CallTerms, Submit
-from mimosafork.kernel.messages.routing import PeerWorkTold
-from mimosafork.kernel.messages.sharing import CrashTold
+from mimosafork.kernel.messages.routing import PeerWorkReplaced
+from mimosafork.kernel.messages.sharing import CrashSuspicionUpdated
 from mimosafork.placement.load_tracker import InFlightRequest, PrefillPart
 from mimosafork.placement.prefill_time import OVERRUN_SHARE
 
@@ -50,7 +50,7 @@
 
 
 def fall_silent(bench: GatewayBench, dispatch: Dispatch) -> None:
-    bench.tell(AttemptSilent(dispatch.request_id, dispatch.attempt, SILENCE))
+    bench.handle(AttemptSilent(dispatch.request_id, dispatch.attempt, SILENCE))
 
 
 def test_a_silent_call_that_may_run_again_is_tried_elsewhere() -> None:
@@ -63,7 +63,7 @@
     first = bench.begin(request_of(bench, "a"))
     fall_silent(bench, first)
     failure = ended(bench)[-1].failure
-    bench.tell(failure)
+    bench.handle(failure)
     second = bench.retried(first)
     assert second is not None
     case.assertNotEqual(first.endpoint, second.endpoint)
@@ -72,7 +72,7 @@
 def test_a_silent_call_that_may_run_once_goes_on() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a", once=True))
-    case.assertIsNone(first.patience)
+    case.assertIsNone(first.silence_timeouts)
     fall_silent(bench, first)
     case.assertEqual([], ended(bench))
 
@@ -100,13 +100,13 @@
     work = InFlightRequest(
         RequestId(f"{PEER}/1"), endpoint, (part,), started_at=bench.clock.monotonic()
     )
-    bench.tell(PeerWorkTold(PEER, (work,)))
+    bench.handle(PeerWorkReplaced(PEER, (work,)))
 
 
 def hear_the_zone(bench: GatewayBench, name: str) -> None:
     """Let an endpoint of the only zone begin an answer."""
     other = bench.begin(request_of(bench, name))
-    bench.tell(FirstToken(other.request_id, other.attempt))
+    bench.handle(FirstToken(other.request_id, other.attempt))
 
 
 def test_a_silent_call_goes_on_while_its_endpoint_reads() -> None:
@@ -121,7 +121,7 @@
     hear_the_zone(bench, "b")
     fall_silent(bench, first)
     case.assertEqual([], ended(bench))
-    bench.pass_time(READING * (1 + OVERRUN_SHARE), Tick())
+    bench.handle_after(READING * (1 + OVERRUN_SHARE), Tick())
     hear_the_zone(bench, "c")
     fall_silent(bench, first)
     case.assertEqual(1, len(ended(bench)))
@@ -246,7 +246,7 @@
     first = begun_stream(bench, SILENCE * 9)
     record = bench.kernel.state.requests[first.request_id]
     crashed = frozenset(EndpointId(f"gone-{number}") for number in range(9))
-    bench.serve(CrashTold(record.request.body_digest, crashed, False))
+    bench.serve(CrashSuspicionUpdated(record.request.body_digest, crashed, False))
     stays_where_it_is(bench, first)
 
 
@@ -280,7 +280,7 @@
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
     fall_silent(bench, first)
-    bench.tell(ended(bench)[-1].failure)
+    bench.handle(ended(bench)[-1].failure)
     second = bench.retried(first)
     assert second is not None
     fall_silent(bench, first)
@@ -303,8 +303,8 @@
     )
     patience = patience_of(request)
     assert patience is not None
-    case.assertLess(patience.first, timedelta(seconds=1))
-    case.assertGreater(patience.further, timedelta(milliseconds=500))
+    case.assertLess(patience.first_event, timedelta(seconds=1))
+    case.assertGreater(patience.between_events, timedelta(milliseconds=500))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_standing.py
+++ b/tests/unit/gateway/test_standing.py
@@ -15,10 +15,10 @@
     InstanceId,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.routing import EndpointLeaving, EndpointUsable
-from mimosafork.kernel.messages.sharing import CrashTold
+from mimosafork.kernel.messages.sharing import CrashSuspicionUpdated
 from mimosafork.kernel.registry import create
 from mimosafork.routing.listing import ListedEndpoint, ListedState
 from mimosafork.telemetry.catalogue.gateway import (
@@ -38,7 +38,9 @@
 
 
 def new_kernel() -> Kernel:
-    identity = Identity(InstanceId("i1"), Incarnation(1), AvailabilityZoneId("z1"))
+    identity = InstanceIdentity(
+        InstanceId("i1"), Incarnation(1), AvailabilityZoneId("z1")
+    )
     return Kernel(identity, ManualClock(), Random(1), create(PLUGINS))
 
 
@@ -94,9 +96,9 @@
     with caught_lines() as caught:
         for endpoints in ({"e1", "e2"}, {"e2", "e3"}, {"e4"}):
             named = frozenset(EndpointId(each) for each in endpoints)
-            kernel.handle(CrashTold(DIGEST, named, cleared=False))
+            kernel.handle(CrashSuspicionUpdated(DIGEST, named, cleared=False))
         for _ in range(2):
-            kernel.handle(CrashTold(DIGEST, frozenset(), cleared=True))
+            kernel.handle(CrashSuspicionUpdated(DIGEST, frozenset(), cleared=True))
     quarantined = caught.one(CONTENT_QUARANTINED)
     assert (quarantined["content"], quarantined["count"]) == ("00ff", 3)
     assert quarantined["endpoints"] == "e1,e2,e3"
--- a/tests/unit/gateway/test_zone_suspicion.py
+++ b/tests/unit/gateway/test_zone_suspicion.py
@@ -44,7 +44,7 @@
     for zone in zones:
         for number in range(each):
             told = replace(listed(f"{zone}/{number}"), zone=zone)
-            bench.tell(EndpointUsable(told))
+            bench.handle(EndpointUsable(told))
     return bench
 
 
--- a/tests/unit/gateway/test_zone_watch.py
+++ b/tests/unit/gateway/test_zone_watch.py
@@ -105,9 +105,9 @@
     bench = bench_of_zones(FAR, OTHER)
     case.assertIn(FAR, sent_to(bench, "before"))
     bench.clock.advance(HALF)
-    bench.tell(ZoneUnreachable(FAR, bench.clock.monotonic() - HALF / 2))
+    bench.handle(ZoneUnreachable(FAR, bench.clock.monotonic() - HALF / 2))
     case.assertNotIn(FAR, sent_to(bench, "cut"))
-    bench.tell(ZoneReachable(FAR))
+    bench.handle(ZoneReachable(FAR))
     case.assertIn(FAR, sent_to(bench, "healed"))
 
 
@@ -117,7 +117,7 @@
     since = bench.clock.monotonic()
     bench.clock.advance(HALF)
     case.assertIn(FAR, sent_to(bench, "answered"))
-    bench.tell(ZoneUnreachable(FAR, since))
+    bench.handle(ZoneUnreachable(FAR, since))
     case.assertIn(FAR, sent_to(bench, "after"))
 
 
--- a/tests/unit/kernel/test_faults.py
+++ b/tests/unit/kernel/test_faults.py
@@ -22,15 +22,15 @@
 from mimosafork.kernel.plugins import (
     Finisher,
     Hold,
-    NotMine,
+    NotApplicable,
     Placement,
     Placer,
     Plugin,
     Proceed,
     RetryDecision,
     RetryPolicy,
+    ReviewDecision,
     Stage,
-    Verdict,
 )
 from mimosafork.kernel.records import RequestRecord
 from mimosafork.policies.admission import KnownTarget
@@ -41,8 +41,8 @@
 from tests.support.functions import function_tests
 from tests.support.kernels import (
     Bench,
+    attempt_failure,
     engine_entry,
-    failed,
     model_request,
     running_kernel,
 )
@@ -85,7 +85,7 @@
 class BrokenStage(Stage):
     """Raises for the poison."""
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Raise, or let the request on."""
         if record.request_id == POISON:
             raise PluginBrokenError
@@ -95,7 +95,7 @@
 class HoldingStage(Stage):
     """Holds all requests."""
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Hold."""
         return Hold()
 
@@ -112,7 +112,7 @@
         """Raise, or pass on."""
         if self.armed and record.request_id == POISON:
             raise PluginBrokenError
-        return NotMine()
+        return NotApplicable()
 
 
 class BrokenDiscipline(FirstCome):
@@ -176,7 +176,7 @@
     counting = CountingListener()
     with kernel_with(BrokenListener(), counting) as bench, expected_faults() as faults:
         bench.submit(model_request("late"))
-        bench.pass_time(LATE, Tick())
+        bench.handle_after(LATE, Tick())
         assert bench.conclusion("late") is not None
         assert len(bench.emitted(CancelAttempt)) == 1
         assert counting.ticks == 1
@@ -204,10 +204,10 @@
         bench.submit(model_request("sound"))
         placer.armed = True
         add_engine(bench)
-        bench.tell(Tick())
+        bench.handle(Tick())
         check_ended(bench, POISON, Outcome.NOT_RUN)
         assert len(bench.dispatches("sound")) == 1
-        bench.tell(Tick())
+        bench.handle(Tick())
         assert len(faults) == 1
 
 
@@ -218,7 +218,7 @@
         bench.submit(model_request("sound"))
         discipline.armed = True
         add_engine(bench)
-        bench.tell(Tick())
+        bench.handle(Tick())
         check_ended(bench, POISON, Outcome.NOT_RUN)
         assert len(bench.dispatches("sound")) == 1
         assert len(faults) == 1
@@ -226,7 +226,7 @@
 
 def add_engine(bench: Bench) -> None:
     """Have one engine come up."""
-    bench.tell(InstancesListed((engine_entry("e9"),), ()))
+    bench.handle(InstancesListed((engine_entry("e9"),), ()))
     bench.report("e9")
 
 
@@ -238,7 +238,7 @@
     for exposure, outcome in cases:
         with kernel_with(BrokenRetry()) as bench, expected_faults() as faults:
             bench.submit(model_request("r"))
-            bench.tell(failed("r", exposure=exposure))
+            bench.handle(attempt_failure("r", exposure=exposure))
             check_ended(bench, "r", outcome)
             assert len(faults) == 1
 
@@ -246,7 +246,7 @@
 def test_a_whole_answer_stays_whole_when_a_finisher_raises() -> None:
     with kernel_with(BrokenFinisher()) as bench, expected_faults() as faults:
         bench.submit(model_request("r"))
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.COMPLETED
@@ -256,9 +256,9 @@
 def test_a_running_request_goes_on_after_a_listener_has_failed() -> None:
     with kernel_with(BrokenListener()) as bench, expected_faults() as faults:
         bench.submit(model_request("r"))
-        bench.tell(FirstToken(RequestId("r"), AttemptNumber(1)))
+        bench.handle(FirstToken(RequestId("r"), AttemptNumber(1)))
         assert bench.conclusion("r") is None
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.COMPLETED
@@ -284,7 +284,7 @@
     for exposure, outcome in cases:
         with kernel_with() as bench:
             bench.submit(model_request("r"))
-            bench.tell(DispatchFaulted(failed("r", exposure=exposure)))
+            bench.handle(DispatchFaulted(attempt_failure("r", exposure=exposure)))
             check_ended(bench, "r", outcome)
             assert len(bench.dispatches("r")) == 1
 
--- a/tests/unit/kernel/test_request_life.py
+++ b/tests/unit/kernel/test_request_life.py
@@ -15,7 +15,7 @@
     Exposure,
     FailureKind,
     FirstToken,
-    HedgedAttemptHeard,
+    HedgedAttemptResumed,
     RetryDue,
 )
 from mimosafork.kernel.messages.base import Message, Tick
@@ -28,10 +28,10 @@
 from mimosafork.kernel.plugins import (
     GiveUp,
     Hold,
-    InHand,
     Placed,
     Placement,
     PlacementFailed,
+    PlacementPending,
     PlaceOn,
     Placer,
     Plugin,
@@ -40,9 +40,9 @@
     RetryDecision,
     RetryLater,
     RetryPolicy,
+    ReviewDecision,
     Stage,
     StageCleared,
-    Verdict,
 )
 from mimosafork.kernel.records import RequestRecord
 from mimosafork.policies.admission import KnownTarget
@@ -51,8 +51,8 @@
 from tests.support.functions import function_tests
 from tests.support.kernels import (
     Bench,
+    attempt_failure,
     engine_entry,
-    failed,
     model_request,
     running_kernel,
 )
@@ -82,7 +82,7 @@
 
     name = "holding"
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Hold."""
         return Hold()
 
@@ -94,7 +94,7 @@
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
         """Take in hand."""
-        return InHand()
+        return PlacementPending()
 
 
 def plain_kernel(
@@ -126,15 +126,15 @@
         assert dispatch.attempt == 1
         assert dispatch.offset == 0
         endpoint = bench.kernel.state.fleet.endpoints[dispatch.endpoint]
-        assert list(endpoint.own) == ["r"]
-        bench.tell(FirstToken(RequestId("r"), AttemptNumber(1)))
-        assert endpoint.own[RequestId("r")].prefilled
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        assert list(endpoint.own_requests) == ["r"]
+        bench.handle(FirstToken(RequestId("r"), AttemptNumber(1)))
+        assert endpoint.own_requests[RequestId("r")].prefilled
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.COMPLETED
         assert conclusion.attempts == 1
-        assert not endpoint.own
+        assert not endpoint.own_requests
         assert not bench.kernel.state.requests
         assert not bench.emitted(CancelAttempt)
 
@@ -148,11 +148,11 @@
     with plain_kernel() as bench:
         bench.submit(model_request("r"))
         first = bench.dispatches("r")[0]
-        bench.tell(failed("r", delivered_tokens=7))
+        bench.handle(attempt_failure("r", delivered_tokens=7))
         (wake,) = bench.emitted(WakeAt)
         assert wake.at == bench.clock.monotonic() + PAUSE
         assert len(bench.dispatches("r")) == 1
-        bench.pass_time(PAUSE, wake.message)
+        bench.handle_after(PAUSE, wake.message)
         second = bench.dispatches("r")[1]
         assert second.endpoint != first.endpoint
         assert second.attempt == 2
@@ -169,16 +169,16 @@
     """
     with plain_kernel(retry=ScriptedRetry(pause=timedelta(0))) as bench:
         bench.submit(model_request("r"))
-        bench.tell(failed("r"))
+        bench.handle(attempt_failure("r"))
         assert len(bench.dispatches("r")) == 2
-        bench.tell(FirstToken(RequestId("r"), AttemptNumber(1)))
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
-        bench.tell(failed("r", attempt=1))
+        bench.handle(FirstToken(RequestId("r"), AttemptNumber(1)))
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        bench.handle(attempt_failure("r", attempt=1))
         assert bench.conclusion("r") is None
         record = bench.kernel.state.requests[RequestId("r")]
         assert record.current is not None
         assert record.current.first_token_at is None
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(2)))
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(2)))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.COMPLETED
@@ -187,11 +187,11 @@
 def test_messages_after_the_conclusion_change_nothing() -> None:
     with plain_kernel() as bench:
         bench.submit(model_request("r"))
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
-        bench.tell(failed("r"))
-        bench.tell(RetryDue(RequestId("r")))
-        bench.tell(CallerGone(RequestId("r")))
-        bench.tell(Tick())
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        bench.handle(attempt_failure("r"))
+        bench.handle(RetryDue(RequestId("r")))
+        bench.handle(CallerGone(RequestId("r")))
+        bench.handle(Tick())
         assert len(bench.emitted(Conclude)) == 1
         assert len(bench.dispatches("r")) == 1
 
@@ -212,8 +212,8 @@
     for first, second, expected in cases:
         with plain_kernel(retry=ScriptedRetry(2, timedelta(0))) as bench:
             bench.submit(model_request("r"))
-            bench.tell(failed("r", 1, exposure=first))
-            bench.tell(failed("r", 2, exposure=second))
+            bench.handle(attempt_failure("r", 1, exposure=first))
+            bench.handle(attempt_failure("r", 2, exposure=second))
             conclusion = bench.conclusion("r")
             assert conclusion is not None
             assert conclusion.outcome is expected, (first, second)
@@ -229,7 +229,7 @@
     with plain_kernel(retry=ScriptedRetry(attempts=1)) as bench:
         request = model_request("r", repeatability=Repeatability.NON_IDEMPOTENT)
         bench.submit(request)
-        bench.tell(failed("r", exposure=Exposure.POSSIBLE))
+        bench.handle(attempt_failure("r", exposure=Exposure.POSSIBLE))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.UNKNOWN
@@ -238,9 +238,9 @@
 def test_deadline_ends_a_running_request_at_once() -> None:
     with plain_kernel() as bench:
         bench.submit(model_request("r", deadline=timedelta(seconds=10)))
-        bench.pass_time(timedelta(seconds=10) - MOMENT, Tick())
+        bench.handle_after(timedelta(seconds=10) - MOMENT, Tick())
         assert bench.conclusion("r") is None
-        bench.pass_time(MOMENT, Tick())
+        bench.handle_after(MOMENT, Tick())
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.UNKNOWN
@@ -253,7 +253,7 @@
 def test_deadline_ends_a_waiting_request_as_not_run() -> None:
     with plain_kernel(endpoints=()) as bench:
         bench.submit(model_request("r", deadline=timedelta(seconds=10)))
-        bench.pass_time(timedelta(seconds=11), Tick())
+        bench.handle_after(timedelta(seconds=11), Tick())
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.NOT_RUN
@@ -264,9 +264,9 @@
 def test_deadline_ends_a_pause_between_attempts() -> None:
     with plain_kernel() as bench:
         bench.submit(model_request("r", deadline=PAUSE / 2))
-        bench.tell(failed("r", exposure=Exposure.REFUSED))
-        bench.pass_time(PAUSE, Tick())
-        bench.tell(RetryDue(RequestId("r")))
+        bench.handle(attempt_failure("r", exposure=Exposure.REFUSED))
+        bench.handle_after(PAUSE, Tick())
+        bench.handle(RetryDue(RequestId("r")))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.NOT_RUN
@@ -290,8 +290,8 @@
         with plain_kernel() as bench:
             bench.submit(model_request("r", repeatability=once))
             for message in told:
-                bench.tell(message)
-            bench.pass_time(timedelta(seconds=61), Tick())
+                bench.handle(message)
+            bench.handle_after(timedelta(seconds=61), Tick())
             conclusion = bench.conclusion("r")
             assert conclusion is not None
             assert conclusion.outcome is outcome
@@ -301,7 +301,7 @@
 def test_caller_gone_cancels_the_attempt() -> None:
     with plain_kernel() as bench:
         bench.submit(model_request("r"))
-        bench.tell(CallerGone(RequestId("r")))
+        bench.handle(CallerGone(RequestId("r")))
         (cancel,) = bench.emitted(CancelAttempt)
         assert cancel.attempt == 1
         conclusion = bench.conclusion("r")
@@ -314,11 +314,11 @@
     with plain_kernel(HoldingStage()) as bench:
         bench.submit(model_request("r"))
         assert not bench.dispatches("r")
-        bench.tell(StageCleared("r", "another", Proceed()))
+        bench.handle(StageCleared("r", "another", Proceed()))
         assert not bench.dispatches("r")
-        bench.tell(StageCleared("r", "holding", Proceed()))
+        bench.handle(StageCleared("r", "holding", Proceed()))
         assert len(bench.dispatches("r")) == 1
-        bench.tell(StageCleared("r", "holding", Proceed()))
+        bench.handle(StageCleared("r", "holding", Proceed()))
         assert len(bench.dispatches("r")) == 1
 
 
@@ -326,7 +326,7 @@
     with plain_kernel(HoldingStage()) as bench:
         bench.submit(model_request("r"))
         refuse = Refuse(Problem(ProblemCode.KEY_REUSED, "another body"))
-        bench.tell(StageCleared("r", "holding", refuse))
+        bench.handle(StageCleared("r", "holding", refuse))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.NOT_RUN
@@ -336,23 +336,23 @@
 def test_placer_that_has_a_request_in_hand_places_it_later() -> None:
     with plain_kernel(HandPlacer()) as bench:
         bench.submit(model_request("r"))
-        bench.tell(Tick())
+        bench.handle(Tick())
         assert not bench.dispatches("r")
-        bench.tell(Placed("r", place_on("e2")))
+        bench.handle(Placed("r", place_on("e2")))
         (dispatch,) = bench.dispatches("r")
         assert dispatch.endpoint == "e2"
-        bench.tell(Placed("r", place_on("e1")))
+        bench.handle(Placed("r", place_on("e1")))
         assert len(bench.dispatches("r")) == 1
 
 
 def test_failed_placement_refuses_or_goes_back_to_the_queue() -> None:
     with plain_kernel(HandPlacer()) as bench:
         bench.submit(model_request("back"))
-        bench.tell(PlacementFailed("back"))
+        bench.handle(PlacementFailed("back"))
         assert bench.kernel.state.waiting.waiting_for(model_request("x").target)
         refuse = Refuse(Problem(ProblemCode.PROMPT_TOO_LONG, "no room"))
         bench.submit(model_request("refused"))
-        bench.tell(PlacementFailed("refused", refuse))
+        bench.handle(PlacementFailed("refused", refuse))
         conclusion = bench.conclusion("refused")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.NOT_RUN
@@ -360,11 +360,11 @@
 
 def test_waiting_request_is_dispatched_when_an_endpoint_comes_back() -> None:
     with plain_kernel(endpoints=("e1",)) as bench:
-        bench.tell(ProbeFailed(engine_entry("e1").endpoint))
+        bench.handle(ProbeFailed(engine_entry("e1").endpoint))
         bench.submit(model_request("r"))
         assert not bench.dispatches("r")
         bench.report("e1")
-        bench.tell(Tick())
+        bench.handle(Tick())
         assert len(bench.dispatches("r")) == 1
 
 
@@ -372,8 +372,10 @@
     with plain_kernel(retry=ScriptedRetry(pause=timedelta(0))) as bench:
         bench.submit(model_request("r"))
         first = bench.dispatches("r")[0]
-        refusal = failed("r", kind=FailureKind.REFUSED, exposure=Exposure.REFUSED)
-        bench.tell(refusal)
+        refusal = attempt_failure(
+            "r", kind=FailureKind.REFUSED, exposure=Exposure.REFUSED
+        )
+        bench.handle(refusal)
         assert bench.dispatches("r")[1].endpoint != first.endpoint
 
 
@@ -387,13 +389,15 @@
     with plain_kernel() as bench:
         bench.submit(model_request("first"))
         dead = bench.dispatches("first")[0].endpoint
-        refused = failed("first", 1, FailureKind.UNREACHED, Exposure.NEVER_SENT)
-        bench.pass_time(MOMENT, refused)
+        refused = attempt_failure(
+            "first", 1, FailureKind.UNREACHED, Exposure.NEVER_SENT
+        )
+        bench.handle_after(MOMENT, refused)
         for number in range(20):
             name = f"other-{number}"
             bench.submit(model_request(name))
             assert bench.dispatches(name)[0].endpoint != dead
-        bench.pass_time(timedelta(seconds=1), Tick())
+        bench.handle_after(timedelta(seconds=1), Tick())
         bench.report(dead)
         assert bench.kernel.state.fleet.endpoints[dead].unreachable_since is None
 
@@ -430,7 +434,7 @@
 
     derived = Derived()
     with plain_kernel(derived) as bench:
-        bench.tell(Tick())
+        bench.handle(Tick())
         assert derived.heard == [Tick()]
 
 
@@ -441,7 +445,7 @@
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
         """Place the first attempt, or take in hand."""
-        return InHand() if record.attempts else place_on("e1")
+        return PlacementPending() if record.attempts else place_on("e1")
 
 
 def test_a_hedged_answer_that_ends_while_another_place_is_prepared_counts() -> None:
@@ -451,15 +455,15 @@
     """
     with plain_kernel(SecondInHand()) as bench:
         bench.submit(model_request("r"))
-        bench.tell(FirstToken(RequestId("r"), AttemptNumber(1)))
+        bench.handle(FirstToken(RequestId("r"), AttemptNumber(1)))
         silent = AttemptHedged(
             RequestId("r"), AttemptNumber(1), FailureKind.STALLED, Exposure.POSSIBLE
         )
-        bench.tell(silent)
-        bench.pass_time(PAUSE, RetryDue(RequestId("r")))
-        bench.tell(HedgedAttemptHeard(RequestId("r"), AttemptNumber(1)))
-        bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1)))
-        bench.tell(Placed("r", place_on("e2")))
+        bench.handle(silent)
+        bench.handle_after(PAUSE, RetryDue(RequestId("r")))
+        bench.handle(HedgedAttemptResumed(RequestId("r"), AttemptNumber(1)))
+        bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
+        bench.handle(Placed("r", place_on("e2")))
         end = bench.conclusion("r")
         assert end is not None
         assert end.outcome is Outcome.COMPLETED
--- a/tests/unit/kernel/test_stopping.py
+++ b/tests/unit/kernel/test_stopping.py
@@ -7,7 +7,7 @@
 from mimosafork.kernel.messages.dispatch import CancelAttempt
 from mimosafork.kernel.messages.lifecycle import DrainBegun, StopNow
 from mimosafork.kernel.messages.outcomes import Outcome
-from mimosafork.kernel.messages.peers import DrainAnnounced
+from mimosafork.kernel.messages.peers import AnnounceDrain
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.policies.admission import KnownTarget
 from mimosafork.policies.baselines import LeastRequests
@@ -29,8 +29,8 @@
     Refusing these requests would fail them at every planned stop.
     """
     with stopping_kernel() as bench:
-        bench.tell(DrainBegun())
-        assert len(bench.emitted(DrainAnnounced)) == 1
+        bench.handle(DrainBegun())
+        assert len(bench.emitted(AnnounceDrain)) == 1
         assert bench.kernel.state.draining
         bench.submit(model_request("late"))
         assert len(bench.dispatches("late")) == 1
@@ -44,12 +44,12 @@
     """
     with stopping_kernel() as bench:
         bench.submit(model_request("begun"))
-        bench.tell(FirstToken(RequestId("begun"), AttemptNumber(1)))
+        bench.handle(FirstToken(RequestId("begun"), AttemptNumber(1)))
         bench.submit(model_request("silent"))
         for entry in list(bench.kernel.state.fleet.endpoints):
             bench.kernel.state.fleet.remove(entry)
         bench.submit(model_request("waiting"))
-        bench.tell(StopNow())
+        bench.handle(StopNow())
         outcomes = {}
         for name in ("begun", "silent", "waiting"):
             conclusion = bench.conclusion(name)
@@ -68,7 +68,7 @@
 
 def test_after_a_stop_nothing_is_let_in() -> None:
     with stopping_kernel() as bench:
-        bench.tell(StopNow())
+        bench.handle(StopNow())
         bench.submit(model_request("too-late"))
         conclusion = bench.conclusion("too-late")
         assert conclusion is not None
--- a/tests/unit/leases/test_lease_keeper.py
+++ b/tests/unit/leases/test_lease_keeper.py
@@ -5,7 +5,7 @@
 
 from mimosafork.clock import ManualClock
 from mimosafork.ids import AvailabilityZoneId, FencingNumber, Incarnation, InstanceId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.messages.leases import Duty
 from mimosafork.leases.keeper import TTL, LeaseKeeper
 from mimosafork.leases.row import TABLE, key_of
@@ -28,7 +28,7 @@
 
     def keeper(self, name: str, incarnation: int = 1) -> LeaseKeeper:
         """Return a keeper of an instance that has just started."""
-        identity = Identity(InstanceId(name), Incarnation(incarnation), ZONE)
+        identity = InstanceIdentity(InstanceId(name), Incarnation(incarnation), ZONE)
         return LeaseKeeper(identity, Duty.ORDERS, self.table, self.clock, Random(name))
 
     def run(self, span: timedelta, *keepers: LeaseKeeper, eager: bool = False) -> None:
--- a/tests/unit/leases/test_lease_task.py
+++ b/tests/unit/leases/test_lease_task.py
@@ -5,7 +5,7 @@
 
 from mimosafork.clock import ManualClock
 from mimosafork.ids import AvailabilityZoneId, Incarnation, InstanceId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.messages.leases import Duty, LeaseChanged
 from mimosafork.leases.keeper import TTL, LeaseKeeper
 from mimosafork.leases.task import LeaseTask, Release
@@ -23,7 +23,7 @@
         self.clock = ManualClock()
         self.view = LeaseView()
         self.told: list[LeaseChanged] = []
-        identity = Identity(InstanceId(name), Incarnation(1), ZONE)
+        identity = InstanceIdentity(InstanceId(name), Incarnation(1), ZONE)
         keepers = [
             LeaseKeeper(identity, duty, table, self.clock, Random(name))
             for duty in Duty
--- a/tests/unit/membership/test_endpoint_words.py
+++ b/tests/unit/membership/test_endpoint_words.py
@@ -10,10 +10,10 @@
 from mimosafork.kernel.messages.peers import Origin, PeerValue, Publish
 from mimosafork.kernel.messages.watch import (
     EndpointLoad,
-    EndpointLoadHeard,
+    EndpointLoadReceived,
+    EndpointProbeFailure,
     EndpointProfile,
-    EndpointProfileHeard,
-    EndpointSilence,
+    EndpointProfileReceived,
     endpoint_key,
 )
 from mimosafork.kernel.registry import create
@@ -59,12 +59,14 @@
     """
     with _watching() as bench:
         second = _second_of(bench)
-        bench.tell(members("i1", "i2"))
+        bench.handle(members("i1", "i2"))
         origin = _origin("i2")
         for step in range(1, 10):
             bench.clock.advance(timedelta(seconds=1))
             if step <= 4:
-                bench.tell(EndpointLoadHeard(endpoint_key(second), _load(step), origin))
+                bench.handle(
+                    EndpointLoadReceived(endpoint_key(second), _load(step), origin)
+                )
             bench.report(second)
             told = [
                 each
@@ -78,13 +80,13 @@
     with _watching() as bench:
         for _ in range(2):
             bench.clock.advance(timedelta(seconds=1))
-            bench.tell(ProbeFailed(WATCHED.endpoint))
+            bench.handle(ProbeFailed(WATCHED.endpoint))
             bench.clock.advance(timedelta(seconds=1))
-            bench.tell(ProbeFailed(WATCHED.endpoint))
+            bench.handle(ProbeFailed(WATCHED.endpoint))
             bench.clock.advance(timedelta(seconds=1))
             bench.report("e1")
 
-        assert [each.urgent for each in _published(bench, EndpointSilence)] == [
+        assert [each.urgent for each in _published(bench, EndpointProbeFailure)] == [
             True,
             True,
         ]
@@ -93,14 +95,16 @@
 def test_load_heard_before_its_profile_waits_for_it() -> None:
     far = engine_entry("f1", zone="az-2")
     with running_kernel(create(PLUGINS), [WATCHED]) as bench:
-        bench.tell(InstancesListed((WATCHED, far), ()))
+        bench.handle(InstancesListed((WATCHED, far), ()))
         origin = _origin("i9")
-        bench.tell(EndpointLoadHeard(endpoint_key(far.endpoint), _load(3), origin))
+        bench.handle(EndpointLoadReceived(endpoint_key(far.endpoint), _load(3), origin))
         known = bench.kernel.state.fleet.endpoints
         assert known[far.endpoint].report is None
         bench.clock.advance(timedelta(seconds=2))
 
-        bench.tell(EndpointProfileHeard(endpoint_key(far.endpoint), _profile(), origin))
+        bench.handle(
+            EndpointProfileReceived(endpoint_key(far.endpoint), _profile(), origin)
+        )
 
         report = known[far.endpoint].report
         assert report is not None and report.sequence == 3
@@ -112,7 +116,7 @@
         bench.clock.advance(timedelta(seconds=5))
         report = replace(load_report("e1", 50), running=3)
 
-        bench.tell(LoadReported(report, heard_from=identity("i2").instance))
+        bench.handle(LoadReported(report, probed_by=identity("i2").instance))
 
         assert _published(bench, EndpointLoad) == []
 
@@ -125,9 +129,9 @@
 
 def _second_of(bench: Bench) -> EndpointId:
     """Return an endpoint of which i1 is the second watcher beside i2."""
-    bench.tell(members("i1", "i2"))
+    bench.handle(members("i1", "i2"))
     watched = bench.kernel.plugin(Membership).watched or {}
-    return next(each.endpoint for each in watched.values() if not each.first)
+    return next(each.endpoint for each in watched.values() if not each.is_primary)
 
 
 def _published(bench: Bench, kind: type[PeerValue]) -> list[Publish]:
--- a/tests/unit/membership/test_fleet_merge.py
+++ b/tests/unit/membership/test_fleet_merge.py
@@ -7,7 +7,7 @@
 from mimosafork.kernel.messages.fleet import (
     EndpointEntry,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
 )
 from tests.support.functions import function_tests
@@ -26,7 +26,7 @@
 
     for second in range(11, 40):
         fleet.apply_list(_listed(engine_entry("e1")), _at(second))
-        assert not fleet.endpoints[E1].takes_new_work(_at(second))
+        assert not fleet.endpoints[E1].accepts_new_requests(_at(second))
 
 
 def test_leaving_in_the_list_holds_against_the_endpoint() -> None:
@@ -35,7 +35,7 @@
 
     fleet.apply_report(_report(2), _at(11), own=True)
 
-    assert not fleet.endpoints[E1].takes_new_work(_at(11))
+    assert not fleet.endpoints[E1].accepts_new_requests(_at(11))
 
 
 def test_next_life_is_used_while_the_list_tells_of_the_former() -> None:
@@ -46,7 +46,7 @@
     fleet.apply_list(_listed(_leaving(1)), _at(12))
 
     endpoint = fleet.endpoints[E1]
-    assert endpoint.takes_new_work(_at(12))
+    assert endpoint.accepts_new_requests(_at(12))
     assert endpoint.entry.incarnation == 2
 
 
@@ -55,7 +55,7 @@
     fleet.apply_list(_listed(engine_entry("e1", incarnation=2)), _at(10))
 
     assert not fleet.apply_report(_report(99, draining=True), _at(11), own=False)
-    assert fleet.endpoints[E1].takes_new_work(_at(11))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(11))
 
 
 def test_older_list_does_not_bring_back_what_has_gone() -> None:
@@ -82,7 +82,7 @@
 
     fleet.apply_list(_listed(), _at(10))
 
-    assert fleet.endpoints[E1].takes_new_work(_at(10))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(10))
 
 
 def test_drain_refusal_holds_against_a_report_from_before() -> None:
@@ -92,13 +92,13 @@
     endpoint work until the report caught up.
     """
     fleet = _fleet()
-    fleet.apply_drain_word(E1, _at(10))
+    fleet.mark_draining(E1, _at(10))
 
     fleet.apply_report(_report(2, lag_s=2.0), _at(11), own=True)
-    assert not fleet.endpoints[E1].takes_new_work(_at(11))
+    assert not fleet.endpoints[E1].accepts_new_requests(_at(11))
 
     fleet.apply_report(_report(3, lag_s=2.0), _at(13), own=True)
-    assert fleet.endpoints[E1].takes_new_work(_at(13))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(13))
 
 
 def test_newest_word_on_reachability_wins() -> None:
@@ -106,11 +106,11 @@
     fleet.apply_report(_report(2), _at(10), own=False)
 
     fleet.apply_failure(E1, _at(9), own=False)
-    assert fleet.endpoints[E1].takes_new_work(_at(10))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(10))
     fleet.apply_failure(E1, _at(11), own=False)
-    assert not fleet.endpoints[E1].takes_new_work(_at(11))
+    assert not fleet.endpoints[E1].accepts_new_requests(_at(11))
     fleet.apply_report(_report(3), _at(12), own=False)
-    assert fleet.endpoints[E1].takes_new_work(_at(12))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(12))
 
 
 def test_peers_do_not_talk_an_instance_into_an_endpoint_it_cannot_reach() -> None:
@@ -123,10 +123,10 @@
     for second in range(10, 20):
         fleet.apply_failure(E1, _at(second), own=True)
         fleet.apply_report(_report(second), _at(second + 0.5), own=False)
-        assert not fleet.endpoints[E1].takes_new_work(_at(second + 0.5))
+        assert not fleet.endpoints[E1].accepts_new_requests(_at(second + 0.5))
 
     fleet.apply_report(_report(30), _at(21), own=True)
-    assert fleet.endpoints[E1].takes_new_work(_at(21))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(21))
 
 
 def test_endpoint_once_watched_by_this_instance_comes_back_by_peers() -> None:
@@ -135,7 +135,7 @@
 
     fleet.apply_report(_report(2), _at(16), own=False)
 
-    assert fleet.endpoints[E1].takes_new_work(_at(16))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(16))
 
 
 def test_unchanged_report_still_shows_that_the_endpoint_answers() -> None:
@@ -144,7 +144,7 @@
 
     fleet.apply_report(_report(1), _at(11), own=True)
 
-    assert fleet.endpoints[E1].takes_new_work(_at(11))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(11))
 
 
 def test_restart_without_a_new_incarnation_is_noticed() -> None:
@@ -158,7 +158,7 @@
 
     fleet.apply_report(_report(1), _at(20), own=True)
 
-    assert fleet.endpoints[E1].takes_new_work(_at(20))
+    assert fleet.endpoints[E1].accepts_new_requests(_at(20))
 
 
 def _fleet() -> Fleet:
@@ -180,7 +180,7 @@
         entry.address,
         entry.availability_zone,
         entry.incarnation,
-        LifeState.LEAVING,
+        LifecycleState.LEAVING,
     )
 
 
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -172,7 +172,7 @@
 def _usable(zones: Deployment, endpoint: EndpointId) -> list[bool]:
     now = zones.clock.monotonic()
     return [
-        each.kernel.state.fleet.endpoints[endpoint].takes_new_work(now)
+        each.kernel.state.fleet.endpoints[endpoint].accepts_new_requests(now)
         for each in zones.instances
     ]
 
--- a/tests/unit/platform/test_calls.py
+++ b/tests/unit/platform/test_calls.py
@@ -8,7 +8,7 @@
 from mimosafork.gateway.heads import Header, RequestHead, parse_request_head
 from mimosafork.gateway.response_reader import ResponseHead
 from mimosafork.ids import AccountId, EndpointId, ReservationId
-from mimosafork.kernel.messages.dispatch import Helper
+from mimosafork.kernel.messages.dispatch import PrefillHelper
 from mimosafork.platform import names
 from mimosafork.platform.calls import PreparedDialect
 
@@ -66,8 +66,8 @@
         12,
         0,
         (
-            Helper(EndpointId("i-2"), "10.0.0.2:80"),
-            Helper(EndpointId("i-3"), "10.0.0.3:80", ReservationId("t1")),
+            PrefillHelper(EndpointId("i-2"), "10.0.0.2:80"),
+            PrefillHelper(EndpointId("i-3"), "10.0.0.3:80", ReservationId("t1")),
         ),
     )
     got = sent(marks, Header(names.LAST_EVENT_ID, b"3"))
--- a/tests/unit/policies/test_bounds.py
+++ b/tests/unit/policies/test_bounds.py
@@ -42,15 +42,15 @@
     with policy_kernel(BOUNDED, ONE, settings) as bench:
         bench.submit(model_request("first", 250_000, MINUTES))
         assert len(bench.dispatches("first")) == 1
-        bench.tell(FirstToken(RequestId("first"), AttemptNumber(1)))
+        bench.handle(FirstToken(RequestId("first"), AttemptNumber(1)))
         bench.report("e1", kv_used=250_100)
         bench.submit(model_request("second", 50_000, MINUTES))
         assert not bench.dispatches("second")
-        bench.tell(AttemptFinished(RequestId("first"), AttemptNumber(1)))
+        bench.handle(AttemptFinished(RequestId("first"), AttemptNumber(1)))
         bench.report("e1", kv_used=0)
         tick(bench)
         assert len(bench.dispatches("second")) == 1
-        bench.tell(FirstToken(RequestId("second"), AttemptNumber(1)))
+        bench.handle(FirstToken(RequestId("second"), AttemptNumber(1)))
         bench.report("e1", kv_used=50_100)
         bench.submit(model_request("third", 100_000, MINUTES))
         assert len(bench.dispatches("third")) == 1
--- a/tests/unit/policies/test_deadlines.py
+++ b/tests/unit/policies/test_deadlines.py
@@ -98,9 +98,9 @@
             name = f"r{number}"
             deadline = bench.clock.monotonic() + timedelta(minutes=5)
             bench.submit(model_request(name, 1_000, deadline))
-            bench.tell(FirstToken(RequestId(name), AttemptNumber(1)))
+            bench.handle(FirstToken(RequestId(name), AttemptNumber(1)))
             finished = AttemptFinished(RequestId(name), AttemptNumber(1))
-            bench.pass_time(timedelta(seconds=20), finished)
+            bench.handle_after(timedelta(seconds=20), finished)
             for each in ("e1", "e2"):
                 bench.report(each)
         deadline = bench.clock.monotonic() + timedelta(seconds=10)
--- a/tests/unit/policies/test_ejection.py
+++ b/tests/unit/policies/test_ejection.py
@@ -51,13 +51,15 @@
         for _ in range(times):
             for name in self.in_use():
                 self.run_one(name)
-            self.bench.pass_time(timedelta(seconds=1), Tick())
+            self.bench.handle_after(timedelta(seconds=1), Tick())
 
     def in_use(self) -> list[str]:
         """Return the endpoints that take new work."""
         now = self.bench.clock.monotonic()
         all_of_them = endpoints_of(self.bench)
-        return [name for name, each in all_of_them.items() if each.takes_new_work(now)]
+        return [
+            name for name, each in all_of_them.items() if each.accepts_new_requests(now)
+        ]
 
     def run_one(self, name: str) -> None:
         """Run one request to its end at an endpoint."""
@@ -76,11 +78,11 @@
         assert dispatch.endpoint == name
         first = timedelta(seconds=self.first_s.get(name, USUAL_S))
         first_token = FirstToken(request.request_id, dispatch.attempt)
-        self.bench.pass_time(first, first_token)
+        self.bench.handle_after(first, first_token)
         rest = timedelta(seconds=self.gap_s.get(name, 0.01) * (TOKENS - 1))
         usage = Usage(1_000, 0, TOKENS)
         end = AttemptFinished(request.request_id, dispatch.attempt, usage)
-        self.bench.pass_time(rest, end)
+        self.bench.handle_after(rest, end)
 
 
 def endpoints_of(bench: Bench) -> dict[EndpointId, Endpoint]:
@@ -103,13 +105,13 @@
         assert set(NAMES) - set(load.in_use()) == {"e3"}
         first = endpoints_of(bench)[EndpointId("e3")].ejected_until
         assert first is not None
-        bench.pass_time(FIRST_PAUSE, Tick())
+        bench.handle_after(FIRST_PAUSE, Tick())
         assert "e3" in load.in_use()
         load.round(3)
         assert "e3" not in load.in_use()
-        bench.pass_time(FIRST_PAUSE, Tick())
+        bench.handle_after(FIRST_PAUSE, Tick())
         assert "e3" not in load.in_use()
-        bench.pass_time(FIRST_PAUSE, Tick())
+        bench.handle_after(FIRST_PAUSE, Tick())
         load.first_s.clear()
         load.round(10)
         assert "e3" in load.in_use()
@@ -167,10 +169,10 @@
         load.round(8)
         assert "e3" not in load.in_use()
         again = [engine_entry(name, incarnation=2) for name in NAMES]
-        bench.tell(InstancesListed(tuple(again), ()))
+        bench.handle(InstancesListed(tuple(again), ()))
         for name in NAMES:
             bench.report(name, incarnation=2)
-        bench.pass_time(timedelta(seconds=1), Tick())
+        bench.handle_after(timedelta(seconds=1), Tick())
         assert "e3" in load.in_use()
 
 
--- a/tests/unit/policies/test_fair_shares.py
+++ b/tests/unit/policies/test_fair_shares.py
@@ -68,9 +68,9 @@
         bench.submit(replace(model_request("one", LONG, MINUTES), account=SMALL))
         submit_dossiers(bench, 8)
         bench.submit(replace(model_request("two", LONG, MINUTES), account=SMALL))
-        bench.tell(CallerGone(RequestId("one")))
+        bench.handle(CallerGone(RequestId("one")))
         bench.report("e1")
-        bench.tell(Tick())
+        bench.handle(Tick())
         assert bench.dispatches("large0")
         assert not bench.dispatches("two")
 
@@ -84,10 +84,10 @@
 
 def end_first(bench: Bench) -> None:
     """End the one dossier that runs, and let the engine tell that it is free."""
-    bench.tell(CallerGone(RequestId("large0")))
-    bench.pass_time(timedelta(seconds=1), Tick())
+    bench.handle(CallerGone(RequestId("large0")))
+    bench.handle_after(timedelta(seconds=1), Tick())
     bench.report("e1")
-    bench.tell(Tick())
+    bench.handle(Tick())
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/policies/test_gangs.py
+++ b/tests/unit/policies/test_gangs.py
@@ -10,11 +10,11 @@
 from mimosafork.kernel.messages.fleet import InstancesListed
 from mimosafork.kernel.messages.outcomes import Outcome
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportKv,
     KvImported,
     MemoryReserved,
-    PartFailure,
     PrefillSegment,
     ReserveMemory,
     SegmentFailed,
@@ -26,7 +26,7 @@
 from mimosafork.policies.prediction import Prediction
 from tests.support.functions import function_tests
 from tests.support.gang_engines import GangEngines
-from tests.support.kernels import Bench, engine_entry, failed, model_request
+from tests.support.kernels import Bench, attempt_failure, engine_entry, model_request
 from tests.support.policies import ADMITTED, policy_kernel
 
 NAMES = ("e1", "e2", "e3", "e4")
@@ -55,7 +55,7 @@
     bench.clock.advance(timedelta(seconds=seconds))
     for name in NAMES:
         bench.report(name)
-    engines.serve(bench.tell(Tick()))
+    engines.serve(bench.handle(Tick()))
 
 
 def test_huge_prompt_runs_in_parts_and_leaves_nothing() -> None:
@@ -72,7 +72,7 @@
         assert len(last.imports) == 1
         assert bench.emitted(ImportKv)[0].source == segments[0].address
         assert engines.held, "the exports must stay while the answer runs"
-        engines.serve(bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(1))))
+        engines.serve(bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1))))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.COMPLETED
@@ -110,7 +110,7 @@
         engines.hold("e4", "somebody's", 399_000)
         engines.serve(bench.submit(model_request("r", 1_000_000, HOUR)))
         assert not bench.dispatches("r")
-        assert bench.emitted(FreePart)
+        assert bench.emitted(FreeOwnHolding)
         assert set(engines.held) == {"somebody's"}
         engines.by_engine["e4"].clear()
         again(bench, engines)
@@ -138,7 +138,7 @@
             for name in ("r1", "r2"):
                 if bench.dispatches(name) and bench.conclusion(name) is None:
                     done = AttemptFinished(RequestId(name), AttemptNumber(1))
-                    engines.serve(bench.tell(done))
+                    engines.serve(bench.handle(done))
         for name in ("r1", "r2"):
             conclusion = bench.conclusion(name)
             assert conclusion is not None, name
@@ -163,9 +163,9 @@
         entries = [
             engine_entry(name, incarnation=2 if name == died else 1) for name in NAMES
         ]
-        bench.tell(InstancesListed(tuple(entries), ()))
+        bench.handle(InstancesListed(tuple(entries), ()))
         engines.held_back.clear()
-        engines.serve(bench.tell(Tick()))
+        engines.serve(bench.handle(Tick()))
         nothing_left(bench, engines)
         assert bench.conclusion("r") is None
         assert bench.kernel.state.requests[RequestId("r")].state.value == "waiting"
@@ -185,10 +185,10 @@
         refused = SegmentFailed(
             RequestId("r"),
             prefill.stream_id,
-            PartFailure.NO_MEMORY,
+            GangStepFailure.NO_MEMORY,
             Exposure.REFUSED,
         )
-        engines.serve(bench.tell(refused))
+        engines.serve(bench.handle(refused))
         nothing_left(bench, engines)
         engines.holding_back.clear()
         again(bench, engines)
@@ -211,7 +211,7 @@
     Each kind of step fails in turn, for the request's whole life.
     """
     for kind in (ReserveMemory, ImportKv):
-        for failure in PartFailure:
+        for failure in GangStepFailure:
             with gang_fleet() as (bench, engines):
                 engines.failing[kind] = failure
                 engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
@@ -220,7 +220,7 @@
                     again(bench, engines)
                 nothing_left(bench, engines)
                 conclusion = bench.conclusion("r")
-                if failure is PartFailure.NO_MEMORY:
+                if failure is GangStepFailure.NO_MEMORY:
                     assert conclusion is None
                     continue
                 assert conclusion is not None, (kind, failure)
@@ -232,12 +232,12 @@
 def test_part_that_ran_is_never_called_not_run() -> None:
     """A clerk is told "not run" although an engine has read half of the prompt."""
     with gang_fleet() as (bench, engines):
-        engines.failing[ImportKv] = PartFailure.LOST
+        engines.failing[ImportKv] = GangStepFailure.LOST
         request = model_request(
             "r", HUGE, HOUR, repeatability=Repeatability.NON_IDEMPOTENT
         )
         engines.serve(bench.submit(request))
-        engines.serve(bench.tell(CallerGone(RequestId("r"))))
+        engines.serve(bench.handle(CallerGone(RequestId("r"))))
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.UNKNOWN
@@ -251,9 +251,9 @@
                 engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
                 assert engines.held_back
                 if step == "gone":
-                    engines.serve(bench.tell(CallerGone(RequestId("r"))))
+                    engines.serve(bench.handle(CallerGone(RequestId("r"))))
                 else:
-                    engines.serve(bench.pass_time(HOUR, Tick()))
+                    engines.serve(bench.handle_after(HOUR, Tick()))
                 assert bench.conclusion("r") is not None
                 nothing_left(bench, engines)
 
@@ -266,17 +266,17 @@
         (prefill,) = engines.held_back
         assert isinstance(prefill, PrefillSegment)
         answers = engines.answer(prefill)
-        engines.serve(bench.tell(CallerGone(RequestId("r"))))
+        engines.serve(bench.handle(CallerGone(RequestId("r"))))
         assert engines.held
         for answer in answers:
             assert isinstance(answer, SegmentPrefilled)
-            engines.serve(bench.tell(answer))
+            engines.serve(bench.handle(answer))
         late = [
             MemoryReserved(RequestId("r"), prefill.reservation),
             KvImported(RequestId("r"), prefill.reservation),
         ]
         for message in late:
-            engines.serve(bench.tell(message))
+            engines.serve(bench.handle(message))
         nothing_left(bench, engines)
 
 
@@ -284,12 +284,12 @@
     with gang_fleet() as (bench, engines):
         engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
         assert engines.held
-        engines.serve(bench.tell(failed("r")))
+        engines.serve(bench.handle(attempt_failure("r")))
         nothing_left(bench, engines)
-        engines.serve(bench.tell(RetryDue(RequestId("r"))))
+        engines.serve(bench.handle(RetryDue(RequestId("r"))))
         again(bench, engines)
         assert len(bench.dispatches("r")) == 2
-        engines.serve(bench.tell(AttemptFinished(RequestId("r"), AttemptNumber(2))))
+        engines.serve(bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(2))))
         nothing_left(bench, engines)
 
 
--- a/tests/unit/policies/test_limits.py
+++ b/tests/unit/policies/test_limits.py
@@ -127,9 +127,9 @@
         account = bench.kernel.plugin(AccountLimits).accounts[ACCOUNT]
         assert account.bucket.level == BURST - 6_000
         number = bench.dispatches("r")[0].attempt
-        bench.tell(FirstToken(model_request("r").request_id, number))
+        bench.handle(FirstToken(model_request("r").request_id, number))
         usage = Usage(2_000, 0, 10)
-        bench.tell(AttemptFinished(model_request("r").request_id, number, usage))
+        bench.handle(AttemptFinished(model_request("r").request_id, number, usage))
         assert account.bucket.level == BURST - 2_010
 
 
@@ -169,7 +169,7 @@
     with running_kernel(plugins, [engine_entry("e1")], settings) as bench:
         bench.submit(model_request("large", prompt_tokens=5 * BURST))
         bench.submit(once("resend"))
-        bench.tell(lost(bench, "resend", done))
+        bench.handle(lost(bench, "resend", done))
         assert len(bench.emitted(ReplayAnswer)) == 1
         assert bench.conclusion("resend") is None
 
--- a/tests/unit/policies/test_priorities.py
+++ b/tests/unit/policies/test_priorities.py
@@ -68,7 +68,7 @@
         bench.clock.advance(timedelta(seconds=60))
         bench.report("e1", kv_used=LONG, waiting_prefill_tokens=20_000)
         bench.submit(model_request("short", 1_000, MINUTES))
-        bench.tell(Tick())
+        bench.handle(Tick())
         only_dispatch(bench, "short")
 
 
--- a/tests/unit/policies/test_reporting.py
+++ b/tests/unit/policies/test_reporting.py
@@ -36,8 +36,8 @@
 from tests.support.kernels import (
     ZONE,
     Bench,
+    attempt_failure,
     engine_entry,
-    failed,
     model_request,
     running_kernel,
 )
@@ -70,12 +70,14 @@
         kernel.submit(model_request("r", prompt_tokens=5_000))
         kernel.clock.advance(SECOND)
         never_sent = Exposure.NEVER_SENT
-        kernel.tell(failed("r", kind=FailureKind.UNREACHED, exposure=never_sent))
-        kernel.pass_time(SECOND, RetryDue(RequestId("r")))
+        kernel.handle(
+            attempt_failure("r", kind=FailureKind.UNREACHED, exposure=never_sent)
+        )
+        kernel.handle_after(SECOND, RetryDue(RequestId("r")))
         second = AttemptNumber(2)
-        kernel.tell(FirstToken(RequestId("r"), second))
+        kernel.handle(FirstToken(RequestId("r"), second))
         kernel.clock.advance(SECOND)
-        kernel.tell(AttemptFinished(RequestId("r"), second))
+        kernel.handle(AttemptFinished(RequestId("r"), second))
     report = report_of(kernel)
     assert report.outcome is Outcome.COMPLETED
     assert report.code is None
@@ -88,7 +90,7 @@
 def test_request_that_passes_its_deadline_is_reported_with_its_code() -> None:
     with reporting_kernel() as kernel:
         kernel.submit(model_request("r", deadline=kernel.clock.monotonic() + SECOND))
-        kernel.pass_time(2 * SECOND, Tick())
+        kernel.handle_after(2 * SECOND, Tick())
     report = report_of(kernel)
     assert report.code is ProblemCode.DEADLINE_PASSED
     assert report.attempts == (AttemptEnd.CANCELLED,)
@@ -97,11 +99,11 @@
 
 def test_fleet_is_reported_at_its_pace_with_the_strictest_word() -> None:
     with reporting_kernel() as kernel:
-        kernel.tell(Tick())
-        kernel.tell(ProbeFailed(EndpointId("e1")))
-        kernel.tell(Tick())
+        kernel.handle(Tick())
+        kernel.handle(ProbeFailed(EndpointId("e1")))
+        kernel.handle(Tick())
         assert len(kernel.emitted(FleetReport)) == 1
-        kernel.pass_time(PERIOD, Tick())
+        kernel.handle_after(PERIOD, Tick())
     condition = fleet_of(kernel).endpoints[EndpointId("e1")].condition
     assert condition is EndpointCondition.UNREACHABLE
 
@@ -110,7 +112,7 @@
     with reporting_kernel() as kernel:
         members = {each.instance: each for each in (member("i1"), member("i2"))}
         kernel.kernel.state.fleet.members = members
-        kernel.pass_time(PERIOD, Tick())
+        kernel.handle_after(PERIOD, Tick())
     assert peers_of(kernel) == {InstanceId("i2"): MemberState.LIVE}
 
 
--- a/tests/unit/policies/test_routing.py
+++ b/tests/unit/policies/test_routing.py
@@ -13,8 +13,8 @@
 from tests.support.functions import function_tests
 from tests.support.kernels import (
     SERVICE,
+    attempt_failure,
     engine_entry,
-    failed,
     model_request,
     service_entry,
 )
@@ -83,8 +83,8 @@
         bench.submit(model_request("r1", 60_000, prefix_marks=marks))
         first = only_dispatch(bench, "r1").endpoint
         answer = FirstToken(RequestId("r1"), AttemptNumber(1))
-        bench.pass_time(timedelta(seconds=2.5), answer)
-        bench.tell(AttemptFinished(RequestId("r1"), AttemptNumber(1)))
+        bench.handle_after(timedelta(seconds=2.5), answer)
+        bench.handle(AttemptFinished(RequestId("r1"), AttemptNumber(1)))
         for number in range(2, 6):
             bench.submit(model_request(f"r{number}", 33_000, prefix_marks=marks))
             assert only_dispatch(bench, f"r{number}").endpoint == first
@@ -95,7 +95,7 @@
     with policy_kernel(FIRST_COME, THREE) as bench:
         bench.submit(model_request("r1", 2_000, prefix_marks=marks))
         first = only_dispatch(bench, "r1").endpoint
-        bench.tell(FirstToken(RequestId("r1"), AttemptNumber(1)))
+        bench.handle(FirstToken(RequestId("r1"), AttemptNumber(1)))
         bench.report(first, waiting_prefill_tokens=90_000)
         bench.submit(model_request("r2", 2_000, prefix_marks=marks))
         assert only_dispatch(bench, "r2").endpoint != first
@@ -116,8 +116,8 @@
             sent_to_slow.append(endpoint == slow)
             taken_s = 0.48 if endpoint == slow else 0.12
             answer = FirstToken(RequestId(name), AttemptNumber(1))
-            bench.pass_time(timedelta(seconds=taken_s), answer)
-            bench.tell(AttemptFinished(RequestId(name), AttemptNumber(1)))
+            bench.handle_after(timedelta(seconds=taken_s), answer)
+            bench.handle(AttemptFinished(RequestId(name), AttemptNumber(1)))
             for each in ("e1", "e2", "e3"):
                 bench.report(each)
         assert sum(sent_to_slow[:40]) > 0
@@ -133,8 +133,8 @@
             name = f"r{number}"
             bench.submit(model_request(name, 30_000, timedelta(hours=1)))
             answer = FirstToken(RequestId(name), AttemptNumber(1))
-            bench.pass_time(timedelta(seconds=2.5), answer)
-            bench.tell(AttemptFinished(RequestId(name), AttemptNumber(1)))
+            bench.handle_after(timedelta(seconds=2.5), answer)
+            bench.handle(AttemptFinished(RequestId(name), AttemptNumber(1)))
             bench.report("e1")
         after_s = prediction.alone_s(request, 30_000)
         assert before_s < 1.1
@@ -147,11 +147,11 @@
     with policy_kernel(FIRST_COME, THREE) as bench:
         prediction = bench.kernel.plugin(Prediction)
         bench.submit(model_request("done"))
-        bench.tell(AttemptFinished(RequestId("done"), AttemptNumber(1)))
+        bench.handle(AttemptFinished(RequestId("done"), AttemptNumber(1)))
         bench.submit(model_request("late", deadline=timedelta(seconds=1)))
         tick(bench, 2.0)
         bench.submit(model_request("broken"))
-        bench.tell(failed("broken"))
+        bench.handle(attempt_failure("broken"))
         assert not prediction.expected
         assert not any(load.sent for load in prediction.loads.values())
 
@@ -162,7 +162,7 @@
         bench.submit(model_request("r"))
         only_dispatch(bench, "r")
         for entry in many[:-1]:
-            bench.tell(ProbeFailed(entry.endpoint))
+            bench.handle(ProbeFailed(entry.endpoint))
         for number in range(3):
             bench.submit(model_request(f"last{number}"))
             assert only_dispatch(bench, f"last{number}").endpoint == "e119"
@@ -186,7 +186,7 @@
     a few seconds, no longer.
     """
     with policy_kernel(ADMITTED, [engine_entry("e1")]) as bench:
-        bench.tell(ProbeFailed(EndpointId("e1")))
+        bench.handle(ProbeFailed(EndpointId("e1")))
         bench.submit(model_request("r"))
         tick(bench, 4.0)
         assert bench.conclusion("r") is None
--- a/tests/unit/quarantine/test_kept_suspicions.py
+++ b/tests/unit/quarantine/test_kept_suspicions.py
@@ -9,7 +9,7 @@
 from mimosafork.kernel.messages.quarantine import (
     CrashEvidence,
     DropSuspicion,
-    KeepSuspicion,
+    StoreSuspicion,
     SuspicionsRead,
 )
 from mimosafork.quarantine.task import SUSPICION_TTL, TABLE, SuspicionTask
@@ -48,15 +48,15 @@
 
 def test_newcomer_reads_what_others_have_kept() -> None:
     table = FakeTable()
-    Trial(table).task.receive(KeepSuspicion(BODY, (crash("e1"),)))
+    Trial(table).task.receive(StoreSuspicion(BODY, (crash("e1"),)))
     assert Trial(table).read() == [crash("e1")]
 
 
 def test_evidence_of_two_instances_is_joined() -> None:
     """Each of two zones has seen one crash; together they condemn the body."""
     table = FakeTable()
-    Trial(table).task.receive(KeepSuspicion(BODY, (crash("e1"),)))
-    Trial(table).task.receive(KeepSuspicion(BODY, (crash("e2"), crash("e1"))))
+    Trial(table).task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    Trial(table).task.receive(StoreSuspicion(BODY, (crash("e2"), crash("e1"))))
     assert Trial(table).read() == [crash("e1"), crash("e2")]
 
 
@@ -64,8 +64,8 @@
     table = FakeTable()
     table.faults = [Fault.LOSE_ANSWER]
     trial = Trial(table)
-    trial.task.receive(KeepSuspicion(BODY, (crash("e1"),)))
-    trial.task.receive(KeepSuspicion(BODY, (crash("e2"),)))
+    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    trial.task.receive(StoreSuspicion(BODY, (crash("e2"),)))
     assert trial.read() == [crash("e1"), crash("e2")]
 
 
@@ -73,7 +73,7 @@
     table = FakeTable()
     table.down = True
     trial = Trial(table)
-    trial.task.receive(KeepSuspicion(BODY, (crash("e1"),)))
+    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
     assert trial.read() == []
     table.down = False
     assert trial.read() == []
@@ -82,7 +82,7 @@
 def test_dropped_suspicion_is_gone() -> None:
     table = FakeTable()
     trial = Trial(table)
-    trial.task.receive(KeepSuspicion(BODY, (crash("e1"),)))
+    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
     trial.task.receive(DropSuspicion(BODY))
     trial.task.receive(DropSuspicion(BODY))
     assert trial.read() == []
@@ -92,7 +92,7 @@
     table = FakeTable()
     clock = ManualClock()
     trial = Trial(table, clock)
-    trial.task.receive(KeepSuspicion(BODY, (crash("e1"),)))
+    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
     clock.advance(SUSPICION_TTL + timedelta(seconds=1))
     for _ in range(200):
         assert trial.read() == []
@@ -103,8 +103,8 @@
     table = FakeTable()
     table.transact((), (Write(TABLE, "a", {"evidence": 7}),))
     trial = Trial(table)
-    trial.task.receive(KeepSuspicion(BODY, (crash("e1"),)))
-    trial.task.receive(KeepSuspicion(Digest("a"), (crash("e3"),)))
+    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    trial.task.receive(StoreSuspicion(Digest("a"), (crash("e3"),)))
     assert trial.read() == [crash("e3"), crash("e1")]
 
 
--- a/tests/unit/quarantine/test_poisoned_request.py
+++ b/tests/unit/quarantine/test_poisoned_request.py
@@ -11,8 +11,8 @@
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.kernel.messages.quarantine import (
     DropSuspicion,
-    KeepSuspicion,
-    KeptSuspicion,
+    StoredSuspicion,
+    StoreSuspicion,
     SuspicionsRead,
 )
 from mimosafork.policies.quarantine.ledger import (
@@ -287,9 +287,9 @@
     fleet = CrashingFleet(engines=4, kernels=1)
     fleet.silenced = True
     resend_poison(fleet, 3)
-    kept = [each for each in fleet.kept if isinstance(each, KeepSuspicion)]
+    kept = [each for each in fleet.kept if isinstance(each, StoreSuspicion)]
     newcomer = fleet.kernel(7)
-    read = KeptSuspicion(kept[-1].digest, kept[-1].evidence, timedelta(minutes=5))
+    read = StoredSuspicion(kept[-1].digest, kept[-1].evidence, timedelta(minutes=5))
     fleet.tell(newcomer, SuspicionsRead((read,)))
     assert verdict(newcomer, POISON) is Verdict.CONDEMNED
 
@@ -302,7 +302,7 @@
     fleet.poison.clear()
     fleet.run(20.0)
     assert not failed_of(fleet, ["p0"])
-    assert isinstance(fleet.kept[0], KeepSuspicion)
+    assert isinstance(fleet.kept[0], StoreSuspicion)
     assert isinstance(fleet.kept[-1], DropSuspicion)
 
 
--- a/tests/unit/recovery/test_judgement.py
+++ b/tests/unit/recovery/test_judgement.py
@@ -17,7 +17,7 @@
     EndpointEntry,
     EntryInstance,
     InstancesListed,
-    LifeState,
+    LifecycleState,
 )
 from mimosafork.kernel.messages.leases import Duty, Lease, LeaseChanged
 from mimosafork.kernel.messages.peers import Member, MembersChanged, MemberState
@@ -57,19 +57,24 @@
     """Give a kernel that holds the lease for cleaning for a day."""
     plugins = [Recovery(), BoundedRetry(), FirstCome()]
     with running_kernel(plugins, [*ENGINES, FOREIGN_ENGINE]) as bench:
-        bench.tell(lease(timedelta(days=1)))
+        bench.handle(lease(timedelta(days=1)))
         yield bench
 
 
 def instance(name: str, incarnation: int = 1) -> EntryInstance:
     return EntryInstance(
-        InstanceId(name), "a:1", "a:2", ZONE, Incarnation(incarnation), LifeState.LIVE
+        InstanceId(name),
+        "a:1",
+        "a:2",
+        ZONE,
+        Incarnation(incarnation),
+        LifecycleState.LIVE,
     )
 
 
 def listed(bench: Bench, *instances: EntryInstance) -> None:
     engines: tuple[EndpointEntry, ...] = (*ENGINES, FOREIGN_ENGINE)
-    bench.tell(InstancesListed(engines, instances))
+    bench.handle(InstancesListed(engines, instances))
 
 
 def holding(
@@ -83,7 +88,7 @@
 
 
 def freed(bench: Bench, *holdings: Holding) -> list[FreeReason]:
-    effects = bench.tell(HoldingsListed(EndpointId("e1"), holdings))
+    effects = bench.handle(HoldingsListed(EndpointId("e1"), holdings))
     return [each.reason for each in effects if isinstance(each, FreeHolding)]
 
 
@@ -116,7 +121,7 @@
             MemberState.LIVE,
             Revision(1),
         )
-        bench.tell(MembersChanged((member,), ()))
+        bench.handle(MembersChanged((member,), ()))
         assert freed(bench, holding()) == [FreeReason.OWNER_REPLACED]
 
 
@@ -135,7 +140,7 @@
             MemberState.SUSPECT,
             Revision(1),
         )
-        bench.tell(MembersChanged((suspect,), ()))
+        bench.handle(MembersChanged((suspect,), ()))
         pass_with_lists(bench, 2 * REMOVED_FOR, instance("i2"))
         assert freed(bench, holding()) == []
 
@@ -172,7 +177,7 @@
         member = Member(
             InstanceId("i2"), Incarnation(1), ZONE, "a:2", MemberState.LIVE, Revision(1)
         )
-        bench.tell(MembersChanged((member,), ()))
+        bench.handle(MembersChanged((member,), ()))
         bench.kernel.state.fleet.members = {member.instance: member}
         pass_with_lists(bench, 2 * REMOVED_FOR)
         assert freed(bench, holding()) == []
@@ -205,10 +210,10 @@
 def test_only_the_lease_holder_looks_and_frees() -> None:
     with cleaner() as bench:
         listed(bench, instance("i2", incarnation=2))
-        bench.tell(lease(bench.clock.monotonic()))
+        bench.handle(lease(bench.clock.monotonic()))
         bench.clock.advance(2 * LIST_PERIOD)
         bench.effects.clear()
-        bench.tell(Tick())
+        bench.handle(Tick())
         assert freed(bench, holding()) == []
         assert not bench.effects
 
@@ -216,7 +221,7 @@
 def test_own_zone_s_engines_are_listed_once_a_period() -> None:
     with cleaner() as bench:
         for _ in range(4 * LIST_PERIOD // SECOND):
-            bench.pass_time(SECOND, Tick())
+            bench.handle_after(SECOND, Tick())
         asked = [each.endpoint for each in bench.emitted(ListHoldings)]
         assert set(asked) == {"e1", "e2"}
         assert 6 <= len(asked) <= 8
--- a/tests/unit/standins/test_contract.py
+++ b/tests/unit/standins/test_contract.py
@@ -15,7 +15,7 @@
     Incarnation,
     InstanceId,
 )
-from mimosafork.kernel.messages.fleet import EntryInstance, FencingMode, LifeState
+from mimosafork.kernel.messages.fleet import EntryInstance, FencingMode, LifecycleState
 from mimosafork.network.http import HttpClient
 from mimosafork.standins import (
     EngineSettings,
@@ -42,7 +42,7 @@
     "127.0.0.1:2",
     AvailabilityZoneId("az-1"),
     Incarnation(3),
-    LifeState.LIVE,
+    LifecycleState.LIVE,
 )
 
 
--- a/tests/unit/tooling/test_known_red.py
+++ b/tests/unit/tooling/test_known_red.py
@@ -6,7 +6,7 @@
 from tests.support import known_red
 from tests.support.functions import function_tests
 from tests.support.known_red import KnownRed, KnownRedError
-from tests.support.recorder import Outcome, Status
+from tests.support.recorder import TestOutcome, TestStatus
 
 MANY = 12
 ENTRY = KnownRed("tests.unit.test_a.test_b", "wrong by one", "#7")
@@ -27,8 +27,8 @@
     raise AssertionError(f"accepted {text!r}")
 
 
-def outcome(status: Status, test: str = ENTRY.test) -> Outcome:
-    return Outcome(test, status)
+def outcome(status: TestStatus, test: str = ENTRY.test) -> TestOutcome:
+    return TestOutcome(test, status)
 
 
 def test_absent_file_lists_nothing() -> None:
@@ -54,11 +54,11 @@
 
 def test_each_of_many_lines_must_be_true() -> None:
     listed = [KnownRed(f"tests.t{number}", "cause", "#1") for number in range(MANY)]
-    passing = outcome(Status.PASSED, "other")
-    failing = [outcome(Status.FAILED, each.test) for each in listed]
+    passing = outcome(TestStatus.PASSED, "other")
+    failing = [outcome(TestStatus.FAILED, each.test) for each in listed]
     verdict = known_red.judge([passing, *failing], listed, whole=True)
     assert verdict.green and verdict.passed_over == tuple(listed)
-    untrue = [passing, *failing[:-1], outcome(Status.PASSED, listed[-1].test)]
+    untrue = [passing, *failing[:-1], outcome(TestStatus.PASSED, listed[-1].test)]
     verdict = known_red.judge(untrue, listed, whole=True)
     assert [each.test for each in verdict.failed] == [listed[-1].test]
 
@@ -68,34 +68,38 @@
 
 
 def test_listed_failure_is_passed_over() -> None:
-    passing = outcome(Status.PASSED, "other")
-    verdict = known_red.judge([outcome(Status.FAILED), passing], [ENTRY], whole=True)
+    passing = outcome(TestStatus.PASSED, "other")
+    verdict = known_red.judge(
+        [outcome(TestStatus.FAILED), passing], [ENTRY], whole=True
+    )
     assert verdict.passed_over == (ENTRY,)
     assert verdict.failed == ()
     assert verdict.green
 
 
 def test_unlisted_failure_fails_the_run() -> None:
-    failing = outcome(Status.FAILED, "other")
-    verdict = known_red.judge([outcome(Status.FAILED), failing], [ENTRY], whole=True)
+    failing = outcome(TestStatus.FAILED, "other")
+    verdict = known_red.judge(
+        [outcome(TestStatus.FAILED), failing], [ENTRY], whole=True
+    )
     assert verdict.failed == (failing,)
     assert not verdict.green
 
 
 def test_listed_test_that_passes_fails_the_run() -> None:
-    verdict = known_red.judge([outcome(Status.PASSED)], [ENTRY], whole=True)
+    verdict = known_red.judge([outcome(TestStatus.PASSED)], [ENTRY], whole=True)
     assert verdict.passed == ()
     assert "remove its line" in verdict.failed[0].detail
     assert not verdict.green
 
 
 def test_listed_test_that_is_skipped_fails_the_run() -> None:
-    verdict = known_red.judge([outcome(Status.SKIPPED)], [ENTRY], whole=True)
-    assert [each.status for each in verdict.failed] == [Status.SKIPPED]
+    verdict = known_red.judge([outcome(TestStatus.SKIPPED)], [ENTRY], whole=True)
+    assert [each.status for each in verdict.failed] == [TestStatus.SKIPPED]
 
 
 def test_listed_test_that_does_not_exist_fails_a_whole_run_only() -> None:
-    passing = outcome(Status.PASSED, "other")
+    passing = outcome(TestStatus.PASSED, "other")
     whole = known_red.judge([passing], [ENTRY], whole=True)
     part = known_red.judge([passing], [ENTRY], whole=False)
     assert [each.test for each in whole.failed] == [ENTRY.test]
@@ -107,7 +111,7 @@
 
 
 def test_run_of_known_failures_alone_is_not_green() -> None:
-    verdict = known_red.judge([outcome(Status.FAILED)], [ENTRY], whole=True)
+    verdict = known_red.judge([outcome(TestStatus.FAILED)], [ENTRY], whole=True)
     assert not verdict.green
 
 
--- a/tests/unit/tooling/test_runner.py
+++ b/tests/unit/tooling/test_runner.py
@@ -9,7 +9,7 @@
 from types import ModuleType
 
 from tests.support.functions import FunctionCase, function_tests, own_tests
-from tests.support.recorder import Outcome, Recorder, Status
+from tests.support.recorder import TestOutcome, TestRecorder, TestStatus
 from tests.support.workers import Group, flatten, run_groups, run_module
 
 
@@ -24,9 +24,9 @@
         del sys.modules[module.__name__]
 
 
-def recorded(function: Callable[[], None]) -> Outcome:
-    outcomes: list[Outcome] = []
-    FunctionCase(function).run(Recorder(outcomes.append))
+def recorded(function: Callable[[], None]) -> TestOutcome:
+    outcomes: list[TestOutcome] = []
+    FunctionCase(function).run(TestRecorder(outcomes.append))
     (outcome,) = outcomes
     return outcome
 
@@ -48,11 +48,11 @@
 
 
 def test_each_ending_is_recorded() -> None:
-    assert recorded(passes).status is Status.PASSED
-    assert recorded(fails).status is Status.FAILED
+    assert recorded(passes).status is TestStatus.PASSED
+    assert recorded(fails).status is TestStatus.FAILED
     assert "one is not two" in recorded(fails).detail
-    assert recorded(breaks).status is Status.FAILED
-    assert recorded(skips).status is Status.SKIPPED
+    assert recorded(breaks).status is TestStatus.FAILED
+    assert recorded(skips).status is TestStatus.SKIPPED
 
 
 def test_skipped_test_does_not_count_as_passed() -> None:
@@ -92,20 +92,20 @@
 
 def test_module_without_tests_fails() -> None:
     """A module that forgot its load_tests would pass without having run."""
-    outcomes: list[Outcome] = []
+    outcomes: list[TestOutcome] = []
     with module_with("def test_forgotten(): pass\n") as module:
         run_module(module.__name__, "", outcomes.append)
-    assert [each.status for each in outcomes] == [Status.FAILED]
+    assert [each.status for each in outcomes] == [TestStatus.FAILED]
 
 
 def test_module_that_cannot_be_imported_fails() -> None:
-    outcomes: list[Outcome] = []
+    outcomes: list[TestOutcome] = []
     run_module("tests.unit.no_such_module", "", outcomes.append)
-    assert [each.status for each in outcomes] == [Status.FAILED]
+    assert [each.status for each in outcomes] == [TestStatus.FAILED]
 
 
 def test_pattern_selects_by_identifier() -> None:
-    outcomes: list[Outcome] = []
+    outcomes: list[TestOutcome] = []
     source = "def test_one(): pass\ndef test_two(): pass\n"
     with module_with(source) as module:
         vars(module)["load_tests"] = function_tests(module.__name__)
@@ -133,7 +133,7 @@
 
 def test_module_that_cannot_be_parsed_fails_alone() -> None:
     """One typing error in a test module took all other results with it."""
-    outcomes: list[Outcome] = []
+    outcomes: list[TestOutcome] = []
     with TemporaryDirectory() as folder:
         Path(folder, "unparsable_module.py").write_text("def (:\n", "utf-8")
         sys.path.insert(0, folder)
@@ -142,7 +142,7 @@
         finally:
             sys.path.remove(folder)
     (outcome,) = outcomes
-    assert outcome.status is Status.FAILED
+    assert outcome.status is TestStatus.FAILED
     assert "SyntaxError" in outcome.detail
 
 
--- a/tools/slopes/fixtures.py
+++ b/tools/slopes/fixtures.py
@@ -19,7 +19,7 @@
     Revision,
 )
 from mimosafork.kernel.configuration import AccountPolicy, Configuration, ModelPolicy
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import AttemptFinished, FirstToken, Usage
 from mimosafork.kernel.messages.base import Effect
@@ -29,7 +29,7 @@
     EndpointEntry,
     EndpointKind,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
 )
@@ -92,7 +92,7 @@
                 f"zone-{index % SIZE.availability_zones}"
             ),
             incarnation=Incarnation(1),
-            state=LifeState.LIVE,
+            state=LifecycleState.LIVE,
         )
         for index in range(number)
     )
@@ -119,7 +119,7 @@
 def rig(endpoints: int, accounts: int = 10) -> Rig:
     """Return a kernel that knows so many endpoints and client accounts."""
     clock = ManualClock(start=timedelta(seconds=1))
-    identity = Identity(
+    identity = InstanceIdentity(
         InstanceId("instance-0"), Incarnation(1), AvailabilityZoneId("zone-0")
     )
     kernel = Kernel(identity, clock, Random(SEED), create(DEFAULT_PLUGINS))
--- a/tools/slopes/peer_probes.py
+++ b/tools/slopes/peer_probes.py
@@ -19,8 +19,8 @@
     Incarnation,
     InstanceId,
 )
-from mimosafork.kernel.context import Identity
-from mimosafork.kernel.messages.fleet import EntryInstance, LifeState
+from mimosafork.kernel.context import InstanceIdentity
+from mimosafork.kernel.messages.fleet import EntryInstance, LifecycleState
 from mimosafork.kernel.messages.limits import (
     INSTANCE_DEMAND,
     ZONE_DEMAND,
@@ -209,12 +209,14 @@
         "10.0.0.1:8002",
         AvailabilityZoneId(zone_name),
         Incarnation(1),
-        LifeState.LIVE,
+        LifecycleState.LIVE,
     )
 
 
 def _node(entry: EntryInstance, clock: ManualClock) -> Node:
-    identity = Identity(entry.instance, entry.incarnation, entry.availability_zone)
+    identity = InstanceIdentity(
+        entry.instance, entry.incarnation, entry.availability_zone
+    )
     exchanger = Exchanger(
         PeerIdentity(identity, "fleet", entry.peer_address),
         clock,
--- a/tools/slopes/platform_probes.py
+++ b/tools/slopes/platform_probes.py
@@ -11,7 +11,11 @@
     Incarnation,
     InstanceId,
 )
-from mimosafork.kernel.messages.fleet import EntryInstance, InstancesListed, LifeState
+from mimosafork.kernel.messages.fleet import (
+    EntryInstance,
+    InstancesListed,
+    LifecycleState,
+)
 from mimosafork.network.http import HttpClient
 from mimosafork.standins.instances import (
     InstanceKind,
@@ -129,5 +133,5 @@
         "10.1.0.1:8002",
         AvailabilityZoneId(f"zone-{index % 6}"),
         Incarnation(1),
-        LifeState.LIVE,
+        LifecycleState.LIVE,
     )
