--- a/benchmarks/gateway_latency.py
+++ b/benchmarks/gateway_latency.py
@@ -51,7 +51,7 @@
     with deployment() as platform, ExitStack() as stack:
         desk = platform.add_desk(EndpointSettings(DESKS))
         started = stack.enter_context(gateway_process(platform))
-        started.until_ready()
+        started.wait_until_ready()
         eventually(partial(served, started))
         direct = stack.enter_context(Channel(desk.address))
         through = stack.enter_context(Channel(started.front))
--- a/benchmarks/gateway_size.py
+++ b/benchmarks/gateway_size.py
@@ -116,7 +116,7 @@
             platform.add_engine(EndpointSettings(ENGINES), Pace(events=events, gap=GAP))
             platform.add_desk(EndpointSettings(DESKS))
             started = stack.enter_context(gateway_process(platform))
-            started.until_ready()
+            started.wait_until_ready()
             for path in ("/safe/1", "/stream/1"):
                 eventually(partial(answers, started, path))
             if events == 1:
--- a/benchmarks/instance_cost.py
+++ b/benchmarks/instance_cost.py
@@ -32,10 +32,10 @@
 from mimosafork.directory.feed_update import FeedUpdate
 from mimosafork.gateway.dialect import Dialect
 from mimosafork.gateway.gateway import Gateway
-from mimosafork.gateway.neighbours import Neighbours
+from mimosafork.gateway.gossip_adapter import GossipAdapter
 from mimosafork.gateway.policies import PLUGINS
 from mimosafork.gateway.policies.fleet_view import FleetView
-from mimosafork.gateway.sharing import Sharing
+from mimosafork.gateway.subset_selector import SubsetSelector
 from mimosafork.gossip.callbacks import Callbacks
 from mimosafork.gossip.kinds.load import WorkNote
 from mimosafork.gossip.members import Address, Identity
@@ -223,8 +223,8 @@
             self.kernel, cast(Dialect, None), loop, Random(5), lambda: None
         )
         fleet_view = self.kernel.plugin(FleetView)
-        neighbours = Neighbours(name_of(0), fleet_view)
-        self.sharing = Sharing(
+        neighbours = SubsetSelector(name_of(0), fleet_view)
+        self.sharing = GossipAdapter(
             self.directory, self.gateway.post, self.figures_of, loop, neighbours
         )
         self.gateway.on_effect = self.effect
@@ -348,7 +348,7 @@
 
     def effect(self, effect: Effect) -> None:
         """Share an effect; answer a call that is sent to its engine."""
-        self.sharing.tell(effect)
+        self.sharing.publish_effect(effect)
         if isinstance(effect, Dispatch):
             self.own_placed += 1
             request, attempt = effect.request_id, effect.attempt
--- a/src/mimosafork/gateway/call.py
+++ b/src/mimosafork/gateway/call.py
@@ -13,7 +13,7 @@
 from .dialect import CallMetadata
 from .event_stream import RawStreamEvent
 from .heads import Header
-from .outlook import Inputs
+from .instance_view import DecisionInputs
 from .request_reader import RequestMessage
 from .response_reader import ResponseHead
 
@@ -113,7 +113,7 @@
     endpoints: list[EndpointId] = msgspec.field(default_factory=list)
     helpers: tuple[PrefillHelper, ...] = ()
     placed_at: timedelta | None = None
-    inputs: Inputs | None = None
+    inputs: DecisionInputs | None = None
     caller_stalled: bool = False
     diagnostics: AttemptDiagnostics = msgspec.field(default_factory=AttemptDiagnostics)
     zones: list[AvailabilityZoneId | None] = msgspec.field(default_factory=list)
--- a/src/mimosafork/gateway/call_log.py
+++ b/src/mimosafork/gateway/call_log.py
@@ -24,11 +24,11 @@
 from ..telemetry.logs import log_event
 from .attempt_diagnostics import AttemptDiagnostics, NameList
 from .call import Call
+from .call_metrics import CallMetrics
 from .dialect import CallMetadata
 from .failure_labels import OUT_OF_TIME, failure_label
+from .instance_view import EmptyInstanceView, InstanceView, LogFields, milliseconds
 from .intake import CallRefusal
-from .meters import CallMeter
-from .outlook import LineFields, Look, Unknown, milliseconds
 from .policies.placing import WorkPlacer
 from .policies.quarantining import CrashQuarantine
 from .policies.retrying import BudgetedRetry
@@ -71,8 +71,8 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.instance_view: Look = Unknown()
-        self.meter: CallMeter | None = None
+        self.instance_view: InstanceView = EmptyInstanceView()
+        self.meter: CallMetrics | None = None
 
     def placed(self, call: Call, dispatch: Dispatch) -> None:
         """Note where a call goes, and by what; its end tells it."""
@@ -80,14 +80,14 @@
             call.placed_at = self.clock.monotonic()
         call.endpoints.append(dispatch.endpoint)
         call.helpers = dispatch.helpers
-        spread = self.instance_view.spread(dispatch)
+        spread = self.instance_view.attempt_placement(dispatch)
         call.diagnostics = AttemptDiagnostics(spread)
         call.zones.append(spread.zone)
         if call.first_sent_at is None:
             call.first_token_at = spread.first_token_at
         call.inputs = self.instance_view.inputs(ServiceId(call.request.target))
         if self.meter is not None:
-            self.meter.placed(call)
+            self.meter.count_attempt(call)
 
     def refused(
         self,
@@ -98,7 +98,7 @@
     ) -> None:
         """Tell of a call that no route or key fits."""
         if self.meter is not None:
-            self.meter.refused(refusal.reason)
+            self.meter.count_rejected_call(refusal.reason)
         inputs = self.instance_view.inputs(ServiceId(""))
         log_event(
             logger,
@@ -130,7 +130,7 @@
         left = call.request.deadline - now
         word = failure_label(failure, left)
         if self.meter is not None:
-            self.meter.attempt_failed(call, word)
+            self.meter.count_failed_attempt(call, word)
         log_event(
             logger,
             ATTEMPT_OUT_OF_TIME if word == OUT_OF_TIME else ATTEMPT_FAILED,
@@ -179,7 +179,7 @@
     def ended(self, call: Call, conclusion: Conclude) -> None:
         """Tell how a call ended: shortly where it was served."""
         if self.meter is not None:
-            self.meter.ended(call, conclusion)
+            self.meter.count_ended_call(call, conclusion)
         if conclusion.problem is None:
             self._served(call, conclusion)
         else:
@@ -223,7 +223,7 @@
             **self.instance_view.inputs(ServiceId(call.request.target)).fields(),
         )
 
-    def _whose(self, call: Call) -> LineFields:
+    def _whose(self, call: Call) -> LogFields:
         return {
             "route": call.route.name,
             "account": call.account,
@@ -231,7 +231,7 @@
             "version": call.table_version,
         }
 
-    def _course(self, call: Call) -> LineFields:
+    def _course(self, call: Call) -> LogFields:
         terms = call.request.terms
         return {
             "objective_ms": None if terms is None else milliseconds(terms.objective),
@@ -264,7 +264,7 @@
     return NameList(zones) if any(zones) else None
 
 
-def connection_fields(call: Call) -> LineFields:
+def connection_fields(call: Call) -> LogFields:
     """Return how the last attempt's connection came to be, and how it ended."""
     notes = call.diagnostics
     return {
--- a/src/mimosafork/gateway/meters.py
+++ b/src/mimosafork/gateway/call_metrics.py
@@ -30,7 +30,7 @@
         """Record a value in a histogram."""
 
 
-class CallMeter:
+class CallMetrics:
     """Counts what becomes of calls.
 
     Parameters
@@ -41,23 +41,23 @@
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
 
-    def placed(self, call: Call) -> None:
+    def count_attempt(self, call: Call) -> None:
         """Count an attempt that is sent; time the wait of a first one."""
         service = str(call.request.target)
         self.recorder.add(CALL_ATTEMPTS, service=service, result="sent")
         if len(call.endpoints) == 1 and call.placed_at is not None:
             self._time(CALL_WAIT_TIME, call.placed_at - call.arrived_at, call)
 
-    def refused(self, reason: str) -> None:
+    def count_rejected_call(self, reason: str) -> None:
         """Count a call that no route or key fits."""
         self.recorder.add(CALLS_REFUSED, reason=reason)
 
-    def attempt_failed(self, call: Call, word: str) -> None:
+    def count_failed_attempt(self, call: Call, word: str) -> None:
         """Count an attempt without a whole answer, by how it failed."""
         service = str(call.request.target)
         self.recorder.add(CALL_ATTEMPTS, service=service, result=word)
 
-    def ended(self, call: Call, conclusion: Conclude) -> None:
+    def count_ended_call(self, call: Call, conclusion: Conclude) -> None:
         """Count a call's end, and time its parts."""
         problem = conclusion.problem
         self.recorder.add(
--- a/src/mimosafork/gateway/stopping.py
+++ b/src/mimosafork/gateway/draining.py
@@ -6,7 +6,7 @@
 
 from ..clock import Clock
 
-LAST_SHARE = 0.9
+GRACE_SHARE_FOR_CALLS = 0.9
 """Share of the grace after which open calls are ended: the process must be gone
 before it is killed."""
 
@@ -30,7 +30,7 @@
         """Take no further calls; those that are open go on."""
 
 
-async def run_out(
+async def drain(
     serving: Stoppable, lag: timedelta, grace: timedelta, clock: Clock, pause: Pause
 ) -> int:
     """Serve on while callers still come, then only what is open.
@@ -55,7 +55,7 @@
         Calls that had not ended in time.
     """
     asked_at = clock.monotonic()
-    last = asked_at + grace * LAST_SHARE
+    last = asked_at + grace * GRACE_SHARE_FOR_CALLS
     while clock.monotonic() < min(asked_at + lag, last):
         await pause(LOOK_AGAIN)
     serving.end_intake()
--- a/src/mimosafork/gateway/freeze.py
+++ b/src/mimosafork/gateway/freeze_watch.py
@@ -9,7 +9,7 @@
 LEAST_FREEZE = timedelta(seconds=1)
 
 
-class Freeze(msgspec.Struct, frozen=True):
+class ProcessFreeze(msgspec.Struct, frozen=True):
     """A time in which nothing ran here.
 
     Attributes
@@ -43,7 +43,7 @@
         self.gap = gap
         self.before: tuple[timedelta, timedelta] | None = None
 
-    def ticked(self, planned: timedelta | None = None) -> Freeze | None:
+    def ticked(self, planned: timedelta | None = None) -> ProcessFreeze | None:
         """Note a tick; return the freeze that it ends, if there was one.
 
         Parameters
@@ -61,4 +61,4 @@
         if lasted - self.gap < LEAST_FREEZE:
             return None
         late = lasted - (self.gap if planned is None else planned)
-        return Freeze(late, max(timedelta(0), lasted - (steady - before[0])))
+        return ProcessFreeze(late, max(timedelta(0), lasted - (steady - before[0])))
--- a/src/mimosafork/gateway/gateway.py
+++ b/src/mimosafork/gateway/gateway.py
@@ -48,11 +48,11 @@
 from .client_connection import ClientConnection
 from .dialect import CallMetadata, Dialect
 from .errors import BadRequestError
-from .freeze import FreezeWatch
+from .freeze_watch import FreezeWatch
 from .heads import Header
+from .instance_view import milliseconds
 from .intake import INTERNAL_FAULT, STOPPING, AdmittedCall, CallRefusal, admit
-from .orders import Orders
-from .outlook import milliseconds
+from .order_client import OrderClient
 from .policies.fleet_view import FleetView
 from .pool import ConnectionPool
 from .problems import DEFAULT_RETRY_AFTER, final_status
@@ -103,20 +103,20 @@
         self.lines = CallLog(clock)
         self.zones = ZoneWatch(self.post, kernel.plugin(FleetView).zone_of)
         self.freezes = FreezeWatch(clock, BootClock(), TICK)
-        self.orders = Orders(clock, self.pool, dialect, self.post)
+        self.orders = OrderClient(clock, self.pool, dialect, self.post)
         self.connections: set[ClientConnection] = set()
         self.calls: dict[RequestId, Call] = {}
         self.by_connection: dict[Responder, RequestId] = {}
         self.attempts: dict[RequestId, EndpointAttempt] = {}
-        self.hedged: dict[RequestId, EndpointAttempt] = {}
+        self.hedged_attempts: dict[RequestId, EndpointAttempt] = {}
         """Silent attempts that stay open until another one of their call answers."""
         self.numbers = count(1)
         self.inbox: deque[Message] = deque()
         self.handling = False
         self.draining = False
         self.intake_ended = False
-        self.ticker: asyncio.TimerHandle | None = None
-        self.tick_after = TICK
+        self.tick_timer: asyncio.TimerHandle | None = None
+        self.tick_interval = TICK
         self.performer: Callable[[Effect], None] = self.perform
         self.on_effect: Callable[[Effect], None] = lambda effect: None
         self.on_ended: Callable[[Call, Conclude], None] = lambda call, end: None
@@ -152,14 +152,14 @@
 
     def stop(self) -> None:
         """Close everything; open calls should have ended."""
-        if self.ticker is not None:
-            self.ticker.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         self.pool.close()
         for connection in list(self.connections):
             connection.close(CloseReason.STOPPED)
 
     def _tick(self) -> None:
-        planned = self.tick_after
+        planned = self.tick_interval
         self._tick_after(TICK if self.calls else IDLE_TICK)
         self._note_freeze(planned)
         self.zones.look(self.attempts.values(), self.clock.monotonic())
@@ -168,14 +168,14 @@
             self.post(Tick())
 
     def _tick_after(self, gap: timedelta) -> None:
-        self.tick_after = gap
+        self.tick_interval = gap
         loop = asyncio.get_running_loop()
-        self.ticker = loop.call_later(gap.total_seconds(), self._tick)
+        self.tick_timer = loop.call_later(gap.total_seconds(), self._tick)
 
     def _tick_soon(self) -> None:
         """Tell the kernel of time as often as calls need it, from now on."""
-        if self.tick_after > TICK and self.ticker is not None:
-            self.ticker.cancel()
+        if self.tick_interval > TICK and self.tick_timer is not None:
+            self.tick_timer.cancel()
             self._tick_after(TICK)
 
     def _note_freeze(self, planned: timedelta) -> None:
@@ -343,7 +343,7 @@
         if request_id is None:
             return
         self.calls[request_id].caller_stalled = stalled
-        for attempts in (self.attempts, self.hedged):
+        for attempts in (self.attempts, self.hedged_attempts):
             attempt = attempts.get(request_id)
             if attempt is not None and stalled:
                 attempt.pause()
@@ -418,7 +418,7 @@
 
     @perform.register
     def _(self, effect: CancelAttempt) -> None:
-        for attempts in (self.attempts, self.hedged):
+        for attempts in (self.attempts, self.hedged_attempts):
             attempt = attempts.get(effect.request_id)
             if attempt is not None and attempt.dispatch.attempt == effect.attempt:
                 del attempts[effect.request_id]
@@ -426,7 +426,7 @@
 
     @perform.register
     def _(self, effect: RestoreAttempt) -> None:
-        attempt = self.hedged.pop(effect.request_id, None)
+        attempt = self.hedged_attempts.pop(effect.request_id, None)
         call = self.calls.get(effect.request_id)
         if attempt is not None:
             attempt.hedged = False
@@ -446,9 +446,9 @@
         if attempt is None or attempt.ended:
             return
         self.pool.drop(attempt.dispatch.endpoint)
-        if attempt.may_be_hedged and request_id not in self.hedged:
+        if attempt.may_be_hedged and request_id not in self.hedged_attempts:
             attempt.hedged = True
-            self.hedged[request_id] = self.attempts.pop(request_id)
+            self.hedged_attempts[request_id] = self.attempts.pop(request_id)
             self.inbox.append(AttemptHedged(*astuple(effect.failure)))
             return
         attempt.cancel()
@@ -463,7 +463,7 @@
     @perform.register
     def _(self, effect: Conclude) -> None:
         call = self.calls.pop(effect.request_id, None)
-        for attempts in (self.attempts, self.hedged):
+        for attempts in (self.attempts, self.hedged_attempts):
             attempt = attempts.pop(effect.request_id, None)
             if attempt is not None:
                 attempt.ended = True
@@ -513,15 +513,15 @@
 
     def _forget_hedged(self, failure: AttemptFailed) -> None:
         """Forget a hedged attempt that has ended, so that a later one may be hedged."""
-        hedged = self.hedged.get(failure.request_id)
+        hedged = self.hedged_attempts.get(failure.request_id)
         if hedged is not None and hedged.ended:
-            del self.hedged[failure.request_id]
+            del self.hedged_attempts[failure.request_id]
 
     def _log_failure(self, failure: AttemptFailed, then: list[Effect]) -> None:
         call = self.calls.get(failure.request_id)
         attempt = self.attempts.get(failure.request_id)
         if isinstance(failure, AttemptHedged):
-            attempt = self.hedged.get(failure.request_id)
+            attempt = self.hedged_attempts.get(failure.request_id)
         if call is None or attempt is None:
             return
         self.lines.attempt_failed(call, failure, attempt.reused, then)
--- a/src/mimosafork/gateway/gauges.py
+++ b/src/mimosafork/gateway/gauges.py
@@ -31,7 +31,7 @@
 from ..telemetry.pipeline import DroppingHandler
 from ..telemetry.readings import Reading, ReadingSource
 from .gateway import Gateway
-from .outlook import Outlook
+from .instance_view import LiveInstanceView
 from .policies.reserving import MemoryKeeper
 from .policies.tickets import HeldState
 
@@ -52,7 +52,7 @@
     unanswered: int
 
 
-class Gauges:
+class GatewayGauges:
     """Reads the state of an instance.
 
     Parameters
@@ -64,7 +64,7 @@
     """
 
     def __init__(
-        self, gateway: Gateway, outlook: Outlook, store: StoreCounts | None
+        self, gateway: Gateway, outlook: LiveInstanceView, store: StoreCounts | None
     ) -> None:
         self.gateway = gateway
         self.outlook = outlook
@@ -76,7 +76,7 @@
         page.observe(CALLS_WAITING, self.waiting)
         page.observe(CONNECTIONS_IDLE, self.idle)
         page.observe(WORK_KNOWN, self.work)
-        page.observe(MEMORY_RESERVED, self.reserved)
+        page.observe(MEMORY_RESERVED, self.reserved_tokens)
         page.observe(LOAD_AGE, lambda: aged(self.outlook.load_age()))
         page.observe(TABLE_AGE, self.table_ages)
         page.observe(TABLE_VERSION, self.version)
@@ -109,7 +109,7 @@
             Reading(told, (("whose", "peers"),)),
         ]
 
-    def reserved(self) -> Iterable[Reading]:
+    def reserved_tokens(self) -> Iterable[Reading]:
         """Return the tokens that own calls hold on engines."""
         keeper = self.gateway.kernel.plugin(MemoryKeeper)
         tokens = keeper.tokens_held(self.gateway.clock.monotonic())
--- a/src/mimosafork/gateway/sharing.py
+++ b/src/mimosafork/gateway/gossip_adapter.py
@@ -34,9 +34,9 @@
 )
 from ..placement.load_tracker import HeldTokens, InFlightRequest, PrefillPart
 from ..routing.engine import EngineFigures
-from .neighbours import Neighbours
 from .policies.allowance import ARRIVES_WITHIN, SlackShare
 from .policies.retrying import WINDOW
+from .subset_selector import SubsetSelector
 
 OFFER_AFTER = timedelta(milliseconds=300)
 """A change is offered to peers this much later: those whose own store answers have it
@@ -47,7 +47,7 @@
 answer: those that follow it by peers' words ask it within two seconds, and the whole
 list would be fetched by all of them for each endpoint that comes."""
 
-LASTS_AFTER = timedelta(milliseconds=100)
+PLAIN_CALL_PUBLISH_DELAY = timedelta(milliseconds=100)
 """A plain endpoint's call is told to peers once it has lasted so long. Most have ended
 by the time that peers hear of them: told at once, they were over half of all words of
 64 instances, and crowded out those of engines. One that lasts shows a slow endpoint."""
@@ -66,7 +66,7 @@
     rows: list[Row]
 
 
-class Sharing:
+class GossipAdapter:
     """Joins the gossip with the kernel and the directory.
 
     Parameters
@@ -93,7 +93,7 @@
         post: Callable[[Message], None],
         figures_of: FiguresOf,
         clock: Clock,
-        neighbours: Neighbours,
+        neighbours: SubsetSelector,
     ) -> None:
         self.directory = directory
         self.neighbours = neighbours
@@ -127,17 +127,17 @@
     # What this instance tells
 
     @singledispatchmethod
-    def tell(self, effect: Effect) -> None:
+    def publish_effect(self, effect: Effect) -> None:
         """Tell peers of an effect that is for them."""
 
-    @tell.register
+    @publish_effect.register
     def _(self, effect: PublishWork) -> None:
         if effect.work.parts:
             self._tell_work(effect.work)
         else:
             self._tell_if_it_lasts(effect.work)
 
-    @tell.register
+    @publish_effect.register
     def _(self, effect: PublishWorkEnd) -> None:
         waiting = self.untold.pop(effect.request_id, None)
         if waiting is not None:
@@ -149,8 +149,10 @@
         """Tell peers of a work."""
         self.untold.pop(work.request, None)
         if self.gossip is not None:
-            audience = self.neighbours.audience(part.endpoint for part in work.parts)
-            note = note_of(work, self.clock.monotonic())
+            audience = self.neighbours.work_recipients(
+                part.endpoint for part in work.parts
+            )
+            note = work_note(work, self.clock.monotonic())
             self.gossip.publish_work(note, audience)
 
     def _tell_if_it_lasts(self, work: InFlightRequest) -> None:
@@ -159,16 +161,16 @@
         if waiting is not None:
             waiting.cancel()
         loop = asyncio.get_running_loop()
-        after = LASTS_AFTER.total_seconds()
+        after = PLAIN_CALL_PUBLISH_DELAY.total_seconds()
         self.untold[work.request] = loop.call_later(after, self._tell_work, work)
 
-    @tell.register
+    @publish_effect.register
     def _(self, effect: PublishCrashSuspicion) -> None:
         if self.gossip is not None:
             seen = Suspicion(frozenset({effect.endpoint}))
             self.gossip.publish_suspicion(bytes.fromhex(effect.digest), seen)
 
-    @tell.register
+    @publish_effect.register
     def _(self, effect: PublishCrashClearance) -> None:
         if self.gossip is not None:
             seen = Suspicion(frozenset(), cleared=True)
@@ -278,7 +280,7 @@
             self.post(PeerWorkUnknown(instance))
         self.known_peers = alive
         self.directory.peer_feed.choose(self.gossip.instance, alive)
-        self.neighbours.heard(alive, self.gossip.is_large)
+        self.neighbours.update_peers(alive, self.gossip.is_large)
 
     def peer_restarted(self, instance: InstanceId) -> None:
         """Forget the works of a peer's former life, which have ended with it."""
@@ -389,7 +391,7 @@
     return RequestId(f"{instance}/{number}")
 
 
-def note_of(work: InFlightRequest, now: timedelta) -> WorkNote:
+def work_note(work: InFlightRequest, now: timedelta) -> WorkNote:
     """Return what peers are told of own work."""
     first = work.first_token_at
     pause = work.longest_pause or timedelta(0)
--- a/src/mimosafork/gateway/outlook.py
+++ b/src/mimosafork/gateway/instance_view.py
@@ -11,16 +11,16 @@
 from ..kernel.core import Kernel
 from ..kernel.messages.dispatch import Dispatch
 from .attempt_diagnostics import AttemptPlacement
+from .gossip_adapter import GossipAdapter
 from .policies.fleet_view import FleetView
 from .policies.placing import WorkPlacer
 from .policies.retrying import BudgetedRetry
-from .sharing import Sharing
 
-LineFields = dict[str, Any]
+LogFields = dict[str, Any]
 """Fields of a log line."""
 
 
-class Inputs(msgspec.Struct, frozen=True):
+class DecisionInputs(msgspec.Struct, frozen=True):
     """What decisions about a service's calls go by.
 
     Attributes
@@ -51,13 +51,13 @@
     peers_running: int = 0
     waiting: int = 0
     peers: int = 0
-    repeats_left: int = 0
-    repeats_sent: int = 0
-    sharers: int = 0
+    retries_left: int = 0
+    retries_sent: int = 0
+    budget_instances: int = 0
     table_age: timedelta | None = None
     listing_age: timedelta | None = None
 
-    def fields(self) -> LineFields:
+    def fields(self) -> LogFields:
         """Return the fields of a log line, ages in milliseconds."""
         return {
             "listed": self.listed,
@@ -66,24 +66,24 @@
             "peers_running": self.peers_running,
             "waiting": self.waiting,
             "peers": self.peers,
-            "repeats_left": self.repeats_left,
-            "repeats_sent": self.repeats_sent,
-            "sharers": self.sharers,
+            "repeats_left": self.retries_left,
+            "repeats_sent": self.retries_sent,
+            "sharers": self.budget_instances,
             "table_age_ms": milliseconds(self.table_age),
             "listing_age_ms": milliseconds(self.listing_age),
         }
 
 
-class Look(Protocol):
+class InstanceView(Protocol):
     """Tells what decisions about a service's calls go by."""
 
-    def inputs(self, service: ServiceId) -> Inputs:
+    def inputs(self, service: ServiceId) -> DecisionInputs:
         """Return what is known now."""
 
     def load_age(self) -> timedelta | None:
         """Return the age of the oldest word of a peer that still counts."""
 
-    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
+    def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return the zones of an attempt's endpoints, and what is expected of it."""
 
     @property
@@ -91,18 +91,18 @@
         """Where this instance runs."""
 
 
-class Unknown:
+class EmptyInstanceView:
     """Knows nothing, until the gateway is joined with the rest of its instance."""
 
-    def inputs(self, service: ServiceId) -> Inputs:
+    def inputs(self, service: ServiceId) -> DecisionInputs:
         """Return nothing known."""
-        return Inputs()
+        return DecisionInputs()
 
     def load_age(self) -> timedelta | None:
         """Return that no peer is heard."""
         return None
 
-    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
+    def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return nothing known."""
         return AttemptPlacement()
 
@@ -112,7 +112,7 @@
         return None
 
 
-class Outlook:
+class LiveInstanceView:
     """Reads what is known from its owners.
 
     Parameters
@@ -129,7 +129,7 @@
         self,
         kernel: Kernel,
         directory: Directory,
-        sharing: Sharing,
+        sharing: GossipAdapter,
         now: Callable[[], timedelta],
     ) -> None:
         self.kernel = kernel
@@ -141,20 +141,20 @@
         self.book = self.placer.book
         self.retry = kernel.plugin(BudgetedRetry)
 
-    def inputs(self, service: ServiceId) -> Inputs:
+    def inputs(self, service: ServiceId) -> DecisionInputs:
         """Return what is known now."""
         now = self.now()
         known = self.fleet.of_service(service)
-        return Inputs(
+        return DecisionInputs(
             listed=len(known),
             usable=sum(each.usable(now) for each in known),
             running=len(self.book.own),
             peers_running=sum(len(works) for works in self.book.peers.values()),
             waiting=len(self.kernel.state.waiting),
             peers=len(self.sharing.known_peers),
-            repeats_left=int(self.retry.room(service, now)),
-            repeats_sent=self.retry.sent(service),
-            sharers=self.retry.sharers(),
+            retries_left=int(self.retry.room(service, now)),
+            retries_sent=self.retry.sent(service),
+            budget_instances=self.retry.sharers(),
             table_age=self.directory.table_age,
             listing_age=self.directory.listing_age,
         )
@@ -166,7 +166,7 @@
             max((peer.age for peer in gossip.peers), default=None) if gossip else None
         )
 
-    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
+    def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return the zones of an attempt's endpoints, and what is expected of it.
 
         They are looked up when it is sent: an endpoint that is gone when its attempt
--- a/src/mimosafork/gateway/orders.py
+++ b/src/mimosafork/gateway/order_client.py
@@ -29,7 +29,7 @@
 logger = getLogger(__name__)
 
 MILLISECOND = timedelta(milliseconds=1)
-ANSWER_WITHIN = timedelta(milliseconds=250)
+ORDER_TIMEOUT = timedelta(milliseconds=250)
 """An engine answers an order within a few milliseconds; one that is silent for so
 long is taken to have lost it, and the next step must not wait longer."""
 
@@ -76,7 +76,7 @@
     def start(self) -> None:
         """Send on a kept connection, or on a new one."""
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(ANSWER_WITHIN.total_seconds(), self._too_late)
+        self.timer = loop.call_later(ORDER_TIMEOUT.total_seconds(), self._too_late)
         self._try(self.tools.pool.acquire(self._wanted()))
 
     def _wanted(self) -> ConnectionRequest:
@@ -147,7 +147,7 @@
         self.order.done(failure)
 
 
-class Orders:
+class OrderClient:
     """Turns effects into orders, and their answers into messages.
 
     Parameters
@@ -226,7 +226,7 @@
             after_ms=int(after / MILLISECOND),
         )
 
-    async def settle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until all orders are answered; each one's time is bounded."""
         if self.open:
             await self.none_open.wait()
--- a/src/mimosafork/gateway/server.py
+++ b/src/mimosafork/gateway/server.py
@@ -46,22 +46,22 @@
     SETTINGS_TAKEN,
 )
 from ..telemetry.logs import PACKAGE_LOGGER, log_event
+from .call_metrics import CallMetrics
 from .dialect import Dialect
+from .draining import LOOK_AGAIN, drain
 from .gateway import Gateway
-from .gauges import Gauges, StoreCounts
-from .meters import CallMeter
+from .gauges import GatewayGauges, StoreCounts
+from .gossip_adapter import GossipAdapter
+from .instance_view import LiveInstanceView, milliseconds
 from .metrics_page import MetricsConnection, new_metrics
-from .neighbours import Neighbours
-from .outlook import Outlook, milliseconds
 from .policies import PLUGINS
 from .policies.allowance import ARRIVES_WITHIN
 from .policies.fleet_view import FleetView
 from .policies.placing import WorkPlacer
 from .policies.reserving import MemoryKeeper
 from .policies.retrying import BudgetedRetry
-from .ready import ReadyConnection
-from .sharing import Sharing
-from .stopping import LOOK_AGAIN, run_out
+from .readiness_page import ReadyConnection
+from .subset_selector import SubsetSelector
 
 logger = logging.getLogger(__name__)
 
@@ -119,13 +119,15 @@
         self.gateway = Gateway(
             self.kernel, dialect, clock, random, lambda: self.directory.table
         )
-        neighbours = Neighbours(settings.instance.id, self.kernel.plugin(FleetView))
-        self.sharing = Sharing(
+        neighbours = SubsetSelector(settings.instance.id, self.kernel.plugin(FleetView))
+        self.gossip_adapter = GossipAdapter(
             directory, self.gateway.post, self.figures_of, clock, neighbours
         )
-        self.kernel.plugin(WorkPlacer).narrowed = neighbours.narrowed
-        self.gateway.on_effect = self.sharing.tell
-        self.outlook = Outlook(self.kernel, directory, self.sharing, clock.monotonic)
+        self.kernel.plugin(WorkPlacer).narrowed = neighbours.select_engines
+        self.gateway.on_effect = self.gossip_adapter.publish_effect
+        self.outlook = LiveInstanceView(
+            self.kernel, directory, self.gossip_adapter, clock.monotonic
+        )
         self.gateway.lines.instance_view = self.outlook
         self.store_counts: StoreCounts | None = None
         self.peer_rows = peer_rows
@@ -180,12 +182,12 @@
             zone=self.settings.instance.availability_zone,
         )
         self.directory.listen(self._directory_changed)
-        self.directory.listen(self.sharing.directory_changed)
-        self.directory.peers = self.sharing.peers_heard
-        self.directory.peer_feed.publish = self.sharing.feed_told
-        self.sharing.gossip = self._new_gossip()
-        self.gateway.zones.silent_zones = self.sharing.gossip.silent_zones
-        await self.sharing.gossip.start()
+        self.directory.listen(self.gossip_adapter.directory_changed)
+        self.directory.peers = self.gossip_adapter.peers_heard
+        self.directory.peer_feed.publish = self.gossip_adapter.feed_told
+        self.gossip_adapter.gossip = self._new_gossip()
+        self.gateway.zones.silent_zones = self.gossip_adapter.gossip.silent_zones
+        await self.gossip_adapter.gossip.start()
         self.directory.start()
         self.gateway.start()
         loop = asyncio.get_running_loop()
@@ -205,8 +207,8 @@
 
     async def _serve_metrics(self, address: str) -> None:
         metrics = await asyncio.to_thread(new_metrics)
-        self.gateway.lines.meter = CallMeter(metrics)
-        Gauges(self.gateway, self.outlook, self.store_counts).join(metrics)
+        self.gateway.lines.meter = CallMetrics(metrics)
+        GatewayGauges(self.gateway, self.outlook, self.store_counts).join(metrics)
         place = split_address(address)
         try:
             listener = await asyncio.get_running_loop().create_server(
@@ -234,8 +236,8 @@
         retry.ratio = bounds.retry_ratio
         retry.slack = bounds.retry_slack
         retry.window = bounds.retry_window
-        retry.share = self.sharing.slack_share
-        self.sharing.settles_after = bounds.retry_window + ARRIVES_WITHIN
+        retry.share = self.gossip_adapter.slack_share
+        self.gossip_adapter.settles_after = bounds.retry_window + ARRIVES_WITHIN
         self.kernel.plugin(MemoryKeeper).longest_hold = bounds.longest_hold
 
     def _new_gossip(self) -> Gossip:
@@ -251,8 +253,8 @@
         return Gossip(
             options,
             open_sockets(Address(host, port)),
-            self.sharing.holding,
-            self.sharing.callbacks,
+            self.gossip_adapter.holding,
+            self.gossip_adapter.callbacks,
             self.peer_rows,
         )
 
@@ -321,7 +323,7 @@
         gateway.draining = True
         asked_at = self.clock.monotonic()
         log_event(logger, GATEWAY_STOPPING, open=len(gateway.calls))
-        cut = await run_out(
+        cut = await drain(
             self, BALANCER_LAG, self.settings.bounds.grace, self.clock, sleep
         )
         if self.metrics_task is not None:
@@ -329,11 +331,11 @@
         gateway.post(StopNow())
         for listener in self.listeners:
             listener.close()
-        await gateway.orders.settle()
+        await gateway.orders.wait_until_idle()
         gateway.stop()
         await self.directory.stop()
-        if self.sharing.gossip is not None:
-            await self.sharing.gossip.close()
+        if self.gossip_adapter.gossip is not None:
+            await self.gossip_adapter.gossip.close()
         took = self.clock.monotonic() - asked_at
         log_event(logger, GATEWAY_STOPPED, cut=cut, after_ms=milliseconds(took))
         await asyncio.sleep(LOOK_AGAIN.total_seconds())
--- a/src/mimosafork/gateway/neighbours.py
+++ b/src/mimosafork/gateway/subset_selector.py
@@ -13,7 +13,7 @@
 from .policies.fleet_view import FleetView
 
 
-class Neighbours:
+class SubsetSelector:
     """Works out subsets from the peers that are heard and the engines that are listed.
 
     In a fleet where everyone tells everyone of its works, all engines are used by all.
@@ -30,17 +30,19 @@
         self.fleet = fleet
         self.order: InstanceOrder | None = None
 
-    def heard(self, peers: Iterable[InstanceId], large: bool) -> None:
+    def update_peers(self, peers: Iterable[InstanceId], large: bool) -> None:
         """Take who is heard, and whether not everyone tells everyone."""
         self.order = InstanceOrder.of([self.own, *peers]) if large else None
 
-    def narrowed(self, views: Sequence[EngineView]) -> Sequence[EngineView]:
+    def select_engines(self, views: Sequence[EngineView]) -> Sequence[EngineView]:
         """Return those of a service's engines that this instance uses."""
         if self.order is None or len(views) < MIN_ENGINES_FOR_SUBSETS:
             return views
         return own_engines(self.order, self.own, views)
 
-    def audience(self, engines: Iterable[EndpointId]) -> frozenset[InstanceId] | None:
+    def work_recipients(
+        self, engines: Iterable[EndpointId]
+    ) -> frozenset[InstanceId] | None:
         """Return who else uses one of some engines of a service; None for all."""
         if self.order is None:
             return None
--- a/tests/functional/test_gateway_exits.py
+++ b/tests/functional/test_gateway_exits.py
@@ -93,10 +93,10 @@
     The trace stood on standard error, which nobody had collected.
     """
     for error in ("RuntimeError('odd')", "MemoryError()"):
-        customized = RAISES_ONCE_STARTED.format(error=error)
+        sitecustomize = RAISES_ONCE_STARTED.format(error=error)
         with (
             deployment() as platform,
-            gateway_process(platform, customized=customized) as started,
+            gateway_process(platform, sitecustomize=sitecustomize) as started,
         ):
             number, line = ended(started, 1)
             errors = "\n".join(started.process.errors)
@@ -109,7 +109,7 @@
     """A library ends the interpreter from a callback: no trace at all is left."""
     with (
         deployment() as platform,
-        gateway_process(platform, customized=ENDS_THE_LOOP) as started,
+        gateway_process(platform, sitecustomize=ENDS_THE_LOOP) as started,
     ):
         number, line = ended(started, 5)
     case.assertEqual(FAILED, number)
@@ -118,7 +118,7 @@
 
 def test_a_planned_stop_is_its_last_line() -> None:
     with deployment() as platform, gateway_process(platform) as started:
-        started.until_ready()
+        started.wait_until_ready()
         started.process.signal(signal.SIGTERM)
         number, _ = ended(started, 0)
         planned = [line_of(each)[0] for each in started.process.lines]
@@ -131,7 +131,7 @@
     """What ends the instance comes with more lines than their queue or budget takes."""
     with (
         deployment() as platform,
-        gateway_process(platform, customized=FLOODS_AND_RAISES) as started,
+        gateway_process(platform, sitecustomize=FLOODS_AND_RAISES) as started,
     ):
         number, _ = ended(started, 1)
     case.assertEqual(FAILED, number)
@@ -144,11 +144,11 @@
     """
     with (
         deployment() as platform,
-        gateway_process(platform, customized=THREAD_RAISES) as started,
+        gateway_process(platform, sitecustomize=THREAD_RAISES) as started,
     ):
         platform.add_desk(EndpointSettings(DESKS))
-        started.until_ready()
-        started.until_logged(THREAD_FAILED)
+        started.wait_until_ready()
+        started.wait_until_logged(THREAD_FAILED)
         eventually(lambda: started.ask("/safe/1", "w", Authorization=KEY).status == 200)
         started.process.signal(signal.SIGTERM)
         number, _ = ended(started, 0)
@@ -163,7 +163,7 @@
 def test_a_fault_of_the_interpreter_leaves_its_trace_on_standard_error() -> None:
     """A library in C touches memory that is not its own: the process is just gone."""
     with deployment() as platform, gateway_process(platform) as started:
-        started.until_ready()
+        started.wait_until_ready()
         started.process.signal(signal.SIGSEGV)
         case.assertEqual(-signal.SIGSEGV, started.process.wait(30))
         for reader in started.process.readers:
--- a/tests/functional/test_gateway_fleet.py
+++ b/tests/functional/test_gateway_fleet.py
@@ -52,7 +52,7 @@
             gateway_process(platform, "entry-2", path.address, BOUNDS)
         )
         for each, peer in ((first, "entry-2"), (second, "entry-1")):
-            each.until_ready()
+            each.wait_until_ready()
             eventually(lambda e=each, p=peer: said(e, "MF2201", p))  # type: ignore[misc]
         yield Pair(platform, first, second, path)
 
--- a/tests/functional/test_gateway_metrics.py
+++ b/tests/functional/test_gateway_metrics.py
@@ -40,7 +40,7 @@
     with deployment() as platform, ExitStack() as stack:
         platform.add_desk(EndpointSettings(DESKS))
         started = stack.enter_context(gateway_process(platform))
-        started.until_ready()
+        started.wait_until_ready()
         eventually(lambda: page_of(started) != "")
         eventually(lambda: started.ask("/safe/1", "w", Authorization=KEY).status == 200)
         assert started.ask("/nowhere", "x", Authorization=KEY).status == 404
--- a/tests/functional/test_gateway_process.py
+++ b/tests/functional/test_gateway_process.py
@@ -53,7 +53,7 @@
         engine = platform.add_engine(EndpointSettings(ENGINES), EngineFigures(events=3))
         platform.add_desk(EndpointSettings(DESKS))
         started = stack.enter_context(gateway_process(platform))
-        started.until_ready()
+        started.wait_until_ready()
         eventually(lambda: started.ask("/safe/1", "w", Authorization=KEY).status == 200)
         engine.hold()
         channel = stack.enter_context(Channel(started.front))
@@ -63,7 +63,7 @@
         case.assertIsNotNone(channel.read_event())
         began = time.monotonic()
         started.process.signal(signal.SIGTERM)
-        started.until_ready(503)
+        started.wait_until_ready(503)
         answer = started.ask("/safe/1", "c2", Authorization=KEY)
         case.assertEqual((200, "close"), (answer.status, answer.headers["connection"]))
         engine.let_go()
@@ -84,7 +84,7 @@
     with deployment() as platform, ExitStack() as stack:
         desk = platform.add_desk(EndpointSettings(DESKS))
         started = stack.enter_context(gateway_process(platform))
-        started.until_ready()
+        started.wait_until_ready()
         eventually(lambda: started.ask("/safe/1", "w", Authorization=KEY).status == 200)
         desk.hold()
         channel = stack.enter_context(Channel(started.front))
@@ -102,7 +102,7 @@
             eventually(
                 lambda: any(logged in line for line in started.process.lines[seen:])  # noqa: B023
             )
-        started.until_ready()
+        started.wait_until_ready()
         desk.let_go()
         case.assertEqual(200, channel.read_answer().status)
         case.assertEqual(200, started.ask("/safe/1", "c2", Authorization=KEY).status)
@@ -113,10 +113,10 @@
         platform.add_desk(EndpointSettings(DESKS))
         platform.store.set_faults(StoreFaults(down=Refusal.UNAVAILABLE))
         started = stack.enter_context(gateway_process(platform))
-        started.until_ready(503)
+        started.wait_until_ready(503)
         case.assertEqual(503, started.ask("/safe/1", "c1", Authorization=KEY).status)
         platform.store.set_faults(NO_FAULTS)
-        started.until_ready()
+        started.wait_until_ready()
         eventually(lambda: started.ask("/safe/1", "w", Authorization=KEY).status == 200)
 
 
@@ -145,7 +145,7 @@
     one that came while the loop was busy could be lost behind hundreds of others.
     """
     with deployment(USUAL_CONFIG) as platform, gateway_process(platform) as started:
-        started.until_ready()
+        started.wait_until_ready()
         send_overlapping(started.process)
         case.assertEqual(0, started.process.wait())
 
@@ -153,7 +153,7 @@
 def test_a_stop_is_not_lost_behind_changed_settings() -> None:
     """An instance that is told of changed settings without end never stops."""
     with deployment(USUAL_CONFIG) as platform, gateway_process(platform) as started:
-        started.until_ready()
+        started.wait_until_ready()
         pid = started.process.pid
         changing = Thread(target=send_series, args=(pid, signal.SIGHUP, True))
         changing.start()
--- a/tests/support/gateway_truth.py
+++ b/tests/support/call_rules.py
@@ -10,9 +10,9 @@
 from mimosafork.kernel.messages.outcomes import Conclude
 from mimosafork.kernel.messages.requests import Repeatability, Request
 
-WINDOW = timedelta(seconds=10)
-RATIO = 0.2
-SLACK = 5.0
+RETRY_WINDOW = timedelta(seconds=10)
+RETRY_RATIO = 0.2
+RETRY_SLACK = 5.0
 
 CRASHES = 3
 """Endpoints that a content may bring down before it is poison."""
@@ -98,14 +98,16 @@
 class Budget:
     """Requests and repeats of one service, of all instances, with their instants."""
 
-    slack: float = SLACK
+    slack: float = RETRY_SLACK
     requests: list[timedelta] = field(default_factory=list)
     repeats: list[timedelta] = field(default_factory=list)
 
     def check(self, now: timedelta) -> None:
         """Check all windows that end now or that begin with a repeat and are over."""
         ends = [now]
-        ends += [at + WINDOW for at in self.repeats if now - WINDOW * 2 <= at]
+        ends += [
+            at + RETRY_WINDOW for at in self.repeats if now - RETRY_WINDOW * 2 <= at
+        ]
         for end in ends:
             if end <= now:
                 self.check_window(end)
@@ -119,17 +121,17 @@
 
     def allowed(self, end: timedelta) -> float:
         """Return how many repeats the window that ends at `end` may have."""
-        return RATIO * self.requests_for(end) + self.slack
+        return RETRY_RATIO * self.requests_for(end) + self.slack
 
     def requests_for(self, end: timedelta) -> int:
         """Return the requests that count for the window that ends at `end`."""
-        shifts = (timedelta(0), WINDOW, WINDOW / 2)
+        shifts = (timedelta(0), RETRY_WINDOW, RETRY_WINDOW / 2)
         return max(count(self.requests, end - shift) for shift in shifts)
 
 
 def count(instants: list[timedelta], end: timedelta) -> int:
     """Return how many instants lie in the window that ends at `end`."""
-    return sum(end - WINDOW < at <= end for at in instants)
+    return sum(end - RETRY_WINDOW < at <= end for at in instants)
 
 
 @dataclass
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -262,8 +262,8 @@
         listener.close()
     server.gateway.stop()
     await server.directory.stop()
-    if server.sharing.gossip is not None:
-        await server.sharing.gossip.close()
+    if server.gossip_adapter.gossip is not None:
+        await server.gossip_adapter.gossip.close()
     for store in running.stores:
         store.close()
     await asyncio.sleep(0)
--- a/tests/support/gateway_processes.py
+++ b/tests/support/gateway_processes.py
@@ -92,7 +92,7 @@
         except (NoAnswerError, OSError):
             return 0
 
-    def until_ready(self, status: int = 200) -> None:
+    def wait_until_ready(self, status: int = 200) -> None:
         """Wait until the balancer is told something."""
         eventually(lambda: self.ready_status() == status)
 
@@ -100,7 +100,7 @@
         """Post a request with an id."""
         return ask(self.front, path, name, b"body", **headers)
 
-    def until_logged(self, text: str) -> None:
+    def wait_until_logged(self, text: str) -> None:
         """Wait for a line with some text."""
         eventually(lambda: any(text in line for line in self.process.lines))
 
@@ -111,7 +111,7 @@
     name: str = "entry-1",
     store: str = "",
     bounds: str = "",
-    customized: str = "",
+    sitecustomize: str = "",
 ) -> Iterator[GatewayProcess]:
     """Run an instance before a prepared platform; it ends with the test.
 
@@ -121,11 +121,11 @@
         Where it reaches the store, if not at its own address.
     bounds : str
         Further lines of that section of the settings.
-    customized : str
+    sitecustomize : str
         Code that the interpreter runs first, to bring a fault about.
     """
     with TemporaryDirectory() as folder, ExitStack() as stack:
-        Path(folder, "sitecustomize.py").write_text(customized)
+        Path(folder, "sitecustomize.py").write_text(sitecustomize)
         address = store or platform.store.address
         started = GatewayProcess(Path(folder), name, address, bounds)
         stack.callback(started.process.kill)
--- a/tests/support/sharing_lives.py
+++ b/tests/support/gossip_instances.py
@@ -17,9 +17,9 @@
     RowPage,
     RowPut,
 )
-from mimosafork.gateway.neighbours import Neighbours
+from mimosafork.gateway.gossip_adapter import GossipAdapter
 from mimosafork.gateway.policies.fleet_view import FleetView
-from mimosafork.gateway.sharing import Sharing
+from mimosafork.gateway.subset_selector import SubsetSelector
 from mimosafork.gossip.finding import Finder
 from mimosafork.gossip.peer_rows import TABLE, SharedPeerRows
 from mimosafork.gossip.service import Gossip, GossipOptions
@@ -29,7 +29,7 @@
 from .gossip_network import identity
 
 
-class FakeRows:
+class FakeRowStore:
     """Rows in memory, with pages of two; down while told so."""
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
             raise StoreUnavailableError("down")
 
 
-class SharingLife:
+class GossipInstance:
     """One life of an instance: its sharing, its gossip and its finder.
 
     Parameters
@@ -83,17 +83,17 @@
         In the instance's name.
     """
 
-    def __init__(self, rows: FakeRows, clock: ManualClock, number: int) -> None:
+    def __init__(self, rows: FakeRowStore, clock: ManualClock, number: int) -> None:
         me = identity(number)
         directory = Directory(
             ScriptedConfigurations(), ScriptedEndpoints(), clock, Random(1)
         )
-        self.sharing = Sharing(
+        self.sharing = GossipAdapter(
             directory,
             lambda message: None,
             lambda endpoint: None,
             clock,
-            Neighbours(me.instance, FleetView()),
+            SubsetSelector(me.instance, FleetView()),
         )
         self.gossip = Gossip(
             GossipOptions(me.instance, me.zone, "blue"),
@@ -106,13 +106,13 @@
         )
         self.sharing.gossip = self.gossip
 
-    def look(self) -> bool:
+    def discover_peers(self) -> bool:
         """Write the own row and read all; return whether to look again soon."""
         finder = self.gossip.finder
         assert isinstance(finder, Finder)
         asyncio.run(finder.look())
         return finder.looks_again
 
-    def part(self, slack: float = 100.0) -> int:
+    def slack_share(self, slack: float = 100.0) -> int:
         """Return this life's part of a slack."""
         return self.sharing.slack_share().of(slack)
--- a/tests/support/held_state.py
+++ b/tests/support/reachable_items.py
@@ -7,7 +7,7 @@
 LEAVES = (str, bytes, int, float, type, Enum)
 
 
-def held_items(root: object) -> int:
+def count_reachable_items(root: object) -> int:
     """Return how many items all containers hold that can be reached from an object.
 
     Mappings, sets, lists, tuples, deques and the attributes of objects are followed;
--- a/tests/support/repeating_fleet.py
+++ b/tests/support/repeating_fleet.py
@@ -27,8 +27,8 @@
 from mimosafork.kernel.messages.timers import WakeAt
 from mimosafork.kernel.registry import create
 
+from .call_rules import RETRY_WINDOW, Budget
 from .gateway_kernels import ZONE, digest_of, listed, plain_request
-from .gateway_truth import WINDOW, Budget
 from .gossip_network import STEP, Network, identity, ms
 
 ENDPOINTS = 10
@@ -85,7 +85,7 @@
         """Return this instance's part of the slack, as a server does."""
         census = self.exchange.roster.census
         lasted = self.now - self.began_at
-        is_over = self.is_first_life or lasted >= WINDOW + ARRIVES_WITHIN
+        is_over = self.is_first_life or lasted >= RETRY_WINDOW + ARRIVES_WITHIN
         since = None if is_over else self.began_at
         rank = census.rank(self.exchange.me.instance, self.now)
         return SlackShare(census.instances, rank, census.complete, since)
@@ -254,8 +254,8 @@
         What comes later falls into no window that begins with one of these.
         """
         budget, now = self.budget, self.network.now
-        budget.repeats = [at for at in budget.repeats if now - WINDOW <= at]
-        budget.requests = [at for at in budget.requests if now - 3 * WINDOW <= at]
+        budget.repeats = [at for at in budget.repeats if now - RETRY_WINDOW <= at]
+        budget.requests = [at for at in budget.requests if now - 3 * RETRY_WINDOW <= at]
 
 
 def refused(dispatch: Dispatch) -> AttemptFailed:
--- a/tests/support/gateway_world.py
+++ b/tests/support/simulated_gateway.py
@@ -72,9 +72,9 @@
 from mimosafork.kernel.messages.timers import WakeAt
 from mimosafork.kernel.registry import create
 
+from .call_rules import RETRY_RATIO, RETRY_SLACK, Judge, ModelCall, Phase, Sent
 from .gateway_kernels import ZONE
 from .gateway_tables import EndpointRows, TableHistory, marks_of, message_of
-from .gateway_truth import RATIO, SLACK, Judge, ModelCall, Phase, Sent
 from .reserving_engines import POOL, FakeModelEngine
 
 OPENED_WITHIN = timedelta(milliseconds=300)
@@ -185,7 +185,7 @@
         self.version = 0
         retry = self.kernel.plugin(BudgetedRetry)
         for each in (retry, self.peer):
-            each.ratio, each.slack = RATIO, SLACK
+            each.ratio, each.slack = RETRY_RATIO, RETRY_SLACK
         retry.share = lambda: self.share
         self.peer.share = lambda: SlackShare(INSTANCES, rank=1)
 
--- a/tests/unit/gateway/test_budget_bounds.py
+++ b/tests/unit/gateway/test_budget_bounds.py
@@ -12,19 +12,19 @@
 from mimosafork.gossip.members import Address
 from mimosafork.ids import RequestId
 
+from ...support.call_rules import RETRY_WINDOW
 from ...support.functions import function_tests
 from ...support.gateway_kernels import DESK, gateway_bench, request_of
-from ...support.gateway_truth import WINDOW
+from ...support.gossip_instances import FakeRowStore, GossipInstance
 from ...support.gossip_network import ZONES, identity, ms
 from ...support.repeating_fleet import LATEST, RepeatingFleet, RepeatingInstance
-from ...support.sharing_lives import FakeRows, SharingLife
 
 case = TestCase()
 
 CALM = timedelta(seconds=12)
 FLOOD = timedelta(seconds=14)
 
-SETTLES = WINDOW + LATEST
+SETTLES = RETRY_WINDOW + LATEST
 """Until then what a former life has sent may arrive in the same window."""
 
 
@@ -123,13 +123,13 @@
     case.assertLessEqual(fleet.worst_window(), 0)
 
 
-def waits_for_its_part(life: SharingLife, clock: ManualClock, part: int) -> None:
+def waits_for_its_part(life: GossipInstance, clock: ManualClock, part: int) -> None:
     """Check that a life has no part for a window and the way, and then has it."""
-    case.assertEqual(0, life.part())
+    case.assertEqual(0, life.slack_share())
     clock.advance(SETTLES - ms(1))
-    case.assertEqual(0, life.part())
+    case.assertEqual(0, life.slack_share())
     clock.advance(ms(1))
-    case.assertEqual(part, life.part())
+    case.assertEqual(part, life.slack_share())
 
 
 def test_a_first_life_in_an_old_fleet_waits_for_its_part() -> None:
@@ -142,25 +142,25 @@
         (STARTED_TOGETHER, True),
         (STARTED_TOGETHER + ms(1), False),
     ):
-        rows, clock = FakeRows(), ManualClock(CALM)
-        SharingLife(rows, clock, 1).look()
+        rows, clock = FakeRowStore(), ManualClock(CALM)
+        GossipInstance(rows, clock, 1).discover_peers()
         clock.advance(age)
-        late = SharingLife(rows, clock, 2)
-        case.assertEqual(is_new, late.look())
+        late = GossipInstance(rows, clock, 2)
+        case.assertEqual(is_new, late.discover_peers())
         if is_new:
-            case.assertFalse(late.look())
-            case.assertEqual(50, late.part())
+            case.assertFalse(late.discover_peers())
+            case.assertEqual(50, late.slack_share())
         else:
             waits_for_its_part(late, clock, 50)
 
 
 def test_one_old_row_among_fresh_ones_is_of_an_old_fleet() -> None:
-    rows, clock = FakeRows(), ManualClock(CALM)
-    SharingLife(rows, clock, 1).look()
+    rows, clock = FakeRowStore(), ManualClock(CALM)
+    GossipInstance(rows, clock, 1).discover_peers()
     clock.advance(CALM)
-    SharingLife(rows, clock, 2).look()
-    last = SharingLife(rows, clock, 3)
-    case.assertFalse(last.look())
+    GossipInstance(rows, clock, 2).discover_peers()
+    last = GossipInstance(rows, clock, 3)
+    case.assertFalse(last.discover_peers())
     waits_for_its_part(last, clock, 33)
 
 
@@ -171,12 +171,12 @@
     of a new fleet, and spent the part that its former life had spent before.
     """
     for others in (0, 1, 3):
-        rows, clock = FakeRows(), ManualClock(CALM)
+        rows, clock = FakeRowStore(), ManualClock(CALM)
         for number in range(others + 1):
-            SharingLife(rows, clock, number).look()
+            GossipInstance(rows, clock, number).discover_peers()
         clock.advance(ms(500))
-        again = SharingLife(rows, clock, 0)
-        case.assertFalse(again.look(), others)
+        again = GossipInstance(rows, clock, 0)
+        case.assertFalse(again.discover_peers(), others)
         waits_for_its_part(again, clock, 100 // (others + 1))
 
 
@@ -185,19 +185,19 @@
 
     However long it has lasted, it can't know among how many the slack is divided.
     """
-    rows, clock = FakeRows(), ManualClock(CALM)
-    SharingLife(rows, clock, 1).look()
+    rows, clock = FakeRowStore(), ManualClock(CALM)
+    GossipInstance(rows, clock, 1).discover_peers()
     rows.down = True
     clock.advance(CALM)
-    life = SharingLife(rows, clock, 2)
+    life = GossipInstance(rows, clock, 2)
     for _ in range(3):
-        case.assertFalse(life.look())
-        case.assertEqual(0, life.part())
+        case.assertFalse(life.discover_peers())
+        case.assertEqual(0, life.slack_share())
         clock.advance(SETTLES)
-    case.assertEqual(0, life.part())
+    case.assertEqual(0, life.slack_share())
     rows.down = False
-    life.look()
-    case.assertEqual(50, life.part())
+    life.discover_peers()
+    case.assertEqual(50, life.slack_share())
 
 
 def test_a_life_of_a_new_fleet_has_its_part_after_a_second_look() -> None:
@@ -205,17 +205,17 @@
 
     Their rows are written at about the same time, so that the first look finds some.
     """
-    rows, clock = FakeRows(), ManualClock(CALM)
-    first, second, third = (SharingLife(rows, clock, number) for number in range(3))
-    case.assertTrue(first.look())
-    case.assertEqual(100, first.part())
-    case.assertTrue(second.look())
-    case.assertEqual(0, second.part())
-    case.assertTrue(third.look())
+    rows, clock = FakeRowStore(), ManualClock(CALM)
+    first, second, third = (GossipInstance(rows, clock, number) for number in range(3))
+    case.assertTrue(first.discover_peers())
+    case.assertEqual(100, first.slack_share())
+    case.assertTrue(second.discover_peers())
+    case.assertEqual(0, second.slack_share())
+    case.assertTrue(third.discover_peers())
     clock.advance(READ_AGAIN)
     for each, part in ((first, 34), (second, 33), (third, 33)):
-        case.assertFalse(each.look())
-        case.assertEqual(part, each.part())
+        case.assertFalse(each.discover_peers())
+        case.assertEqual(part, each.slack_share())
 
 
 def test_without_a_slack_requests_still_earn_repeats() -> None:
--- a/tests/unit/gateway/test_call_lines.py
+++ b/tests/unit/gateway/test_call_lines.py
@@ -13,8 +13,8 @@
 from mimosafork.gateway.dialect import CallMetadata
 from mimosafork.gateway.event_stream import RawStreamEvent
 from mimosafork.gateway.heads import Header, RequestHead
+from mimosafork.gateway.instance_view import DecisionInputs
 from mimosafork.gateway.intake import CallRefusal
-from mimosafork.gateway.outlook import Inputs
 from mimosafork.gateway.request_reader import RequestMessage
 from mimosafork.ids import (
     AccountId,
@@ -80,17 +80,17 @@
 class Known:
     """Knows always the same."""
 
-    def inputs(self, service: ServiceId) -> Inputs:
+    def inputs(self, service: ServiceId) -> DecisionInputs:
         """Return some figures."""
-        return Inputs(
+        return DecisionInputs(
             listed=4,
             usable=3,
             running=7,
             peers_running=20,
             peers=6,
-            repeats_left=55,
-            repeats_sent=9,
-            sharers=7,
+            retries_left=55,
+            retries_sent=9,
+            budget_instances=7,
             table_age=40 * MS,
             listing_age=90 * MS,
         )
@@ -99,7 +99,7 @@
         """Return some age."""
         return 400 * MS
 
-    def spread(self, dispatch: Dispatch) -> AttemptPlacement:
+    def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
         """Return two zones, and a first token 250 ms after the clock's start."""
         return AttemptPlacement(ZONE_B, (ZONE_A,) * len(dispatch.helpers), 250 * MS)
 
--- a/tests/unit/gateway/test_stopping.py
+++ b/tests/unit/gateway/test_draining.py
@@ -9,10 +9,10 @@
 from mimosafork.clock import ManualClock
 from mimosafork.gateway.client_connection import ClientConnection
 from mimosafork.gateway.dialect import CallMetadata, Dialect
+from mimosafork.gateway.draining import drain
 from mimosafork.gateway.gateway import Gateway
 from mimosafork.gateway.heads import Header, RequestHead
 from mimosafork.gateway.server import BALANCER_LAG
-from mimosafork.gateway.stopping import run_out
 
 from ...support.functions import function_tests
 from ...support.gateway_kernels import gateway_bench
@@ -66,7 +66,7 @@
     clock = ManualClock(start=timedelta(seconds=100))
     instance = BusyInstance(clock, call_lasts)
     began = clock.monotonic()
-    cut = asyncio.run(run_out(instance, BALANCER_LAG, GRACE, clock, instance.pause))
+    cut = asyncio.run(drain(instance, BALANCER_LAG, GRACE, clock, instance.pause))
     return cut, clock.monotonic() - began, instance
 
 
--- a/tests/unit/gateway/test_freeze.py
+++ b/tests/unit/gateway/test_freeze_watch.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.freeze import Freeze, FreezeWatch
+from mimosafork.gateway.freeze_watch import FreezeWatch, ProcessFreeze
 from tests.support.functions import function_tests
 
 GAP = timedelta(milliseconds=50)
@@ -29,7 +29,7 @@
     watch.ticked()
     steady.advance(GAP)
     boot.advance(GAP + timedelta(seconds=3))
-    assert watch.ticked() == Freeze(timedelta(seconds=3), timedelta(seconds=3))
+    assert watch.ticked() == ProcessFreeze(timedelta(seconds=3), timedelta(seconds=3))
 
 
 def test_a_freeze_between_two_rare_ticks_is_noticed_at_least_as_soon() -> None:
@@ -48,7 +48,7 @@
     frozen = timedelta(milliseconds=1050)
     for clock in (steady, boot):
         clock.advance(frozen)
-    assert watch.ticked(rare) == Freeze(frozen - rare, timedelta(0))
+    assert watch.ticked(rare) == ProcessFreeze(frozen - rare, timedelta(0))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_gateway_machine.py
+++ b/tests/unit/gateway/test_gateway_machine.py
@@ -27,9 +27,9 @@
 from ...support.functions import function_tests
 from ...support.gateway_kernels import DESK
 from ...support.gateway_tables import KEYS, ROUTES
-from ...support.gateway_world import INSTANCES, Fate, GatewayWorld, ModelEndpoint
 from ...support.machines import explore
 from ...support.reserving_engines import MEMORY, POOL, FakeModelEngine
+from ...support.simulated_gateway import INSTANCES, Fate, GatewayWorld, ModelEndpoint
 
 EXAMPLES = 50
 STEPS = 50
--- a/tests/unit/gateway/test_gateway_peers.py
+++ b/tests/unit/gateway/test_gateway_peers.py
@@ -7,7 +7,7 @@
 from unittest import TestCase
 from unittest.mock import patch
 
-from mimosafork.gateway import sharing
+from mimosafork.gateway import gossip_adapter
 from mimosafork.gateway.policies.placing import WorkPlacer
 from mimosafork.gateway.policies.retrying import BudgetedRetry
 from mimosafork.gossip.census import Census
@@ -60,7 +60,7 @@
 
 
 def peers_of(running: RunningGateway) -> int:
-    gossip = running.server.sharing.gossip
+    gossip = running.server.gossip_adapter.gossip
     return 0 if gossip is None else len(gossip.peers)
 
 
@@ -110,7 +110,9 @@
     of 64 instances. They had ended when peers heard of them, and engines' words waited.
     """
     # On a busy machine a call may last long enough to be told; none does here.
-    never = patch.object(sharing, "LASTS_AFTER", timedelta(minutes=1))
+    never = patch.object(
+        gossip_adapter, "PLAIN_CALL_PUBLISH_DELAY", timedelta(minutes=1)
+    )
     with never, fleet() as running:
         desk = running.platform.add_desk(EndpointSettings(DESKS))
         first, second, _ = running.instances
@@ -131,7 +133,7 @@
 
 
 def works_heard(running: RunningGateway) -> list[Slot]:
-    gossip = running.server.sharing.gossip
+    gossip = running.server.gossip_adapter.gossip
     assert gossip is not None
     members = gossip.exchange.roster.members.values()
     slots = (slot for member in members for slot in member.ledger.entries)
@@ -210,7 +212,7 @@
 
 
 def census_of(running: RunningGateway) -> Census:
-    gossip = running.server.sharing.gossip
+    gossip = running.server.gossip_adapter.gossip
     assert gossip is not None
     return gossip.census
 
--- a/tests/unit/gateway/test_hedged_ends.py
+++ b/tests/unit/gateway/test_hedged_ends.py
@@ -179,7 +179,7 @@
         caller.send("/stream/1", b"", **headers)
         door.run(4 * SECOND)
         case.assertEqual([200], caller.statuses)
-        case.assertEqual({}, gateway.hedged)
+        case.assertEqual({}, gateway.hedged_attempts)
         case.assertTrue(caller.read().endswith(LAST), caller.read()[-80:])
 
 
--- a/tests/unit/gateway/test_kept_promises.py
+++ b/tests/unit/gateway/test_kept_promises.py
@@ -456,7 +456,7 @@
         door.accepting = gateway.new_connection
         gateway.post(RoutingTableChanged(table))
         yield gateway, door
-        for ticker in filter(None, (gateway.ticker,)):
+        for ticker in filter(None, (gateway.tick_timer,)):
             ticker.cancel()
 
 
--- a/tests/unit/gateway/test_metrics_page.py
+++ b/tests/unit/gateway/test_metrics_page.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from typing import Any, cast
 
-from mimosafork.gateway.meters import CallMeter
+from mimosafork.gateway.call_metrics import CallMetrics
 from mimosafork.gateway.metrics_page import MetricsConnection
 from mimosafork.kernel.messages.outcomes import Conclude, Outcome
 from mimosafork.kernel.messages.problems import Problem, ProblemCode
@@ -69,10 +69,10 @@
 
 def test_calls_are_counted_by_what_became_of_them() -> None:
     metrics = Metrics()
-    meter = CallMeter(metrics)
+    meter = CallMetrics(metrics)
     problem = Problem(ProblemCode.OVERLOADED, "all slots are taken")
     end = Conclude(cast(Any, "1"), Outcome.NOT_RUN, 0, problem)
-    meter.ended(cast(Any, EndedCall), end)
+    meter.count_ended_call(cast(Any, EndedCall), end)
     lines = metrics.page().decode().splitlines()
     (count,) = [x for x in lines if x.startswith(CALLS.exposed_name)]
     assert 'why="overloaded"' in count
--- a/tests/unit/gateway/test_moved_streams.py
+++ b/tests/unit/gateway/test_moved_streams.py
@@ -180,8 +180,8 @@
             )
             gateway.post(EndpointUsable(listed))
         yield door
-        if gateway.ticker is not None:
-            gateway.ticker.cancel()
+        if gateway.tick_timer is not None:
+            gateway.tick_timer.cancel()
         listener.close()
         door.run_in_loop(gateway.pool.close)
         door.run()
--- a/tests/unit/gateway/test_peer_works.py
+++ b/tests/unit/gateway/test_peer_work_updates.py
@@ -8,9 +8,9 @@
 from mimosafork.clock import ManualClock
 from mimosafork.directory.directory import Directory
 from mimosafork.directory.messages import TableChanged, UpdateOrigin
-from mimosafork.gateway.neighbours import Neighbours
+from mimosafork.gateway.gossip_adapter import GossipAdapter
 from mimosafork.gateway.policies.fleet_view import FleetView
-from mimosafork.gateway.sharing import Sharing
+from mimosafork.gateway.subset_selector import SubsetSelector
 from mimosafork.gossip.exchange import Exchange
 from mimosafork.gossip.kinds.load import LOAD, WorkNote
 from mimosafork.gossip.service import Gossip, GossipOptions
@@ -58,12 +58,12 @@
         directory = Directory(
             ScriptedConfigurations(), ScriptedEndpoints(), self.steady, Random(1)
         )
-        self.sharing = Sharing(
+        self.sharing = GossipAdapter(
             directory,
             self.take,
             lambda endpoint: self.figures,
             self.steady,
-            Neighbours(me.instance, FleetView()),
+            SubsetSelector(me.instance, FleetView()),
         )
         self.gossip = Gossip(
             GossipOptions(me.instance, me.zone, "blue"),
--- a/tests/unit/gateway/test_reserved_memory.py
+++ b/tests/unit/gateway/test_reserved_memory.py
@@ -7,7 +7,7 @@
 from unittest import TestCase
 
 from mimosafork.clock import SystemClock
-from mimosafork.gateway.orders import ANSWER_WITHIN, Orders
+from mimosafork.gateway.order_client import ORDER_TIMEOUT, OrderClient
 from mimosafork.gateway.pool import ConnectionPool
 from mimosafork.ids import EndpointId, RequestId, ReservationId
 from mimosafork.kernel.messages.base import Message
@@ -114,13 +114,13 @@
 
 
 @contextmanager
-def orders() -> Iterator[tuple[LoopThread, Orders, list[Message]]]:
+def orders() -> Iterator[tuple[LoopThread, OrderClient, list[Message]]]:
     """Run an adapter for orders in a loop of its own."""
     thread, told = LoopThread(), list[Message]()
     thread.start()
     pool = ConnectionPool(SystemClock())
     try:
-        adapter = Orders(SystemClock(), pool, PreparedDialect(), told.append)
+        adapter = OrderClient(SystemClock(), pool, PreparedDialect(), told.append)
         yield thread, adapter, told
         thread.call(pool.close)
     finally:
@@ -148,11 +148,11 @@
         thread, adapter, told = running
         for tokens in (1000, 1000):
             thread.call(lambda t=tokens: adapter.perform(reserve(engine.address, t)))  # type: ignore[misc]
-            thread.run(adapter.settle())
+            thread.run(adapter.wait_until_idle())
         case.assertEqual([MemoryReserved(RequestId("r"), ReservationId("t"))] * 2, told)
         engine.thread.call(lambda: engine.reservations.release("t"))
         thread.call(lambda: adapter.perform(reserve(engine.address, MEMORY + 1)))
-        thread.run(adapter.settle())
+        thread.run(adapter.wait_until_idle())
         case.assertIs(GangStepFailure.REFUSED, failure_of(told[-1]))
 
 
@@ -162,15 +162,15 @@
         silent.bind(("127.0.0.1", 0))
         host, port = silent.getsockname()
         thread.call(lambda: adapter.perform(reserve(f"{host}:{port}")))
-        thread.run(adapter.settle())
+        thread.run(adapter.wait_until_idle())
         case.assertIs(GangStepFailure.UNREACHED, failure_of(told[-1]))
         silent.listen()
         began = SystemClock().monotonic()
         thread.call(lambda: adapter.perform(reserve(f"{host}:{port}")))
-        thread.run(adapter.settle())
+        thread.run(adapter.wait_until_idle())
         case.assertIs(GangStepFailure.LOST, failure_of(told[-1]))
         took = SystemClock().monotonic() - began
-        case.assertGreaterEqual(took, ANSWER_WITHIN * 0.9)
+        case.assertGreaterEqual(took, ORDER_TIMEOUT * 0.9)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_reserved_tokens.py
+++ b/tests/unit/gateway/test_reserved_tokens.py
@@ -5,7 +5,7 @@
 from typing import Any, cast
 
 from mimosafork.gateway.gateway import Gateway
-from mimosafork.gateway.gauges import Gauges
+from mimosafork.gateway.gauges import GatewayGauges
 from mimosafork.gateway.policies.reserving import HOLD, MemoryKeeper
 from mimosafork.gateway.policies.tickets import HeldState
 from mimosafork.ids import RequestId
@@ -75,8 +75,8 @@
         bench.kernel, cast(Any, None), bench.clock, Random(1), lambda: None
     )
     metrics = Metrics()
-    gauges = Gauges(gateway, cast(Any, None), None)
-    metrics.observe(MEMORY_RESERVED, gauges.reserved)
+    gauges = GatewayGauges(gateway, cast(Any, None), None)
+    metrics.observe(MEMORY_RESERVED, gauges.reserved_tokens)
     begun(bench)
     held = tokens_of(bench, HeldState.HELD)
     lines = metrics.page().decode().splitlines()
--- a/tests/unit/gateway/test_reserving.py
+++ b/tests/unit/gateway/test_reserving.py
@@ -11,6 +11,7 @@
 )
 from msgspec.structs import replace
 
+from mimosafork.gateway.gossip_adapter import work_note
 from mimosafork.gateway.policies.allowance import Allowance
 from mimosafork.gateway.policies.fleet_view import FleetView
 from mimosafork.gateway.policies.placing import WorkPlacer
@@ -21,7 +22,6 @@
     MemoryKeeper,
 )
 from mimosafork.gateway.policies.retrying import BudgetedRetry
-from mimosafork.gateway.sharing import note_of
 from mimosafork.ids import EndpointId, RequestId
 from mimosafork.kernel.messages.attempts import AttemptFinished, FirstToken
 from mimosafork.kernel.messages.base import Tick
@@ -406,7 +406,7 @@
     begun(bench)
     work = bench.kernel.plugin(WorkPlacer).book.own[RequestId("r")]
     numbered = replace(work, request=RequestId("7"))
-    told = note_of(numbered, bench.clock.monotonic())
+    told = work_note(numbered, bench.clock.monotonic())
     case.assertEqual(
         {(held.endpoint, held.tokens) for held in work.held},
         {(part.helper, part.tokens) for part in told.held},
--- a/tests/unit/gateway/test_ticks.py
+++ b/tests/unit/gateway/test_ticks.py
@@ -22,15 +22,15 @@
         running = stack.enter_context(running_gateway(platform))
         running.wait_until_listed(desk)
         gateway = running.server.gateway
-        running.wait_until(lambda: gateway.tick_after == IDLE_TICK)
+        running.wait_until(lambda: gateway.tick_interval == IDLE_TICK)
         desk.hold()
         channel = stack.enter_context(running.channel())
         channel.send("POST", "/safe/1", {REQUEST_ID: "held", **BEARER}, b"held")
         running.wait_until(lambda: len(gateway.calls) == 1)
-        assert gateway.tick_after == TICK
+        assert gateway.tick_interval == TICK
         desk.let_go()
         running.wait_until(lambda: not gateway.calls)
-        running.wait_until(lambda: gateway.tick_after == IDLE_TICK)
+        running.wait_until(lambda: gateway.tick_interval == IDLE_TICK)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gossip/test_long_life.py
+++ b/tests/unit/gossip/test_long_life.py
@@ -13,7 +13,7 @@
 
 from ...support.functions import function_tests
 from ...support.gossip_network import FLEET, identity, ms
-from ...support.held_state import held_items
+from ...support.reachable_items import count_reachable_items
 
 case = TestCase()
 
@@ -46,7 +46,7 @@
             self.live()
             self.now += GAP
             self.first.tick(self.now)
-        return held_items(self.first)
+        return count_reachable_items(self.first)
 
     def live(self) -> None:
         """Let the peer live, work, and be killed."""
--- a/tests/unit/gossip/test_service.py
+++ b/tests/unit/gossip/test_service.py
@@ -27,8 +27,8 @@
 from mimosafork.ids import AvailabilityZoneId, EndpointId, InstanceId
 
 from ...support.functions import function_tests
+from ...support.gossip_instances import FakeRowStore
 from ...support.gossip_network import identity
-from ...support.sharing_lives import FakeRows
 
 case = TestCase()
 
@@ -329,7 +329,7 @@
     # back, once, over that of its earlier life. A row that nobody can read does not
     # hide the others.
     async def scenario() -> None:
-        rows = FakeRows()
+        rows = FakeRowStore()
         for number in range(1, 5):
             await SharedPeerRows(rows).publish(identity(number))
         rows.rows["front-3"] = b"what is this"
--- a/tests/unit/tooling/test_gateway_page.py
+++ b/tests/unit/tooling/test_gateway_page.py
@@ -8,10 +8,10 @@
 from mimosafork.directory.settings import DirectorySettings
 from mimosafork.gateway import (
     attempt,
+    draining,
     pool,
     response_reader,
     server,
-    stopping,
     upstream,
 )
 from mimosafork.gateway.policies import (
@@ -44,7 +44,7 @@
     longest = fleet_view.LONGEST_ABSENCE
     return [
         f"For {s(server.BALANCER_LAG)} calls are served as before",
-        f"after {WORDS[stopping.LAST_SHARE]} tenths of `bounds.grace`",
+        f"after {WORDS[draining.GRACE_SHARE_FOR_CALLS]} tenths of `bounds.grace`",
         f"had no end ({response_reader.MAX_NON_BODY_BYTES // 1024} KiB, "
         f"{attempt.MAX_BUFFERED_BYTES // 1024} KiB, "
         f"{attempt.MAX_BUFFERED_BYTES // 1024} KiB)",
