--- a/src/mimosafork/gateway/gauges.py
+++ b/src/mimosafork/gateway/gauges.py
@@ -32,8 +32,8 @@
 from ..telemetry.readings import Reading, ReadingSource
 from .gateway import Gateway
 from .instance_view import LiveInstanceView
+from .policies.reservations import ReservationState
 from .policies.reserving import MemoryKeeper
-from .policies.tickets import HeldState
 
 KILOBYTE = 1024
 
@@ -82,8 +82,12 @@
         page.observe(TABLE_VERSION, self.version)
         page.observe(ENDPOINTS_KNOWN, self.endpoints)
         page.observe(REPEATS_LEFT, lambda: self.by_service(self.repeats_left))
-        page.observe(REPEATS_SENT, lambda: self.by_service(self.outlook.retry.sent))
-        page.observe(REPEATS_SHARERS, lambda: [Reading(self.outlook.retry.sharers())])
+        page.observe(
+            REPEATS_SENT, lambda: self.by_service(self.outlook.retry.retries_sent)
+        )
+        page.observe(
+            REPEATS_SHARERS, lambda: [Reading(self.outlook.retry.slack_sharers())]
+        )
         page.observe(PEERS_HEARD, self.peers)
         page.observe(GOSSIP_SENT, self.gossip_bytes)
         page.observe(GOSSIP_DATAGRAMS, self.datagrams)
@@ -112,9 +116,10 @@
     def reserved_tokens(self) -> Iterable[Reading]:
         """Return the tokens that own calls hold on engines."""
         keeper = self.gateway.kernel.plugin(MemoryKeeper)
-        tokens = keeper.tokens_held(self.gateway.clock.monotonic())
+        tokens = keeper.reserved_tokens(self.gateway.clock.monotonic())
         return [
-            Reading(tokens[state], (("state", state.value),)) for state in HeldState
+            Reading(tokens[state], (("state", state.value),))
+            for state in ReservationState
         ]
 
     def table_ages(self) -> Iterable[Reading]:
@@ -152,7 +157,9 @@
 
     def repeats_left(self, service: ServiceId) -> float:
         """Return for how many repeats this instance has room."""
-        return self.outlook.retry.room(service, self.gateway.clock.monotonic())
+        return self.outlook.retry.available_retries(
+            service, self.gateway.clock.monotonic()
+        )
 
     def by_service(self, value: Callable[[ServiceId], float]) -> Iterable[Reading]:
         """Return a value of each service."""
--- a/src/mimosafork/gateway/gossip_adapter.py
+++ b/src/mimosafork/gateway/gossip_adapter.py
@@ -34,8 +34,8 @@
 )
 from ..placement.load_tracker import HeldTokens, InFlightRequest, PrefillPart
 from ..routing.engine import EngineFigures
-from .policies.allowance import ARRIVES_WITHIN, SlackShare
-from .policies.retrying import WINDOW
+from .policies.retry_budget import MAX_RETRY_TRANSIT, SlackShare
+from .policies.retrying import RETRY_WINDOW
 from .subset_selector import SubsetSelector
 
 OFFER_AFTER = timedelta(milliseconds=300)
@@ -101,7 +101,7 @@
         self.figures_of = figures_of
         self.clock = clock
         self.began_at = clock.monotonic()
-        self.settles_after = WINDOW + ARRIVES_WITHIN
+        self.settles_after = RETRY_WINDOW + MAX_RETRY_TRANSIT
         self.gossip: Gossip | None = None
         self.known_peers: set[InstanceId] = set()
         self.current: set[InstanceId] = set()
@@ -377,7 +377,7 @@
         one. In a fleet that is new nobody has spent any.
         """
         if self.gossip is None:
-            return SlackShare(known=False, since=self.began_at)
+            return SlackShare(known=False, restarted_at=self.began_at)
         census = self.gossip.census
         lasted = self.clock.monotonic() - self.began_at
         is_over = census.fleet_is_new or lasted >= self.settles_after
--- a/src/mimosafork/gateway/instance_view.py
+++ b/src/mimosafork/gateway/instance_view.py
@@ -138,13 +138,13 @@
         self.now = now
         self.fleet = kernel.plugin(FleetView)
         self.placer = kernel.plugin(WorkPlacer)
-        self.book = self.placer.book
+        self.book = self.placer.load_tracker
         self.retry = kernel.plugin(BudgetedRetry)
 
     def inputs(self, service: ServiceId) -> DecisionInputs:
         """Return what is known now."""
         now = self.now()
-        known = self.fleet.of_service(service)
+        known = self.fleet.service_endpoints(service)
         return DecisionInputs(
             listed=len(known),
             usable=sum(each.usable(now) for each in known),
@@ -152,9 +152,9 @@
             peers_running=sum(len(works) for works in self.book.peers.values()),
             waiting=len(self.kernel.state.waiting),
             peers=len(self.sharing.known_peers),
-            retries_left=int(self.retry.room(service, now)),
-            retries_sent=self.retry.sent(service),
-            budget_instances=self.retry.sharers(),
+            retries_left=int(self.retry.available_retries(service, now)),
+            retries_sent=self.retry.retries_sent(service),
+            budget_instances=self.retry.slack_sharers(),
             table_age=self.directory.table_age,
             listing_age=self.directory.listing_age,
         )
@@ -175,7 +175,7 @@
         return AttemptPlacement(
             self.zone_of(dispatch.endpoint),
             tuple(self.zone_of(each.endpoint) for each in dispatch.helpers),
-            self.placer.first_token_at.get(dispatch.request_id),
+            self.placer.predicted_first_token_at.get(dispatch.request_id),
         )
 
     def zone_of(self, endpoint: EndpointId) -> AvailabilityZoneId | None:
--- a/src/mimosafork/gateway/policies/place_words.py
+++ b/src/mimosafork/gateway/policies/dispatch_places.py
@@ -5,12 +5,12 @@
 from ...kernel.messages.requests import Request
 from ...kernel.plugins import PlaceOn
 from ...placement.choice import Assignment
-from .patience import patience_of
+from .stall_timeouts import stall_timeouts_for
 
-FIRST_LIFE = Incarnation(1)
+FIRST_INCARNATION = Incarnation(1)
 """An endpoint's id is new with each start, so that it needs no further number."""
 
-USUAL_PRIORITY = 5
+DEFAULT_PRIORITY = 5
 
 
 def place_on(
@@ -20,14 +20,14 @@
     terms = request.terms
     return PlaceOn(
         endpoint=place.host,
-        incarnation=FIRST_LIFE,
+        incarnation=FIRST_INCARNATION,
         address=place.address,
-        priority=USUAL_PRIORITY if terms is None else terms.priority,
+        priority=DEFAULT_PRIORITY if terms is None else terms.priority,
         helpers=helpers,
-        silence_timeouts=patience_of(request),
+        silence_timeouts=stall_timeouts_for(request),
     )
 
 
-def readers(place: Assignment) -> tuple[PrefillHelper, ...]:
+def prefill_helpers(place: Assignment) -> tuple[PrefillHelper, ...]:
     """Return the helpers of a prompt whose memory its host holds."""
     return tuple(PrefillHelper(each.endpoint, each.address) for each in place.helpers)
--- a/src/mimosafork/gateway/policies/fleet_view.py
+++ b/src/mimosafork/gateway/policies/fleet_view.py
@@ -26,35 +26,35 @@
 from ...placement.choice import EngineView
 from ...routing.listing import ListedEndpoint
 from ...routing.table import RoutingTable
-from .standing import Standing, log_ejected, log_reinstated, log_suspicion
+from .health_log import HealthStatus, log_ejected, log_reinstated, log_suspicion
 from .zone_suspicion import FAILURE_WEIGHTS, ZoneSuspicion
 
-UNREACHED_FOR = timedelta(seconds=1)
+UNREACHABLE_BACKOFF = timedelta(seconds=1)
 """An endpoint that couldn't be connected to is left alone for so long at first."""
 
-LONGEST_ABSENCE = timedelta(seconds=4)
-MOST_DOUBLINGS = 8
-SUSPECT_FOR = timedelta(seconds=2)
+MAX_UNREACHABLE_BACKOFF = timedelta(seconds=4)
+MAX_BACKOFF_DOUBLINGS = 8
+ENDPOINT_SUSPICION_PERIOD = timedelta(seconds=2)
 """One whose answers failed is taken last for so long."""
 
 NAMED_AT_FAULT = "named-at-fault"
-BAD_KINDS = frozenset({FailureKind.BROKEN, FailureKind.INVALID})
+SUSPICIOUS_FAILURES = frozenset({FailureKind.BROKEN, FailureKind.INVALID})
 """Silence isn't among them: an engine that reads long prompts is silent and sound."""
-FAILURE_WEIGHT = 0.3
+FAILURE_RATE_WEIGHT = 0.3
 """Share of the newest outcome in an endpoint's failure rate."""
 
-BAD_RATE = 0.25
+SUSPECT_FAILURE_RATE = 0.25
 """Above this rate of failures an endpoint is taken last."""
 
 
-class LastView(msgspec.Struct, frozen=True):
+class CachedView(msgspec.Struct, frozen=True):
     """What placement was told of an endpoint, and the entry that it came from."""
 
     listed: ListedEndpoint
     view: EngineView
 
 
-class EndpointBelief(msgspec.Struct):
+class EndpointHealth(msgspec.Struct):
     """What is known of one endpoint.
 
     Attributes
@@ -80,8 +80,8 @@
     misses: int = 0
     failure_rate: float = 0.0
     suspected_at: timedelta | None = None
-    zones: ZoneSuspicion = msgspec.field(default_factory=ZoneSuspicion)
-    last_view: LastView | None = None
+    zone_suspicion: ZoneSuspicion = msgspec.field(default_factory=ZoneSuspicion)
+    cached_view: CachedView | None = None
 
     def note_unreached(self, now: timedelta) -> None:
         """Leave it alone, longer each time up to a bound.
@@ -89,8 +89,8 @@
         Guard: a hundred connections may fail at once; doubled without a bound the time
         leaves the range of times, and the failure of the call would not be handled.
         """
-        doublings = min(self.misses, MOST_DOUBLINGS)
-        absence = min(LONGEST_ABSENCE, UNREACHED_FOR * 2**doublings)
+        doublings = min(self.misses, MAX_BACKOFF_DOUBLINGS)
+        absence = min(MAX_UNREACHABLE_BACKOFF, UNREACHABLE_BACKOFF * 2**doublings)
         self.misses += 1
         self.unusable_until = now + absence
 
@@ -98,9 +98,9 @@
         """Learn from an attempt's end."""
         if not failed:
             self.misses = 0
-        self.failure_rate += FAILURE_WEIGHT * (float(failed) - self.failure_rate)
+        self.failure_rate += FAILURE_RATE_WEIGHT * (float(failed) - self.failure_rate)
         if failed:
-            self.suspect_until = now + SUSPECT_FOR
+            self.suspect_until = now + ENDPOINT_SUSPICION_PERIOD
 
     def usable(self, now: timedelta) -> bool:
         """Return whether it gets new work."""
@@ -108,13 +108,13 @@
 
     def suspect(self, now: timedelta) -> bool:
         """Return whether it is taken last."""
-        if self.zones.suspected(self.listed.zone, now):
+        if self.zone_suspicion.suspected(self.listed.zone, now):
             return True
-        return now < self.suspect_until or self.failure_rate > BAD_RATE
+        return now < self.suspect_until or self.failure_rate > SUSPECT_FAILURE_RATE
 
     def view(self, now: timedelta) -> EngineView:
         """Return what placement goes by; the former one if nothing has changed."""
-        last = self.last_view
+        last = self.cached_view
         usable, suspect = self.usable(now), self.suspect(now)
         if (
             last is not None
@@ -123,12 +123,12 @@
             and last.view.suspect is suspect
         ):
             return last.view
-        view = view_of(self.listed, usable, suspect)
-        self.last_view = LastView(self.listed, view)
+        view = engine_view(self.listed, usable, suspect)
+        self.cached_view = CachedView(self.listed, view)
         return view
 
 
-def view_of(listed: ListedEndpoint, usable: bool, suspect: bool) -> EngineView:
+def engine_view(listed: ListedEndpoint, usable: bool, suspect: bool) -> EngineView:
     """Return what placement goes by."""
     return EngineView(
         endpoint=listed.endpoint,
@@ -147,12 +147,12 @@
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = None
-        self.endpoints: dict[EndpointId, EndpointBelief] = {}
-        self.by_service: dict[ServiceId, dict[EndpointId, EndpointBelief]] = {}
-        self.left: dict[EndpointId, int | None] = {}
+        self.endpoints: dict[EndpointId, EndpointHealth] = {}
+        self.by_service: dict[ServiceId, dict[EndpointId, EndpointHealth]] = {}
+        self.departed: dict[EndpointId, int | None] = {}
         """Endpoints that drain or are gone, and when their life began."""
-        self.zones = ZoneSuspicion()
-        self.heard: dict[AvailabilityZoneId, timedelta] = {}
+        self.zone_suspicion = ZoneSuspicion()
+        self.zone_answered_at: dict[AvailabilityZoneId, timedelta] = {}
         """When an endpoint of each zone began an answer last, or refused a call."""
 
     def zone_of(self, endpoint: EndpointId) -> AvailabilityZoneId | None:
@@ -160,15 +160,15 @@
         known = self.endpoints.get(endpoint)
         return None if known is None else known.listed.zone
 
-    def zone_heard(self, endpoint: EndpointId, since: timedelta) -> bool:
+    def zone_answered_since(self, endpoint: EndpointId, since: timedelta) -> bool:
         """Return whether any endpoint of an endpoint's zone was heard since then."""
         known = self.endpoints.get(endpoint)
         if known is None:
             return False
-        heard = self.heard.get(known.listed.zone)
+        heard = self.zone_answered_at.get(known.listed.zone)
         return heard is not None and heard >= since
 
-    def of_service(self, service: ServiceId) -> list[EndpointBelief]:
+    def service_endpoints(self, service: ServiceId) -> list[EndpointHealth]:
         """Return the endpoints of a service that aren't leaving."""
         return list(self.by_service.get(service, {}).values())
 
@@ -187,13 +187,13 @@
         # so; that word is never taken back, as a life that drains ends.
         # One that has started again under its id is another life: neither that word
         # nor what was learned of the former one holds for it.
-        if listed.endpoint in self.left:
-            if not listed.started_after(self.left[listed.endpoint]):
+        if listed.endpoint in self.departed:
+            if not listed.started_after(self.departed[listed.endpoint]):
                 return
-            del self.left[listed.endpoint]
+            del self.departed[listed.endpoint]
         known = self.endpoints.get(listed.endpoint)
         if known is None or listed.started_after(known.listed.started_ms):
-            known = EndpointBelief(listed, zones=self.zones)
+            known = EndpointHealth(listed, zone_suspicion=self.zone_suspicion)
             self.endpoints[listed.endpoint] = known
         known.listed = listed
         known.leaving = False
@@ -203,8 +203,8 @@
     def _(self, message: EndpointLeaving, context: Context) -> None:
         known = self.endpoints.pop(message.endpoint, None)
         if message.final:
-            before = self.left.get(message.endpoint)
-            self.left[message.endpoint] = (
+            before = self.departed.get(message.endpoint)
+            self.departed[message.endpoint] = (
                 before if known is None else known.listed.started_ms
             )
         if known is not None:
@@ -215,13 +215,13 @@
     @handle.register
     def _(self, message: ZoneUnreachable, context: Context) -> None:
         # Its instances may all have been killed while its endpoints serve on.
-        heard = self.heard.get(message.zone)
+        heard = self.zone_answered_at.get(message.zone)
         if heard is None or heard <= message.since:
-            self.zones.note_unreachable(message.zone, context.now)
+            self.zone_suspicion.note_unreachable(message.zone, context.now)
 
     @handle.register
     def _(self, message: ZoneReachable, context: Context) -> None:
-        self.zones.note_answer(message.zone, context.now)
+        self.zone_suspicion.note_answer(message.zone, context.now)
 
     @handle.register
     def _(self, message: FirstToken, context: Context) -> None:
@@ -230,8 +230,8 @@
             known = self.endpoints.get(record.current.endpoint)
             if known is not None:
                 known.note_outcome(False, context.now)
-                self.zones.note_answer(known.listed.zone, context.now)
-                self.heard[known.listed.zone] = context.now
+                self.zone_suspicion.note_answer(known.listed.zone, context.now)
+                self.zone_answered_at[known.listed.zone] = context.now
                 log_reinstated(known, context.now)
 
     @handle.register
@@ -240,27 +240,27 @@
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
-        self._note_fault(message, context.now)
+        self._suspect_named_endpoint(message, context.now)
         known = self.endpoints.get(message.endpoint) if message.endpoint else None
         if known is None:
             return
         if message.status is not None:
-            self.heard[known.listed.zone] = context.now
-        before = Standing.of(known, context.now)
+            self.zone_answered_at[known.listed.zone] = context.now
+        before = HealthStatus.of(known, context.now)
         away = known.listed.zone != context.state.identity.availability_zone
         if message.kind in FAILURE_WEIGHTS and away:
-            self.zones.note_failure(known.listed, message.kind, context.now)
+            self.zone_suspicion.note_failure(known.listed, message.kind, context.now)
         if message.kind is FailureKind.UNREACHED:
             known.note_unreached(context.now)
         elif message.refusal == "elsewhere":
-            known.unusable_until = context.now + LONGEST_ABSENCE
-        elif message.kind in BAD_KINDS:
+            known.unusable_until = context.now + MAX_UNREACHABLE_BACKOFF
+        elif message.kind in SUSPICIOUS_FAILURES:
             known.note_outcome(True, context.now)
         elif message.kind is FailureKind.ENGINE_FAILED:
             known.note_outcome(False, context.now)
         log_suspicion(known, before, message.refusal or message.kind.value, context.now)
 
-    def _note_fault(self, failure: AttemptFailed, now: timedelta) -> None:
+    def _suspect_named_endpoint(self, failure: AttemptFailed, now: timedelta) -> None:
         """Suspect the endpoint that another one names as at fault.
 
         The one that answered has only refused and bears no blame: a helper that is
@@ -272,6 +272,6 @@
         for known in self.endpoints.values():
             is_named = named in {known.listed.address, known.listed.endpoint}
             if is_named and known.listed.endpoint != failure.endpoint:
-                before = Standing.of(known, now)
-                known.suspect_until = now + SUSPECT_FOR
+                before = HealthStatus.of(known, now)
+                known.suspect_until = now + ENDPOINT_SUSPICION_PERIOD
                 log_suspicion(known, before, NAMED_AT_FAULT, now)
--- a/src/mimosafork/gateway/policies/turned_away.py
+++ b/src/mimosafork/gateway/policies/full_rejections.py
@@ -10,7 +10,7 @@
 FULL_STATUS = 503
 
 
-def says_full(failure: AttemptFailed, listed: ListedEndpoint) -> bool:
+def reports_full(failure: AttemptFailed, listed: ListedEndpoint) -> bool:
     """Return whether an endpoint said of itself that it has no room.
 
     One that names another says that this one is gone or can't help; then the one that
@@ -23,22 +23,22 @@
     return failure.fault_at in {None, listed.address, listed.endpoint}
 
 
-class TurnedAway:
+class FullRejections:
     """What each open call knows of crowded engines."""
 
     def __init__(self) -> None:
-        self.crowds: dict[RequestId, LoadCeiling] = {}
+        self.by_request: dict[RequestId, LoadCeiling] = {}
 
-    def note(self, request_id: RequestId, running: int, until: timedelta) -> None:
+    def record(self, request_id: RequestId, running: int, until: timedelta) -> None:
         """Learn that an engine that seemed to run so many turned a call away."""
-        former = self.crowds.get(request_id)
-        self.crowds[request_id] = lower_ceiling(former, running, until)
+        former = self.by_request.get(request_id)
+        self.by_request[request_id] = lower_ceiling(former, running, until)
 
-    def crowded(self, request_id: RequestId, now: timedelta) -> int | None:
+    def rejecting_load(self, request_id: RequestId, now: timedelta) -> int | None:
         """Return how many running requests are too many for a call, if any are."""
-        crowd = self.crowds.get(request_id)
+        crowd = self.by_request.get(request_id)
         return crowd.running if crowd is not None and now < crowd.until else None
 
     def forget(self, request_id: RequestId) -> None:
         """Forget a call that has ended."""
-        self.crowds.pop(request_id, None)
+        self.by_request.pop(request_id, None)
--- a/src/mimosafork/gateway/policies/standing.py
+++ b/src/mimosafork/gateway/policies/health_log.py
@@ -20,7 +20,7 @@
 MILLISECOND = timedelta(milliseconds=1)
 
 
-class Suspectable(Protocol):
+class LoggedHealth(Protocol):
     """What is known of one endpoint, as far as it is logged here."""
 
     listed: ListedEndpoint
@@ -37,20 +37,20 @@
         """Return whether it is taken last."""
 
 
-class Standing(msgspec.Struct, frozen=True):
+class HealthStatus(msgspec.Struct, frozen=True):
     """How an endpoint stood before something was learnt of it."""
 
     usable: bool
     suspect: bool
 
     @classmethod
-    def of(cls, known: Suspectable, now: timedelta) -> "Standing":
+    def of(cls, known: LoggedHealth, now: timedelta) -> "HealthStatus":
         """Return how an endpoint stands now."""
         return cls(known.usable(now), known.suspect(now))
 
 
 def log_suspicion(
-    known: Suspectable, before: Standing, why: str, now: timedelta
+    known: LoggedHealth, before: HealthStatus, why: str, now: timedelta
 ) -> None:
     """Log that an endpoint is ejected or suspected, if it was not before.
 
@@ -61,7 +61,7 @@
     why : str
         How the attempt ended.
     """
-    after = Standing.of(known, now)
+    after = HealthStatus.of(known, now)
     if before.usable and not after.usable:
         event, until = ENDPOINT_LEFT_ALONE, known.unusable_until
     elif after.suspect and not before.suspect:
@@ -82,7 +82,7 @@
     )
 
 
-def log_reinstated(known: Suspectable, now: timedelta) -> None:
+def log_reinstated(known: LoggedHealth, now: timedelta) -> None:
     """Log that a suspected endpoint answers as it should."""
     if known.suspected_at is None or not known.usable(now) or known.suspect(now):
         return
@@ -97,7 +97,7 @@
     known.suspected_at = None
 
 
-def log_ejected(known: Suspectable, final: bool) -> None:
+def log_ejected(known: LoggedHealth, final: bool) -> None:
     """Log that an endpoint gets no new work any more.
 
     Parameters
--- a/src/mimosafork/gateway/policies/ordering.py
+++ b/src/mimosafork/gateway/policies/ordering.py
@@ -7,7 +7,7 @@
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 
-LONG_PROMPT = 30_000
+LONG_PROMPT_TOKENS = 30_000
 """Prompt tokens from which a call waits in a lane of its own."""
 
 
@@ -27,12 +27,12 @@
         Guard: a call that a full engine turned away waits for an emptier one. In one
         lane with the others a few of them would keep all new calls behind them.
         """
-        long = record.request.prompt_tokens >= LONG_PROMPT
+        long = record.request.prompt_tokens >= LONG_PROMPT_TOKENS
         size = "long" if long else "short"
-        return f"{size}, turned away" if was_turned_away(record) else size
+        return f"{size}, turned away" if was_rejected(record) else size
 
 
-def was_turned_away(record: RequestRecord) -> bool:
+def was_rejected(record: RequestRecord) -> bool:
     """Return whether a call's latest attempt was refused by its endpoint."""
     failure = record.attempts[-1].failure if record.attempts else None
     return failure is not None and failure.kind is FailureKind.REFUSED
--- a/src/mimosafork/gateway/policies/placing.py
+++ b/src/mimosafork/gateway/policies/placing.py
@@ -49,24 +49,24 @@
 from ...placement.overload import slot_release_time, typical_answer_time
 from ...placement.policy import choose
 from ...routing.engine import EngineFigures
+from .dispatch_places import place_on, prefill_helpers
 from .fleet_view import FleetView
-from .place_words import place_on, readers
+from .full_rejections import FullRejections, reports_full
 from .quarantining import CrashQuarantine
 from .reserving import MemoryKeeper
-from .retrying import BUDGET_USED, BudgetedRetry
-from .turned_away import TurnedAway, says_full
+from .retrying import RETRY_BUDGET_EXHAUSTED, BudgetedRetry
 
-HOPELESS_SHARE = 0.25
+MAX_WAIT_SHARE = 0.25
 """A call that has waited for this share of its time is given up: one held longer
 could hardly be served, and its caller should come back elsewhere at once."""
 
-COME_BACK = timedelta(milliseconds=600)
+RETRY_AFTER = timedelta(milliseconds=600)
 
-TOLD_READING_MS = 100.0
+MIN_PUBLISHED_PREFILL_MS = 100.0
 """Peers are told when a prompt has been read whose part takes an engine so long."""
 
 
-def all_of(views: Sequence[EngineView]) -> Sequence[EngineView]:
+def all_engines(views: Sequence[EngineView]) -> Sequence[EngineView]:
     """Return all engines."""
     return views
 
@@ -88,14 +88,16 @@
         self.memory = MemoryKeeper()
         self.quarantine = CrashQuarantine()
         self.retry = BudgetedRetry()
-        self.book = LoadTracker()
-        self.narrowed: Callable[[Sequence[EngineView]], Sequence[EngineView]] = all_of
+        self.load_tracker = LoadTracker()
+        self.engine_subset: Callable[[Sequence[EngineView]], Sequence[EngineView]] = (
+            all_engines
+        )
         self.waiting_since: dict[RequestId, timedelta] = {}
-        self.first_token_at: dict[RequestId, timedelta] = {}
-        self.turned_away = TurnedAway()
-        self.placed_as: dict[RequestId, AttemptNumber] = {}
+        self.predicted_first_token_at: dict[RequestId, timedelta] = {}
+        self.full_rejections = FullRejections()
+        self.placed_attempts: dict[RequestId, AttemptNumber] = {}
         """Numbers of the attempts whose works stand in the book."""
-        self.hedged: dict[RequestId, AttemptNumber] = {}
+        self.hedged_attempts: dict[RequestId, AttemptNumber] = {}
         """Numbers of silent attempts that stay open beside another one."""
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
@@ -110,26 +112,30 @@
         assert self.fleet is not None
         # What came before its content was known to crash endpoints, and waits or is
         # to be sent again, would bring down one more each.
-        objection = self.quarantine.objection(record.request.body_digest, context.now)
+        objection = self.quarantine.rejection_for(
+            record.request.body_digest, context.now
+        )
         if objection is not None:
             return Refuse(objection)
         service = ServiceId(record.request.target)
-        views = [b.view(context.now) for b in self.fleet.of_service(service)]
-        if self.memory.pauses(record.request_id, context.now):
+        views = [b.view(context.now) for b in self.fleet.service_endpoints(service)]
+        if self.memory.is_backing_off(record.request_id, context.now):
             return Wait(Shortage.MEMORY.value)
         figures = self.figures_of(service)
-        engines = views if figures is None else self.narrowed(views)
-        ask = self._ask(record, figures, context)
-        choice = choose(ask, engines, self.book, figures, context.now, context.random)
+        engines = views if figures is None else self.engine_subset(views)
+        ask = self._placement_request(record, figures, context)
+        choice = choose(
+            ask, engines, self.load_tracker, figures, context.now, context.random
+        )
         if isinstance(choice, Assignment):
-            if not self.retry.still_paid(record.request, context):
-                return Refuse(overloaded(BUDGET_USED, COME_BACK))
-            return self._take(choice, ask, record, context)
+            if not self.retry.charge_retry(record.request, context):
+                return Refuse(overloaded_problem(RETRY_BUDGET_EXHAUSTED, RETRY_AFTER))
+            return self._assign(choice, ask, record, context)
         if isinstance(choice, RejectRequest):
-            return Refuse(overloaded(choice.reason.value, choice.retry_after))
-        return self._wait(record, choice, context.now)
+            return Refuse(overloaded_problem(choice.reason.value, choice.retry_after))
+        return self._wait_or_refuse(record, choice, context.now)
 
-    def places_again(self, record: RequestRecord, context: Context) -> bool:
+    def could_place_elsewhere(self, record: RequestRecord, context: Context) -> bool:
         """Return whether a running call would be sent elsewhere at once if it ended.
 
         Nothing is changed by asking. Memory that would have to be reserved may be
@@ -137,25 +143,27 @@
         """
         if self.fleet is None or record.current is None:
             return False
-        if self.quarantine.objection(record.request.body_digest, context.now):
+        if self.quarantine.rejection_for(record.request.body_digest, context.now):
             return False
         service = ServiceId(record.request.target)
         if len(context.state.waiting.waiting_for(service)) >= QUEUE_MISSES:
             return False
-        views = [b.view(context.now) for b in self.fleet.of_service(service)]
+        views = [b.view(context.now) for b in self.fleet.service_endpoints(service)]
         figures = self.figures_of(service)
-        engines = views if figures is None else self.narrowed(views)
-        ask = self._ask(record, figures, context)
+        engines = views if figures is None else self.engine_subset(views)
+        ask = self._placement_request(record, figures, context)
         avoid = ask.avoid | {record.current.endpoint}
         ask = replace(ask, avoid=avoid, may_have_run=True)
-        choice = choose(ask, engines, self.book, figures, context.now, context.random)
+        choice = choose(
+            ask, engines, self.load_tracker, figures, context.now, context.random
+        )
         return (
             isinstance(choice, Assignment)
             and choice.host not in avoid
             and not choice.reservations
         )
 
-    def _take(
+    def _assign(
         self,
         place: Assignment,
         ask: PlacementRequest,
@@ -164,34 +172,40 @@
     ) -> Placement:
         """Enter a call's work at its place, and tell peers of it."""
         work = place.to_in_flight_request(ask, context.now)
-        self.book.record(work)
-        self.placed_as[work.request] = AttemptNumber(len(record.attempts) + 1)
+        self.load_tracker.record(work)
+        self.placed_attempts[work.request] = AttemptNumber(len(record.attempts) + 1)
         self.waiting_since.pop(record.request_id, None)
-        self._note_forecast(place, record.request_id, context.now)
+        self._record_prediction(place, record.request_id, context.now)
         context.emit(PublishWork(work))
         if place.reservations:
             return self.memory.begin(place, record, context)
-        return place_on(place, record.request, readers(place))
+        return place_on(place, record.request, prefill_helpers(place))
 
-    def _note_forecast(
+    def _record_prediction(
         self, place: Assignment, request_id: RequestId, now: timedelta
     ) -> None:
         """Note when the first token is expected, for the log; plain calls have none."""
-        self.first_token_at.pop(request_id, None)
+        self.predicted_first_token_at.pop(request_id, None)
         if place.predicted_first_token > timedelta(0):
-            self.first_token_at[request_id] = now + place.predicted_first_token
+            self.predicted_first_token_at[request_id] = (
+                now + place.predicted_first_token
+            )
 
-    def _ask(
+    def _placement_request(
         self, record: RequestRecord, figures: EngineFigures | None, context: Context
     ) -> PlacementRequest:
         """Return what placement is asked, without engines known to lack memory."""
-        crowded = self.turned_away.crowded(record.request_id, context.now)
-        ask = replace(ask_of(record, figures, context), running_ceiling=crowded)
+        crowded = self.full_rejections.rejecting_load(record.request_id, context.now)
+        ask = replace(
+            placement_request(record, figures, context), running_ceiling=crowded
+        )
         if figures is None or not needs_reservations(ask, figures):
             return ask
-        return replace(ask, avoid=ask.avoid | self.memory.short_engines(context.now))
+        return replace(
+            ask, avoid=ask.avoid | self.memory.engines_short_of_memory(context.now)
+        )
 
-    def _wait(
+    def _wait_or_refuse(
         self, record: RequestRecord, choice: WaitForCapacity, now: timedelta
     ) -> Placement:
         """Let a call wait, unless it has waited for long.
@@ -204,8 +218,8 @@
             return Wait(choice.reason.value)
         since = self.waiting_since.setdefault(record.request_id, now)
         allowed = record.request.deadline - record.submitted_at
-        if now - since > allowed * HOPELESS_SHARE:
-            return Refuse(overloaded(choice.reason.value, COME_BACK))
+        if now - since > allowed * MAX_WAIT_SHARE:
+            return Refuse(overloaded_problem(choice.reason.value, RETRY_AFTER))
         return Wait(choice.reason.value)
 
     def figures_of(self, service: ServiceId) -> EngineFigures | None:
@@ -220,21 +234,24 @@
 
     @handle.register
     def _(self, message: FirstToken, context: Context) -> None:
-        if self.placed_as.get(message.request_id) == message.attempt:
+        if self.placed_attempts.get(message.request_id) == message.attempt:
             self._forget_hedged(message.request_id)
-        self.book.record_first_token(message.request_id, context.now)
-        work = self.book.own.get(message.request_id)
-        if work is not None and reads_long(work):
+        self.load_tracker.record_first_token(message.request_id, context.now)
+        work = self.load_tracker.own.get(message.request_id)
+        if work is not None and has_long_prefill(work):
             context.emit(PublishWork(work))
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
-        work = self.book.own.get(message.request_id)
+        work = self.load_tracker.own.get(message.request_id)
         # The next attempt may have been placed already; its work stays.
-        if work is not None and self.placed_as.get(work.request) == message.attempt:
-            self._end(message.request_id, context)
-            self._note_full(work, message, context)
-        elif self.hedged.get(message.request_id) == message.attempt:
+        if (
+            work is not None
+            and self.placed_attempts.get(work.request) == message.attempt
+        ):
+            self._end_load(message.request_id, context)
+            self._record_rejection(work, message, context)
+        elif self.hedged_attempts.get(message.request_id) == message.attempt:
             self._forget_hedged(message.request_id)
             if work is None:
                 context.emit(PublishWorkEnd(message.request_id))
@@ -242,60 +259,62 @@
     @handle.register
     def _(self, message: AttemptHedged, context: Context) -> None:
         # Peers go on to take it for running; they hear of the next one in its place.
-        if self.book.rename(message.request_id, beside(message.request_id)):
-            self.hedged[message.request_id] = message.attempt
+        if self.load_tracker.rename(message.request_id, hedged_id(message.request_id)):
+            self.hedged_attempts[message.request_id] = message.attempt
 
     @handle.register
     def _(self, message: AttemptRestored, context: Context) -> None:
         self.waiting_since.pop(message.request_id, None)
-        if self.hedged.pop(message.request_id, None) is None:
+        if self.hedged_attempts.pop(message.request_id, None) is None:
             return
-        self.book.remove(message.request_id)
-        work = self.book.rename(beside(message.request_id), message.request_id)
-        self.placed_as[message.request_id] = message.attempt
+        self.load_tracker.remove(message.request_id)
+        work = self.load_tracker.rename(
+            hedged_id(message.request_id), message.request_id
+        )
+        self.placed_attempts[message.request_id] = message.attempt
         if work is not None:
             context.emit(PublishWork(work))
 
     @handle.register
     def _(self, message: PlacementFailed, context: Context) -> None:
         request_id = RequestId(message.request_id)
-        if request_id in self.book.own:
-            self._end(request_id, context)
+        if request_id in self.load_tracker.own:
+            self._end_load(request_id, context)
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
         request_id = message.record.request_id
         self.waiting_since.pop(request_id, None)
-        self.first_token_at.pop(request_id, None)
-        self.turned_away.forget(request_id)
-        self.placed_as.pop(request_id, None)
+        self.predicted_first_token_at.pop(request_id, None)
+        self.full_rejections.forget(request_id)
+        self.placed_attempts.pop(request_id, None)
         was_hedged = self._forget_hedged(request_id)
-        if was_hedged or request_id in self.book.own:
-            self._end(request_id, context)
+        if was_hedged or request_id in self.load_tracker.own:
+            self._end_load(request_id, context)
 
     def _forget_hedged(self, request_id: RequestId) -> bool:
         """Forget the silent attempt that is open beside another; say if there was one.
 
         It takes a slot of its engine until it is ended, under a name of its own.
         """
-        self.book.remove(beside(request_id))
-        return self.hedged.pop(request_id, None) is not None
+        self.load_tracker.remove(hedged_id(request_id))
+        return self.hedged_attempts.pop(request_id, None) is not None
 
     @handle.register
     def _(self, message: PeerWorkReplaced, context: Context) -> None:
-        self.book.replace_peer(message.instance, message.works, context.now)
+        self.load_tracker.replace_peer(message.instance, message.works, context.now)
 
     @handle.register
     def _(self, message: PeerWorkChanged, context: Context) -> None:
-        self.book.update_peer(
+        self.load_tracker.update_peer(
             message.instance, message.works, message.ended, context.now
         )
 
     @handle.register
     def _(self, message: PeerWorkUnknown, context: Context) -> None:
-        self.book.remove_peer(message.instance)
+        self.load_tracker.remove_peer(message.instance)
 
-    def _note_full(
+    def _record_rejection(
         self, work: InFlightRequest, failure: AttemptFailed, context: Context
     ) -> None:
         """Learn from an engine's word that it has no room, for all calls.
@@ -303,38 +322,40 @@
         One whose memory is reserved may have lost it, which says nothing of slots.
         """
         known = self.fleet.endpoints.get(work.host) if self.fleet is not None else None
-        if known is None or work.held or not says_full(failure, known.listed):
+        if known is None or work.held or not reports_full(failure, known.listed):
             return
         figures = self.figures_of(known.listed.service)
         if figures is None:
             return
         slots, stay = known.listed.slots, typical_answer_time(figures)
-        running = self.book.record_rejection(work.host, slots, stay, context.now)
+        running = self.load_tracker.record_rejection(
+            work.host, slots, stay, context.now
+        )
         until = context.now + slot_release_time(figures)
-        self.turned_away.note(work.request, running, until)
+        self.full_rejections.record(work.request, running, until)
 
-    def _end(self, request_id: RequestId, context: Context) -> None:
-        self.book.remove(request_id)
-        if request_id not in self.hedged:
+    def _end_load(self, request_id: RequestId, context: Context) -> None:
+        self.load_tracker.remove(request_id)
+        if request_id not in self.hedged_attempts:
             context.emit(PublishWorkEnd(request_id))
 
 
-def beside(request_id: RequestId) -> RequestId:
+def hedged_id(request_id: RequestId) -> RequestId:
     """Return the name of a call's silent attempt that is open beside another one."""
     return RequestId(f"{request_id} hedged")
 
 
-def reads_long(work: InFlightRequest) -> bool:
+def has_long_prefill(work: InFlightRequest) -> bool:
     """Return whether peers need to hear when a work's prompt has been read.
 
     A short prompt's reading is over for them when it was to be, and as a writer it
     makes a pass longer by less than a millisecond. Not told, its words are two in
     place of three.
     """
-    return any(part.prefill_ms >= TOLD_READING_MS for part in work.parts)
+    return any(part.prefill_ms >= MIN_PUBLISHED_PREFILL_MS for part in work.parts)
 
 
-def ask_of(
+def placement_request(
     record: RequestRecord, figures: EngineFigures | None, context: Context
 ) -> PlacementRequest:
     """Return what placement is asked for a call."""
@@ -347,7 +368,9 @@
         request=request.request_id,
         prompt_tokens=request.prompt_tokens,
         max_answer_tokens=request.max_tokens,
-        answer_tokens=0 if figures is None else expected_answer(request, figures),
+        answer_tokens=0
+        if figures is None
+        else expected_answer_tokens(request, figures),
         time_left=request.deadline - context.now,
         objective=max(timedelta(0), objective),
         longest_pause=None if terms is None else terms.longest_pause,
@@ -358,13 +381,13 @@
     )
 
 
-def expected_answer(request: Request, figures: EngineFigures) -> int:
+def expected_answer_tokens(request: Request, figures: EngineFigures) -> int:
     """Return the tokens that an answer is expected to have."""
     hint = request.terms.expected_tokens if request.terms is not None else 0
     expected = hint or figures.expected_answer_tokens
     return min(expected, request.max_tokens) if request.max_tokens else expected
 
 
-def overloaded(detail: str, come_back: timedelta) -> Problem:
+def overloaded_problem(detail: str, come_back: timedelta) -> Problem:
     """Return why a call is not placed, and when to come back."""
     return Problem(ProblemCode.OVERLOADED, detail, come_back)
--- a/src/mimosafork/gateway/policies/quarantining.py
+++ b/src/mimosafork/gateway/policies/quarantining.py
@@ -25,22 +25,22 @@
 
 logger = logging.getLogger(__name__)
 
-CRASHES = 2
+MAX_CRASHES = 2
 """Endpoints that a request may have brought down before it is refused."""
 
-KEPT_FOR = timedelta(seconds=60)
-COME_BACK = timedelta(seconds=5)
+SUSPICION_TTL = timedelta(seconds=60)
+RETRY_AFTER = timedelta(seconds=5)
 
-OWN = "own attempts"
-PEER = "peer"
+SOURCE_OWN = "own attempts"
+SOURCE_PEER = "peer"
 """Whose word a line tells."""
 
 
-class Suspicion(msgspec.Struct):
+class CrashSuspicion(msgspec.Struct):
     """Endpoints whose connections broke under a request, and when last."""
 
     endpoints: set[EndpointId] = msgspec.field(default_factory=set)
-    seen_at: timedelta = timedelta(0)
+    last_crash_at: timedelta = timedelta(0)
 
 
 @register("crash-quarantine")
@@ -51,22 +51,22 @@
 
     def __init__(self) -> None:
         # The one that was seen last stands last.
-        self.suspicions: dict[Digest, Suspicion] = {}
+        self.suspicions: dict[Digest, CrashSuspicion] = {}
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Refuse what has crashed endpoints before."""
-        problem = self.objection(record.request.body_digest, context.now)
+        problem = self.rejection_for(record.request.body_digest, context.now)
         return Proceed() if problem is None else Refuse(problem)
 
-    def objection(self, digest: Digest, now: timedelta) -> Problem | None:
+    def rejection_for(self, digest: Digest, now: timedelta) -> Problem | None:
         """Return why a content is sent nowhere; None if it may be."""
         suspicion = self.suspicions.get(digest)
-        if suspicion is None or now - suspicion.seen_at > KEPT_FOR:
+        if suspicion is None or now - suspicion.last_crash_at > SUSPICION_TTL:
             return None
-        if len(suspicion.endpoints) <= CRASHES:
+        if len(suspicion.endpoints) <= MAX_CRASHES:
             return None
         detail = f"broke off at {len(suspicion.endpoints)} endpoints"
-        return Problem(ProblemCode.QUARANTINED, detail, COME_BACK)
+        return Problem(ProblemCode.QUARANTINED, detail, RETRY_AFTER)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -76,9 +76,9 @@
     def _(self, message: AttemptFailed, context: Context) -> None:
         if message.kind is not FailureKind.BROKEN or message.digest is None:
             return
-        suspicion = self._seen(message.digest, context.now)
+        suspicion = self._record_crash(message.digest, context.now)
         if message.endpoint is not None:
-            self._add(message.digest, suspicion, {message.endpoint}, OWN)
+            self._add(message.digest, suspicion, {message.endpoint}, SOURCE_OWN)
             context.emit(PublishCrashSuspicion(message.digest, message.endpoint))
 
     @handle.register
@@ -89,28 +89,28 @@
         if message.conclusion.outcome is not Outcome.COMPLETED:
             return
         digest = message.record.request.body_digest
-        if self._clear(digest, OWN):
+        if self._clear(digest, SOURCE_OWN):
             context.emit(PublishCrashClearance(digest))
 
     @handle.register
     def _(self, message: CrashSuspicionUpdated, context: Context) -> None:
         if message.cleared:
-            self._clear(message.digest, PEER)
+            self._clear(message.digest, SOURCE_PEER)
             return
-        suspicion = self._seen(message.digest, context.now)
-        self._add(message.digest, suspicion, set(message.endpoints), PEER)
+        suspicion = self._record_crash(message.digest, context.now)
+        self._add(message.digest, suspicion, set(message.endpoints), SOURCE_PEER)
 
     def _add(
         self,
         digest: Digest,
-        suspicion: Suspicion,
+        suspicion: CrashSuspicion,
         endpoints: set[EndpointId],
         source: str,
     ) -> None:
         before = len(suspicion.endpoints)
         suspicion.endpoints |= endpoints
         count = len(suspicion.endpoints)
-        if before <= CRASHES < count:
+        if before <= MAX_CRASHES < count:
             log_event(
                 logger,
                 CONTENT_QUARANTINED,
@@ -125,19 +125,19 @@
         suspicion = self.suspicions.pop(digest, None)
         if suspicion is None:
             return False
-        if len(suspicion.endpoints) > CRASHES:
+        if len(suspicion.endpoints) > MAX_CRASHES:
             log_event(logger, CONTENT_CLEARED, content=digest, source=source)
         return True
 
-    def _seen(self, digest: Digest, now: timedelta) -> Suspicion:
+    def _record_crash(self, digest: Digest, now: timedelta) -> CrashSuspicion:
         """Return the suspicion of a content that was seen now; forget old ones."""
         suspicion = self.suspicions.pop(digest, None)
-        if suspicion is None or now - suspicion.seen_at > KEPT_FOR:
-            suspicion = Suspicion()
-        suspicion.seen_at = now
+        if suspicion is None or now - suspicion.last_crash_at > SUSPICION_TTL:
+            suspicion = CrashSuspicion()
+        suspicion.last_crash_at = now
         self.suspicions[digest] = suspicion
         oldest = next(iter(self.suspicions))
-        while now - self.suspicions[oldest].seen_at > KEPT_FOR:
+        while now - self.suspicions[oldest].last_crash_at > SUSPICION_TTL:
             del self.suspicions[oldest]
             oldest = next(iter(self.suspicions))
         return suspicion
--- a/src/mimosafork/gateway/policies/tickets.py
+++ b/src/mimosafork/gateway/policies/reservations.py
@@ -11,14 +11,14 @@
 from ...placement.choice import Assignment, Reservation
 
 
-class Step(Enum):
+class GangStep(Enum):
     """How far a gang is."""
 
     RESERVING = "reserving"
     RUNNING = "running"
 
 
-class HeldState(Enum):
+class ReservationState(Enum):
     """What is known of memory that was asked for."""
 
     HELD = "held"
@@ -27,7 +27,7 @@
     """It may be held: its order is not answered, or its time may be over."""
 
 
-class Ticket(msgspec.Struct):
+class EngineReservation(msgspec.Struct):
     """Memory on one engine, and what is known of it.
 
     Attributes
@@ -44,35 +44,35 @@
         It is not asked for again before.
     """
 
-    reservation: ReservationId
+    reservation_id: ReservationId
     endpoint: EndpointId
     address: str
     tokens: int
-    asked_at: timedelta | None = None
+    requested_at: timedelta | None = None
     held_until: timedelta | None = None
-    open: bool = False
-    lost: bool = False
-    not_before: timedelta = timedelta(0)
+    awaiting_answer: bool = False
+    denied: bool = False
+    retry_not_before: timedelta = timedelta(0)
 
-    def ask(self, now: timedelta) -> None:
+    def mark_requested(self, now: timedelta) -> None:
         """Note that an order for it is sent."""
-        self.asked_at = now
-        self.open = True
+        self.requested_at = now
+        self.awaiting_answer = True
 
     def confirm(self, hold: timedelta) -> None:
         """Note that it is held, for `hold` from when it was asked for at the least."""
-        assert self.asked_at is not None
-        self.open = False
-        self.held_until = self.asked_at + hold
+        assert self.requested_at is not None
+        self.awaiting_answer = False
+        self.held_until = self.requested_at + hold
 
-    def state(self, now: timedelta) -> HeldState | None:
+    def state(self, now: timedelta) -> ReservationState | None:
         """Return what is known of it; None if it is surely not held."""
-        if self.asked_at is None or self.lost:
+        if self.requested_at is None or self.denied:
             return None
         sure = self.held_until is not None and now < self.held_until
-        return HeldState.HELD if sure else HeldState.UNSURE
+        return ReservationState.HELD if sure else ReservationState.UNSURE
 
-    def wants_renewal(self, now: timedelta, last: timedelta) -> bool:
+    def renewal_due(self, now: timedelta, last: timedelta) -> bool:
         """Return whether it should be asked for again.
 
         One that has run out isn't: its memory would be set aside anew, and the
@@ -83,9 +83,9 @@
         last : timedelta
             How much of its time may be left.
         """
-        if self.open or self.lost or self.held_until is None:
+        if self.awaiting_answer or self.denied or self.held_until is None:
             return False
-        if now < self.not_before:
+        if now < self.retry_not_before:
             return False
         return self.held_until - last <= now < self.held_until
 
@@ -103,16 +103,20 @@
     attempt: AttemptNumber
     place: Assignment
     begun_at: timedelta
-    tickets: list[Ticket] = msgspec.field(default_factory=list)
-    step: Step = Step.RESERVING
+    reservations: list[EngineReservation] = msgspec.field(default_factory=list)
+    step: GangStep = GangStep.RESERVING
 
-    def next_missing(self) -> Ticket | None:
+    def next_unreserved(self) -> EngineReservation | None:
         """Return the first ticket that isn't held; None if all are."""
-        return next((each for each in self.tickets if each.held_until is None), None)
+        return next(
+            (each for each in self.reservations if each.held_until is None), None
+        )
 
-    def ticket(self, reservation: ReservationId) -> Ticket | None:
+    def find_reservation(self, reservation: ReservationId) -> EngineReservation | None:
         """Return a ticket of this gang by its id."""
-        found = (each for each in self.tickets if each.reservation == reservation)
+        found = (
+            each for each in self.reservations if each.reservation_id == reservation
+        )
         return next(found, None)
 
     def engines(self) -> set[EndpointId]:
@@ -125,7 +129,7 @@
         Its own memory goes first, then that of others, as it is filled in turn; those
         that only read go last.
         """
-        names = {each.endpoint: each.reservation for each in self.tickets}
+        names = {each.endpoint: each.reservation_id for each in self.reservations}
         place = self.place
         found = []
         if place.host in names:
@@ -138,9 +142,9 @@
         return tuple(found)
 
 
-def tickets_of(
+def engine_reservations(
     reservations: tuple[Reservation, ...], new_id: Callable[[], ReservationId]
-) -> list[Ticket]:
+) -> list[EngineReservation]:
     """Return tickets in the order that all instances share.
 
     So of two gangs that want the same engines, the one that got the first of these is
@@ -153,5 +157,6 @@
     """
     ordered = sorted(reservations, key=lambda each: each.endpoint)
     return [
-        Ticket(new_id(), each.endpoint, each.address, each.tokens) for each in ordered
+        EngineReservation(new_id(), each.endpoint, each.address, each.tokens)
+        for each in ordered
     ]
--- a/src/mimosafork/gateway/policies/reserving.py
+++ b/src/mimosafork/gateway/policies/reserving.py
@@ -40,40 +40,46 @@
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ...placement.choice import Assignment
+from .dispatch_places import place_on
 from .fleet_view import FleetView
-from .place_words import place_on
-from .retrying import BUDGET_USED, BudgetedRetry
-from .tickets import Gang, HeldState, Step, Ticket, tickets_of
+from .reservations import (
+    EngineReservation,
+    Gang,
+    GangStep,
+    ReservationState,
+    engine_reservations,
+)
+from .retrying import RETRY_BUDGET_EXHAUSTED, BudgetedRetry
 
-HOLD = timedelta(milliseconds=3750)
+RESERVATION_TTL = timedelta(milliseconds=3750)
 """Memory is reserved for so long. It must be free within four seconds after an
 instance was killed, and only this ensures it. Nearly all requests end before a
 renewal is due."""
 
-LAST_OF_HOLD = timedelta(milliseconds=1100)
+RENEWAL_MARGIN = timedelta(milliseconds=1100)
 """A reservation is renewed when so much of its time is left: late, as an order that
 is carried out only seconds after it arrived counts from its arrival and takes back
 what was renewed since; but early enough to repeat one that got no answer."""
 
-ASK_AGAIN_AFTER = timedelta(milliseconds=200)
+RENEWAL_RETRY_DELAY = timedelta(milliseconds=200)
 """After an engine could not be reached for a renewal."""
 
-RESERVE_WITHIN = timedelta(milliseconds=1200)
+RESERVE_TIMEOUT = timedelta(milliseconds=1200)
 """A gang that isn't complete by then is given up: what was reserved first must still
 be held when the request arrives, with time left to renew it."""
 
-PAUSE = timedelta(milliseconds=100)
+FIRST_BACKOFF = timedelta(milliseconds=100)
 """Mean pause before a request is placed anew for the first time, twice as long each
 further time; two gangs that met once should not meet again."""
 
-LONGEST_PAUSE = timedelta(milliseconds=800)
+MAX_BACKOFF = timedelta(milliseconds=800)
 
-MOST_GANGS = 8
+MAX_GANG_FAILURES = 8
 """Gangs of one attempt that may fail; the memory is not there then, and each one's
 orders cost the engines time."""
 
-COME_BACK = timedelta(seconds=1)
-SHORT_FOR = timedelta(seconds=1)
+RETRY_AFTER = timedelta(seconds=1)
+SHORTAGE_PERIOD = timedelta(seconds=1)
 """An engine that had no memory, or gave no answer, is not asked again for so long."""
 
 
@@ -90,13 +96,13 @@
     def __init__(self) -> None:
         self.fleet: FleetView | None = None
         self.retry: BudgetedRetry | None = None
-        self.longest_hold = HOLD
+        self.longest_hold = RESERVATION_TTL
         self.gangs: dict[RequestId, Gang] = {}
-        self.not_before: dict[RequestId, timedelta] = {}
-        self.failures: dict[RequestId, int] = {}
-        self.short_until: dict[EndpointId, timedelta] = {}
-        self.life = ""
-        self.numbers = count(1)
+        self.backoff_until: dict[RequestId, timedelta] = {}
+        self.gang_failures: dict[RequestId, int] = {}
+        self.shortage_until: dict[EndpointId, timedelta] = {}
+        self.id_prefix = ""
+        self.id_numbers = count(1)
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the plug-ins that are asked, and told of what can't be reached."""
@@ -110,34 +116,34 @@
         memory. A life's ids begin with chance and are numbered: no attempt, no
         other request and no earlier life under the same name can have had them.
         """
-        return ReservationId(f"{self.life}.{next(self.numbers)}")
+        return ReservationId(f"{self.id_prefix}.{next(self.id_numbers)}")
 
     @property
-    def hold(self) -> timedelta:
+    def reservation_ttl(self) -> timedelta:
         """How long a reservation lasts."""
-        return min(HOLD, self.longest_hold)
+        return min(RESERVATION_TTL, self.longest_hold)
 
-    def pauses(self, request_id: RequestId, now: timedelta) -> bool:
+    def is_backing_off(self, request_id: RequestId, now: timedelta) -> bool:
         """Return whether a request should not be placed just now."""
-        return now < self.not_before.get(request_id, now)
+        return now < self.backoff_until.get(request_id, now)
 
-    def short_engines(self, now: timedelta) -> frozenset[EndpointId]:
+    def engines_short_of_memory(self, now: timedelta) -> frozenset[EndpointId]:
         """Return the engines that lately had no memory for a reservation."""
-        self.short_until = {
+        self.shortage_until = {
             endpoint: until
-            for endpoint, until in self.short_until.items()
+            for endpoint, until in self.shortage_until.items()
             if now < until
         }
-        return frozenset(self.short_until)
+        return frozenset(self.shortage_until)
 
-    def tokens_held(self, now: timedelta) -> Counter[HeldState]:
+    def reserved_tokens(self, now: timedelta) -> Counter[ReservationState]:
         """Return the tokens on engines that this instance's calls hold now.
 
         Safe for any thread: what a gang begun meanwhile holds may be left out.
         """
-        tokens: Counter[HeldState] = Counter()
+        tokens: Counter[ReservationState] = Counter()
         for gang in list(self.gangs.values()):
-            for ticket in gang.tickets:
+            for ticket in gang.reservations:
                 state = ticket.state(now)
                 if state is not None:
                     tokens[state] += ticket.tokens
@@ -149,22 +155,22 @@
         """Reserve what a place needs; `Placed` or `PlacementFailed` follows."""
         request_id = record.request_id
         self._dissolve(request_id, context)
-        if not self.life:
+        if not self.id_prefix:
             instance = context.state.identity.instance
-            self.life = f"{instance}.{context.random.getrandbits(48):012x}"
-        tickets = tickets_of(place.reservations, self.new_id)
+            self.id_prefix = f"{instance}.{context.random.getrandbits(48):012x}"
+        tickets = engine_reservations(place.reservations, self.new_id)
         attempt = AttemptNumber(len(record.attempts) + 1)
         gang = Gang(request_id, attempt, place, context.now, tickets)
         self.gangs[request_id] = gang
-        self._go_on(gang, record, context)
+        self._advance(gang, record, context)
         return PlacementPending()
 
-    def _go_on(self, gang: Gang, record: RequestRecord, context: Context) -> None:
+    def _advance(self, gang: Gang, record: RequestRecord, context: Context) -> None:
         """Ask for what is missing, or let the request be sent."""
         # The process may have been frozen between two steps: what was reserved first
         # may have run out, and the engine would refuse the request, or another
         # gang would hold the memory by now.
-        if context.now - gang.begun_at > RESERVE_WITHIN:
+        if context.now - gang.begun_at > RESERVE_TIMEOUT:
             self._fail(gang, context)
             return
         # An engine may say that it leaves while memory is reserved, here or at
@@ -172,19 +178,21 @@
         if not all(self._takes_work(name, context.now) for name in gang.engines()):
             self._fail(gang, context, pause=False)
             return
-        missing = gang.next_missing()
+        missing = gang.next_unreserved()
         if missing is not None:
-            self._ask(gang, missing, context)
+            self._request_memory(gang, missing, context)
             return
-        if self.retry is not None and not self.retry.still_paid(
+        if self.retry is not None and not self.retry.charge_retry(
             record.request, context
         ):
             self._dissolve(gang.request_id, context)
-            refuse = Refuse(Problem(ProblemCode.OVERLOADED, BUDGET_USED, COME_BACK))
+            refuse = Refuse(
+                Problem(ProblemCode.OVERLOADED, RETRY_BUDGET_EXHAUSTED, RETRY_AFTER)
+            )
             context.post(PlacementFailed(gang.request_id, refuse))
             return
-        gang.step = Step.RUNNING
-        self.failures.pop(gang.request_id, None)
+        gang.step = GangStep.RUNNING
+        self.gang_failures.pop(gang.request_id, None)
         place = place_on(gang.place, record.request, gang.helpers())
         context.post(Placed(gang.request_id, place))
 
@@ -195,17 +203,19 @@
         known = self.fleet.endpoints.get(endpoint)
         return known is not None and known.usable(now)
 
-    def _ask(self, gang: Gang, ticket: Ticket, context: Context) -> None:
+    def _request_memory(
+        self, gang: Gang, ticket: EngineReservation, context: Context
+    ) -> None:
         """Reserve, or renew what is reserved: that is the same order."""
-        ticket.ask(context.now)
+        ticket.mark_requested(context.now)
         context.emit(
             ReserveMemory(
                 request_id=gang.request_id,
-                reservation=ticket.reservation,
+                reservation=ticket.reservation_id,
                 endpoint=ticket.endpoint,
                 address=ticket.address,
                 tokens=ticket.tokens,
-                time_to_live=self.hold,
+                time_to_live=self.reservation_ttl,
             )
         )
 
@@ -219,16 +229,16 @@
         """
         request_id = gang.request_id
         self._dissolve(request_id, context)
-        failures = self.failures.get(request_id, 0) + 1
-        self.failures[request_id] = failures
+        failures = self.gang_failures.get(request_id, 0) + 1
+        self.gang_failures[request_id] = failures
         if pause:
-            mean = min(LONGEST_PAUSE, PAUSE * 2 ** (failures - 1))
+            mean = min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (failures - 1))
             spread = 0.75 + 0.5 * context.random.random()
-            self.not_before[request_id] = context.now + mean * spread
+            self.backoff_until[request_id] = context.now + mean * spread
         refuse = None
-        if failures >= MOST_GANGS:
-            detail = f"memory was not reserved {MOST_GANGS} times"
-            refuse = Refuse(Problem(ProblemCode.OVERLOADED, detail, COME_BACK))
+        if failures >= MAX_GANG_FAILURES:
+            detail = f"memory was not reserved {MAX_GANG_FAILURES} times"
+            refuse = Refuse(Problem(ProblemCode.OVERLOADED, detail, RETRY_AFTER))
         context.post(PlacementFailed(request_id, refuse))
 
     def _dissolve(self, request_id: RequestId, context: Context) -> None:
@@ -240,22 +250,22 @@
         gang = self.gangs.pop(request_id, None)
         if gang is None:
             return
-        for ticket in gang.tickets:
-            if ticket.asked_at is not None and not ticket.lost:
+        for ticket in gang.reservations:
+            if ticket.requested_at is not None and not ticket.denied:
                 self._release(ticket, context)
 
-    def _release(self, ticket: Ticket, context: Context) -> None:
+    def _release(self, ticket: EngineReservation, context: Context) -> None:
         kind = HoldingKind.RESERVATION
         context.emit(
-            FreeOwnHolding(ticket.endpoint, ticket.address, kind, ticket.reservation)
+            FreeOwnHolding(ticket.endpoint, ticket.address, kind, ticket.reservation_id)
         )
 
-    def _found(
+    def _find(
         self, request_id: RequestId, reservation: ReservationId
-    ) -> tuple[Gang, Ticket] | None:
+    ) -> tuple[Gang, EngineReservation] | None:
         """Return a ticket with its gang; late answers find none."""
         gang = self.gangs.get(request_id)
-        ticket = None if gang is None else gang.ticket(reservation)
+        ticket = None if gang is None else gang.find_reservation(reservation)
         return None if gang is None or ticket is None else (gang, ticket)
 
     @singledispatchmethod
@@ -264,37 +274,41 @@
 
     @handle.register
     def _(self, message: MemoryReserved, context: Context) -> None:
-        found = self._found(message.request_id, message.reservation)
+        found = self._find(message.request_id, message.reservation)
         record = context.state.requests.get(message.request_id)
         if found is None or record is None:
             return
         gang, ticket = found
-        ticket.confirm(self.hold)
-        if gang.step is Step.RESERVING:
-            self._go_on(gang, record, context)
+        ticket.confirm(self.reservation_ttl)
+        if gang.step is GangStep.RESERVING:
+            self._advance(gang, record, context)
 
     @handle.register
     def _(self, message: ReservationFailed, context: Context) -> None:
-        found = self._found(message.request_id, message.reservation)
+        found = self._find(message.request_id, message.reservation)
         record = context.state.requests.get(message.request_id)
         if found is None or record is None:
             return
         gang, ticket = found
-        ticket.open = False
-        ticket.lost = message.failure in {
+        ticket.awaiting_answer = False
+        ticket.denied = message.failure in {
             GangStepFailure.NO_MEMORY,
             GangStepFailure.REFUSED,
         }
-        if gang.step is Step.RUNNING:
-            ticket.not_before = context.now + ASK_AGAIN_AFTER
+        if gang.step is GangStep.RUNNING:
+            ticket.retry_not_before = context.now + RENEWAL_RETRY_DELAY
         elif message.failure is GangStepFailure.LOST:
-            self._ask_anew(gang, ticket, record, context)
+            self._retry_with_new_id(gang, ticket, record, context)
         else:
-            self._note_refused(ticket, message.failure, context.now)
+            self._record_shortage(ticket, message.failure, context.now)
             self._fail(gang, context, message.failure is GangStepFailure.NO_MEMORY)
 
-    def _ask_anew(
-        self, gang: Gang, ticket: Ticket, record: RequestRecord, context: Context
+    def _retry_with_new_id(
+        self,
+        gang: Gang,
+        ticket: EngineReservation,
+        record: RequestRecord,
+        context: Context,
     ) -> None:
         """Ask again, after an order that got no answer, under another id.
 
@@ -303,14 +317,14 @@
         finds its time over.
         """
         self._release(ticket, context)
-        ticket.reservation = self.new_id()
-        ticket.asked_at = None
-        self._go_on(gang, record, context)
+        ticket.reservation_id = self.new_id()
+        ticket.requested_at = None
+        self._advance(gang, record, context)
 
-    def _note_refused(
-        self, ticket: Ticket, failure: GangStepFailure, now: timedelta
+    def _record_shortage(
+        self, ticket: EngineReservation, failure: GangStepFailure, now: timedelta
     ) -> None:
-        self.short_until[ticket.endpoint] = now + SHORT_FOR
+        self.shortage_until[ticket.endpoint] = now + SHORTAGE_PERIOD
         if failure is GangStepFailure.UNREACHED and self.fleet is not None:
             known = self.fleet.endpoints.get(ticket.endpoint)
             if known is not None:
@@ -319,22 +333,22 @@
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
         for gang in list(self.gangs.values()):
-            if gang.step is Step.RUNNING:
-                self._renew(gang, context)
-            elif context.now - gang.begun_at > RESERVE_WITHIN:
-                self._blame_silent(gang, context.now)
+            if gang.step is GangStep.RUNNING:
+                self._renew_due(gang, context)
+            elif context.now - gang.begun_at > RESERVE_TIMEOUT:
+                self._record_silent_engine(gang, context.now)
                 self._fail(gang, context)
 
-    def _renew(self, gang: Gang, context: Context) -> None:
-        last = min(LAST_OF_HOLD, self.hold / 2)
-        for ticket in gang.tickets:
-            if ticket.wants_renewal(context.now, last):
-                self._ask(gang, ticket, context)
+    def _renew_due(self, gang: Gang, context: Context) -> None:
+        last = min(RENEWAL_MARGIN, self.reservation_ttl / 2)
+        for ticket in gang.reservations:
+            if ticket.renewal_due(context.now, last):
+                self._request_memory(gang, ticket, context)
 
-    def _blame_silent(self, gang: Gang, now: timedelta) -> None:
-        missing = gang.next_missing()
+    def _record_silent_engine(self, gang: Gang, now: timedelta) -> None:
+        missing = gang.next_unreserved()
         if missing is not None:
-            self.short_until[missing.endpoint] = now + SHORT_FOR
+            self.shortage_until[missing.endpoint] = now + SHORTAGE_PERIOD
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
@@ -347,5 +361,5 @@
     def _(self, message: RequestConcluded, context: Context) -> None:
         request_id = message.record.request_id
         self._dissolve(request_id, context)
-        self.not_before.pop(request_id, None)
-        self.failures.pop(request_id, None)
+        self.backoff_until.pop(request_id, None)
+        self.gang_failures.pop(request_id, None)
--- a/src/mimosafork/gateway/policies/allowance.py
+++ b/src/mimosafork/gateway/policies/retry_budget.py
@@ -8,21 +8,21 @@
 
 from ...ids import RequestId
 
-ARRIVES_WITHIN = timedelta(milliseconds=2300)
+MAX_RETRY_TRANSIT = timedelta(milliseconds=2300)
 """A repeat is counted before it is sent, and reaches its endpoint up to so much later.
 
 A connection may have to be opened for it, or what is written on a kept one may lie in
 the system for as long as nothing need be acknowledged. It counts for so much longer
 than a request: one that was counted before a window may arrive within it."""
 
-TOGETHER = timedelta(milliseconds=50)
+RETRY_BATCH_SPAN = timedelta(milliseconds=50)
 """Repeats that follow within this are kept as one entry. An instance that repeats
 hundreds of calls a second would else look at each of them for each decision."""
 
-EARNED_IN_ADVANCE = 2.0
+MIN_EARNED_TO_SAVE = 2.0
 """Repeats that the requests of a window must have earned for one to be saved up."""
 
-HALF = 0.5
+SAVING_RATIO_SHARE = 0.5
 
 
 class SlackShare(msgspec.Struct, frozen=True):
@@ -43,21 +43,21 @@
     instances: int = 1
     rank: int = 0
     known: bool = True
-    since: timedelta | None = None
+    restarted_at: timedelta | None = None
 
-    def of(self, slack: float) -> int:
+    def portion_of(self, slack: float) -> int:
         """Return the part: whole repeats, the rest to the first by rank.
 
         Guard: repeats are whole. Were each instance to have the part that is less than
         one rounded up, a fleet of more instances than the slack would pass it.
         """
-        if not self.known or self.since is not None:
+        if not self.known or self.restarted_at is not None:
             return 0
         each, rest = divmod(int(slack), self.instances)
         return each + (self.rank < rest)
 
 
-class Terms(msgspec.Struct, frozen=True):
+class RetryLimits(msgspec.Struct, frozen=True):
     """What one instance may repeat of a service's calls.
 
     Attributes
@@ -73,10 +73,10 @@
 
     ratio: float
     burst: int
-    since: timedelta | None = None
+    restarted_at: timedelta | None = None
 
 
-class Repeats(msgspec.Struct):
+class RetryBatch(msgspec.Struct):
     """Repeats that were counted nearly together.
 
     Attributes
@@ -90,7 +90,7 @@
     count: int = 1
 
 
-class Allowance:
+class ServiceRetryBudget:
     """Requests and repeats of one service at this instance, within a window.
 
     In each span of up to a window that ends now, repeats are at most the burst and what
@@ -124,90 +124,94 @@
 
     def __init__(self, window: timedelta) -> None:
         self.window = window
-        self.requests: list[timedelta] = []
-        self.repeats: deque[Repeats] = deque()
-        self.promised: set[RequestId] = set()
-        self.sent: dict[RequestId, timedelta] = {}
-        self.total = 0
+        self.request_times: list[timedelta] = []
+        self.retry_batches: deque[RetryBatch] = deque()
+        self.reserved: set[RequestId] = set()
+        self.sent_at: dict[RequestId, timedelta] = {}
+        self.total_retries = 0
 
-    def room(self, terms: Terms, now: timedelta) -> float:
+    def available(self, terms: RetryLimits, now: timedelta) -> float:
         """Return how many repeats may be sent now, the promised ones included."""
-        self.forget(now)
-        terms = self.with_savings(terms, now)
+        self.expire(now)
+        terms = self.with_saved_retry(terms, now)
         room = float(terms.burst)
         sent = 0
-        for each in reversed(self.repeats):
+        for each in reversed(self.retry_batches):
             sent += each.count
-            earned = terms.ratio * self.requests_after(each.last + ARRIVES_WITHIN)
+            earned = terms.ratio * self.requests_after(each.last + MAX_RETRY_TRANSIT)
             room = min(room, terms.burst + earned - sent)
-        if terms.since is not None:
-            earned = terms.ratio * self.requests_after(terms.since)
+        if terms.restarted_at is not None:
+            earned = terms.ratio * self.requests_after(terms.restarted_at)
             room = min(room, earned - sent)
         return room
 
-    def with_savings(self, terms: Terms, now: timedelta) -> Terms:
+    def with_saved_retry(self, terms: RetryLimits, now: timedelta) -> RetryLimits:
         """Return terms by which an instance without a part can repeat at all."""
         if terms.burst:
             return terms
         earned = terms.ratio * self.requests_after(now - self.window)
-        if terms.since is None and earned < EARNED_IN_ADVANCE:
+        if terms.restarted_at is None and earned < MIN_EARNED_TO_SAVE:
             return terms
-        ratio = terms.ratio if terms.since is not None else terms.ratio * HALF
-        return Terms(ratio, 1, terms.since)
-
-    def held(self) -> int:
+        ratio = (
+            terms.ratio
+            if terms.restarted_at is not None
+            else terms.ratio * SAVING_RATIO_SHARE
+        )
+        return RetryLimits(ratio, 1, terms.restarted_at)
+
+    def counted_retries(self) -> int:
         """Return how many repeats still count."""
-        return sum(each.count for each in self.repeats)
+        return sum(each.count for each in self.retry_batches)
 
     def requests_after(self, instant: timedelta) -> int:
         """Return how many requests came after an instant within the window."""
-        return len(self.requests) - bisect_right(self.requests, instant)
+        return len(self.request_times) - bisect_right(self.request_times, instant)
 
-    def forget(self, now: timedelta) -> None:
+    def expire(self, now: timedelta) -> None:
         """Forget what no window that ends now or later holds."""
-        oldest = now - self.window - ARRIVES_WITHIN
-        while self.repeats and self.repeats[0].last <= oldest:
-            self.repeats.popleft()
-        if self.requests and self.requests[0] <= oldest:
-            del self.requests[: bisect_right(self.requests, oldest)]
+        oldest = now - self.window - MAX_RETRY_TRANSIT
+        while self.retry_batches and self.retry_batches[0].last <= oldest:
+            self.retry_batches.popleft()
+        if self.request_times and self.request_times[0] <= oldest:
+            del self.request_times[: bisect_right(self.request_times, oldest)]
 
     def count_request(self, now: timedelta) -> None:
         """Count a request."""
-        self.forget(now)
-        self.requests.append(now)
+        self.expire(now)
+        self.request_times.append(now)
 
-    def promise(self, request_id: RequestId) -> None:
+    def reserve(self, request_id: RequestId) -> None:
         """Keep a place for a further repeat of a call."""
-        self.promised.add(request_id)
-        self.sent.pop(request_id, None)
+        self.reserved.add(request_id)
+        self.sent_at.pop(request_id, None)
 
-    def take_back(self, request_id: RequestId) -> None:
+    def refund(self, request_id: RequestId) -> None:
         """Count a call's last repeat no more: it has reached no endpoint."""
-        self.promised.discard(request_id)
-        sent_at = self.sent.pop(request_id, None)
+        self.reserved.discard(request_id)
+        sent_at = self.sent_at.pop(request_id, None)
         if sent_at is None:
             return
-        for each in self.repeats:
+        for each in self.retry_batches:
             if each.first <= sent_at <= each.last:
                 each.count -= 1
                 return
 
-    def repeated(self, request_id: RequestId) -> bool:
+    def is_retry(self, request_id: RequestId) -> bool:
         """Return whether a call's next or latest attempt is a repeat."""
-        return request_id in self.promised or request_id in self.sent
+        return request_id in self.reserved or request_id in self.sent_at
 
-    def count_repeat(self, request_id: RequestId, now: timedelta) -> None:
+    def count_retry(self, request_id: RequestId, now: timedelta) -> None:
         """Count a repeat that is sent now."""
-        self.promised.discard(request_id)
-        self.sent[request_id] = now
-        self.total += 1
-        if self.repeats and now - self.repeats[-1].first < TOGETHER:
-            self.repeats[-1].last = now
-            self.repeats[-1].count += 1
+        self.reserved.discard(request_id)
+        self.sent_at[request_id] = now
+        self.total_retries += 1
+        if self.retry_batches and now - self.retry_batches[-1].first < RETRY_BATCH_SPAN:
+            self.retry_batches[-1].last = now
+            self.retry_batches[-1].count += 1
         else:
-            self.repeats.append(Repeats(now, now))
+            self.retry_batches.append(RetryBatch(now, now))
 
-    def close(self, request_id: RequestId) -> None:
+    def forget_call(self, request_id: RequestId) -> None:
         """Forget a call that has ended; what was sent of it goes on to count."""
-        self.promised.discard(request_id)
-        self.sent.pop(request_id, None)
+        self.reserved.discard(request_id)
+        self.sent_at.pop(request_id, None)
--- a/src/mimosafork/gateway/policies/retrying.py
+++ b/src/mimosafork/gateway/policies/retrying.py
@@ -24,25 +24,25 @@
 )
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
-from .allowance import Allowance, SlackShare, Terms
+from .retry_budget import RetryLimits, ServiceRetryBudget, SlackShare
 
-RATIO = 0.2
-SLACK = 100.0
-WINDOW = timedelta(seconds=10)
+RETRY_RATIO = 0.2
+RETRY_SLACK = 100.0
+RETRY_WINDOW = timedelta(seconds=10)
 
-SHORTEST_TIME = timedelta(milliseconds=60)
-MOST_SENDS = 6
+MIN_TIME_LEFT = timedelta(milliseconds=60)
+MAX_SENDS = 6
 """Arrivals of one call that no endpoint ran are bounded too."""
 
-PAID_FOR = timedelta(milliseconds=200)
+CHARGE_TTL = timedelta(milliseconds=200)
 """A repeat that is not sent within this after it was counted is counted anew: it
 falls into another window than the one that had room for it."""
 
-AT_ONCE = timedelta(milliseconds=1)
-AFTER_REFUSAL = timedelta(milliseconds=20)
-COME_BACK = timedelta(milliseconds=500)
+MIN_RETRY_DELAY = timedelta(milliseconds=1)
+REJECTION_RETRY_DELAY = timedelta(milliseconds=20)
+RETRY_AFTER = timedelta(milliseconds=500)
 FIRST_SERVER_ERROR = 500
-BUDGET_USED = "the budget of repeats is used"
+RETRY_BUDGET_EXHAUSTED = "the budget of repeats is used"
 
 
 @register("budgeted-retry")
@@ -70,17 +70,17 @@
     """
 
     def __init__(self) -> None:
-        self.ratio = RATIO
-        self.slack = SLACK
-        self.window = WINDOW
-        self.allowances: dict[ServiceId, Allowance] = {}
-        self.share: Callable[[], SlackShare] = SlackShare
+        self.ratio = RETRY_RATIO
+        self.slack = RETRY_SLACK
+        self.window = RETRY_WINDOW
+        self.budgets: dict[ServiceId, ServiceRetryBudget] = {}
+        self.slack_share: Callable[[], SlackShare] = SlackShare
 
-    def allowance(self, service: ServiceId) -> Allowance:
+    def budget(self, service: ServiceId) -> ServiceRetryBudget:
         """Return what was sent of a service's calls."""
-        known = self.allowances.get(service)
+        known = self.budgets.get(service)
         if known is None:
-            known = self.allowances[service] = Allowance(self.window)
+            known = self.budgets[service] = ServiceRetryBudget(self.window)
         known.window = self.window
         return known
 
@@ -91,59 +91,61 @@
     @handle.register
     def _(self, message: Submit, context: Context) -> None:
         service = ServiceId(message.request.target)
-        self.allowance(service).count_request(context.now)
+        self.budget(service).count_request(context.now)
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
         service = ServiceId(message.record.request.target)
-        self.allowance(service).close(message.record.request_id)
+        self.budget(service).forget_call(message.record.request_id)
 
     @handle.register
     def _(self, message: AttemptRestored, context: Context) -> None:
         record = context.state.requests.get(message.request_id)
         if record is not None:
-            self.allowance(ServiceId(record.request.target)).close(message.request_id)
+            self.budget(ServiceId(record.request.target)).forget_call(
+                message.request_id
+            )
 
     def decide(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> RetryDecision:
         """Return whether and when to try again."""
-        why_not = self.objection(record, failure, context.now)
+        why_not = self.give_up_reason(record, failure, context.now)
         if why_not is not None:
-            return GiveUp(problem_of(failure, why_not))
-        self._promise(record, failure)
+            return GiveUp(give_up_problem(failure, why_not))
+        self._reserve_retry(record, failure)
         refused = failure.exposure is Exposure.REFUSED
-        return RetryLater(AFTER_REFUSAL if refused else AT_ONCE)
+        return RetryLater(REJECTION_RETRY_DELAY if refused else MIN_RETRY_DELAY)
 
-    def _promise(self, record: RequestRecord, failure: AttemptFailed) -> None:
+    def _reserve_retry(self, record: RequestRecord, failure: AttemptFailed) -> None:
         """Keep a place for a repeat; what reached no endpoint is none yet."""
-        allowance = self.allowance(ServiceId(record.request.target))
+        allowance = self.budget(ServiceId(record.request.target))
         if failure.exposure is not Exposure.NEVER_SENT:
-            allowance.promise(record.request_id)
-        elif allowance.repeated(record.request_id):
-            allowance.take_back(record.request_id)
-            allowance.promise(record.request_id)
+            allowance.reserve(record.request_id)
+        elif allowance.is_retry(record.request_id):
+            allowance.refund(record.request_id)
+            allowance.reserve(record.request_id)
 
-    def still_paid(self, request: Request, context: Context) -> bool:
+    def charge_retry(self, request: Request, context: Context) -> bool:
         """Return whether a call that is about to be sent is within the budget.
 
         A repeat may have waited for room, or for an endpoint that can be reached, and
         what earned it may have left the window. It is counted as of now.
         """
         service = ServiceId(request.target)
-        allowance = self.allowance(service)
-        if not allowance.repeated(request.request_id):
+        allowance = self.budget(service)
+        if not allowance.is_retry(request.request_id):
             return True
-        sent_at = allowance.sent.get(request.request_id)
-        if sent_at is not None and context.now - sent_at <= PAID_FOR:
+        sent_at = allowance.sent_at.get(request.request_id)
+        if sent_at is not None and context.now - sent_at <= CHARGE_TTL:
             return True
-        allowance.take_back(request.request_id)
-        if allowance.room(self.terms(), context.now) < 1:
+        allowance.refund(request.request_id)
+        if allowance.available(self.limits(), context.now) < 1:
             return False
-        allowance.count_repeat(request.request_id, context.now)
+        allowance.count_retry(request.request_id, context.now)
         return True
 
-    def objection(
+    def give_up_reason(
         self, record: RequestRecord, failure: AttemptFailed, now: timedelta
     ) -> str | None:
         """Return why there is no further attempt; None if there may be one."""
@@ -153,49 +155,52 @@
                 return "it may have run and may not run again"
             if failure.status is not None and failure.status < FIRST_SERVER_ERROR:
                 return "the endpoint's answer is final"
-        if record.request.deadline - now < SHORTEST_TIME:
+        if record.request.deadline - now < MIN_TIME_LEFT:
             return "too little time is left"
         ran = sum(a.exposure is Exposure.POSSIBLE for a in record.attempts)
         if terms is not None and ran >= terms.max_attempts:
             return "all attempts are used"
         sent = sum(a.exposure is not Exposure.NEVER_SENT for a in record.attempts)
-        if sent >= MOST_SENDS or len(record.attempts) >= 2 * MOST_SENDS:
+        if sent >= MAX_SENDS or len(record.attempts) >= 2 * MAX_SENDS:
             return "it was refused too often"
-        if not self.affords(ServiceId(record.request.target), failure, now):
-            return BUDGET_USED
+        if not self.within_budget(ServiceId(record.request.target), failure, now):
+            return RETRY_BUDGET_EXHAUSTED
         return None
 
-    def affords(
+    def within_budget(
         self, service: ServiceId, failure: AttemptFailed, now: timedelta
     ) -> bool:
         """Return whether the budget has room for one more repeat."""
-        return failure.exposure is Exposure.NEVER_SENT or self.room(service, now) >= 1
+        return (
+            failure.exposure is Exposure.NEVER_SENT
+            or self.available_retries(service, now) >= 1
+        )
 
-    def terms(self) -> Terms:
+    def limits(self) -> RetryLimits:
         """Return what this instance may repeat of a service's calls."""
-        share = self.share()
-        return Terms(self.ratio, share.of(self.slack), share.since)
+        share = self.slack_share()
+        return RetryLimits(self.ratio, share.portion_of(self.slack), share.restarted_at)
 
-    def room(self, service: ServiceId, now: timedelta) -> float:
+    def available_retries(self, service: ServiceId, now: timedelta) -> float:
         """Return for how many further repeats the budget has room."""
-        allowance = self.allowance(service)
-        return allowance.room(self.terms(), now) - len(allowance.promised)
+        allowance = self.budget(service)
+        return allowance.available(self.limits(), now) - len(allowance.reserved)
 
-    def sent(self, service: ServiceId) -> int:
+    def retries_sent(self, service: ServiceId) -> int:
         """Return how many repeats this instance has counted in its life."""
-        return self.allowance(service).total
+        return self.budget(service).total_retries
 
-    def sharers(self) -> int:
+    def slack_sharers(self) -> int:
         """Return among how many instances the slack is shared; 0 without a part."""
-        share = self.share()
-        has_part = share.known and share.since is None
+        share = self.slack_share()
+        has_part = share.known and share.restarted_at is None
         return share.instances if has_part else 0
 
 
-def problem_of(failure: AttemptFailed, detail: str) -> Problem:
+def give_up_problem(failure: AttemptFailed, detail: str) -> Problem:
     """Return what the caller is told of."""
     if failure.kind is FailureKind.DEADLINE:
         return Problem(ProblemCode.DEADLINE_PASSED, detail)
     if failure.exposure is Exposure.POSSIBLE:
         return Problem(ProblemCode.ENDPOINT_FAILED, detail)
-    return Problem(ProblemCode.NO_ENDPOINT, detail, COME_BACK)
+    return Problem(ProblemCode.NO_ENDPOINT, detail, RETRY_AFTER)
--- a/src/mimosafork/gateway/policies/silence.py
+++ b/src/mimosafork/gateway/policies/silence.py
@@ -19,15 +19,15 @@
 from ...kernel.registry import register
 from ...placement.load_tracker import InFlightRequest, LoadTracker, engines_of
 from ...placement.prefill_time import prefill_time_left
-from .fleet_view import EndpointBelief, FleetView
-from .patience import longest_silence
+from .fleet_view import EndpointHealth, FleetView
 from .placing import WorkPlacer
 from .retrying import BudgetedRetry
+from .stall_timeouts import caller_timeout
 
-LEAST_LEFT = timedelta(milliseconds=300)
+MIN_TIME_LEFT = timedelta(milliseconds=300)
 """Time that another endpoint needs to begin an answer, at the least."""
 
-MOST_READING_MS = 250.0
+MAX_PREFILL_MS = 250.0
 """Reading that another endpoint may have before it, to be worth a move."""
 
 
@@ -61,9 +61,9 @@
         self.placer = find(WorkPlacer)
 
     @property
-    def book(self) -> LoadTracker:
+    def load_tracker(self) -> LoadTracker:
         """The running work of all instances."""
-        return self.placer.book if self.placer is not None else LoadTracker()
+        return self.placer.load_tracker if self.placer is not None else LoadTracker()
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -76,27 +76,31 @@
             return
         if record.current is None or record.current.number != message.attempt:
             return
-        if self._reads_on(record, message, context):
+        if self._explained_by_prefill(record, message, context):
             return
-        failure = failure_of(record, message)
+        failure = stalled_failure(record, message)
         if self._better_elsewhere(record, failure, context):
             context.emit(EndSilentAttempt(failure))
 
-    def _reads_on(
+    def _explained_by_prefill(
         self, record: RequestRecord, message: AttemptSilent, context: Context
     ) -> bool:
         """Return whether promised reading explains the silence, and ends in time."""
-        work = self.book.own.get(record.request_id)
+        work = self.load_tracker.own.get(record.request_id)
         if work is None or self.fleet is None:
             return False
-        if not self.fleet.zone_heard(work.host, context.now - message.silence / 2):
+        if not self.fleet.zone_answered_since(
+            work.host, context.now - message.silence / 2
+        ):
             return False
         explained = max(
-            prefill_time_left(engine, self.book.requests_on(engine), context.now)
-            for engine in awaited(work)
+            prefill_time_left(
+                engine, self.load_tracker.requests_on(engine), context.now
+            )
+            for engine in awaited_engines(work)
         )
-        left = stays_for(record, message, context.now)
-        return timedelta(0) < explained < left - LEAST_LEFT
+        left = caller_time_left(record, message, context.now)
+        return timedelta(0) < explained < left - MIN_TIME_LEFT
 
     def _better_elsewhere(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
@@ -105,18 +109,21 @@
             return False
         if self.fleet is None or self.retry is None:
             return False
-        if self.retry.objection(record, failure, context.now) is not None:
+        if self.retry.give_up_reason(record, failure, context.now) is not None:
             return False
-        if record.has_received_token and not self._goes_on_elsewhere(record, context):
+        if record.has_received_token and not self._would_resume_elsewhere(
+            record, context
+        ):
             return False
         service = ServiceId(record.request.target)
         tried = {attempt.endpoint for attempt in record.attempts}
         return any(
-            belief.listed.endpoint not in tried and self._takes(belief, context.now)
-            for belief in self.fleet.of_service(service)
+            belief.listed.endpoint not in tried
+            and self._accepts_now(belief, context.now)
+            for belief in self.fleet.service_endpoints(service)
         )
 
-    def _goes_on_elsewhere(self, record: RequestRecord, context: Context) -> bool:
+    def _would_resume_elsewhere(self, record: RequestRecord, context: Context) -> bool:
         """Return whether an answer that has begun would be made again at once.
 
         Guard: ended for a pause and then refused a place, or left to wait behind older
@@ -124,9 +131,9 @@
         was sound and the pause would have ended by itself. A free slot elsewhere says
         nothing of either, so the placer is asked before the attempt is ended.
         """
-        return self.placer is None or self.placer.places_again(record, context)
+        return self.placer is None or self.placer.could_place_elsewhere(record, context)
 
-    def _takes(self, belief: EndpointBelief, now: timedelta) -> bool:
+    def _accepts_now(self, belief: EndpointHealth, now: timedelta) -> bool:
         """Return whether an endpoint would begin with a further call at once.
 
         Where all are full the call would only wait, and lose what it has.
@@ -134,18 +141,18 @@
         if not belief.usable(now) or belief.suspect(now):
             return False
         endpoint = belief.listed.endpoint
-        if self.book.estimated_running(endpoint, now) >= belief.listed.slots:
+        if self.load_tracker.estimated_running(endpoint, now) >= belief.listed.slots:
             return False
-        load = self.book.load(endpoint, now)
-        return load.prefill_backlog_ms <= MOST_READING_MS
+        load = self.load_tracker.load(endpoint, now)
+        return load.prefill_backlog_ms <= MAX_PREFILL_MS
 
 
-def awaited(work: InFlightRequest) -> set[EndpointId]:
+def awaited_engines(work: InFlightRequest) -> set[EndpointId]:
     """Return the engines whose reading a call's next event waits for."""
     return engines_of(work) if work.first_token_at is None else {work.host}
 
 
-def stays_for(
+def caller_time_left(
     record: RequestRecord, message: AttemptSilent, now: timedelta
 ) -> timedelta:
     """Return how long a call's caller will stay without a further event."""
@@ -153,10 +160,10 @@
     terms = record.request.terms
     if terms is None or not terms.streams:
         return until_deadline
-    return min(until_deadline, longest_silence(terms) - message.silence)
+    return min(until_deadline, caller_timeout(terms) - message.silence)
 
 
-def failure_of(record: RequestRecord, message: AttemptSilent) -> AttemptFailed:
+def stalled_failure(record: RequestRecord, message: AttemptSilent) -> AttemptFailed:
     """Return a silent attempt as a failed one."""
     assert record.current is not None
     return AttemptFailed(
--- a/src/mimosafork/gateway/server.py
+++ b/src/mimosafork/gateway/server.py
@@ -55,10 +55,10 @@
 from .instance_view import LiveInstanceView, milliseconds
 from .metrics_page import MetricsConnection, new_metrics
 from .policies import PLUGINS
-from .policies.allowance import ARRIVES_WITHIN
 from .policies.fleet_view import FleetView
 from .policies.placing import WorkPlacer
 from .policies.reserving import MemoryKeeper
+from .policies.retry_budget import MAX_RETRY_TRANSIT
 from .policies.retrying import BudgetedRetry
 from .readiness_page import ReadyConnection
 from .subset_selector import SubsetSelector
@@ -123,7 +123,7 @@
         self.gossip_adapter = GossipAdapter(
             directory, self.gateway.post, self.figures_of, clock, neighbours
         )
-        self.kernel.plugin(WorkPlacer).narrowed = neighbours.select_engines
+        self.kernel.plugin(WorkPlacer).engine_subset = neighbours.select_engines
         self.gateway.on_effect = self.gossip_adapter.publish_effect
         self.outlook = LiveInstanceView(
             self.kernel, directory, self.gossip_adapter, clock.monotonic
@@ -236,8 +236,8 @@
         retry.ratio = bounds.retry_ratio
         retry.slack = bounds.retry_slack
         retry.window = bounds.retry_window
-        retry.share = self.gossip_adapter.slack_share
-        self.gossip_adapter.settles_after = bounds.retry_window + ARRIVES_WITHIN
+        retry.slack_share = self.gossip_adapter.slack_share
+        self.gossip_adapter.settles_after = bounds.retry_window + MAX_RETRY_TRANSIT
         self.kernel.plugin(MemoryKeeper).longest_hold = bounds.longest_hold
 
     def _new_gossip(self) -> Gossip:
--- a/src/mimosafork/gateway/subset_selector.py
+++ b/src/mimosafork/gateway/subset_selector.py
@@ -51,7 +51,7 @@
             known = self.fleet.endpoints.get(engine)
             if known is None:
                 continue
-            listed = self.fleet.of_service(known.listed.service)
+            listed = self.fleet.service_endpoints(known.listed.service)
             if len(listed) < MIN_ENGINES_FOR_SUBSETS:
                 return frozenset(self.order.positions) - {self.own}
             ranks = sorted(subset_rank(each.listed.endpoint) for each in listed)
--- a/tests/support/gateway_kernels.py
+++ b/tests/support/gateway_kernels.py
@@ -41,7 +41,7 @@
 
 from .kernels import Bench
 
-DESK = ServiceId("desks")
+PLAIN_SERVICE = ServiceId("desks")
 ZONE = AvailabilityZoneId("zone-a")
 DEADLINE = timedelta(seconds=10)
 RETRY_PAUSE = timedelta(milliseconds=20)
@@ -118,7 +118,7 @@
     """Return a listed plain endpoint."""
     return ListedEndpoint(
         EndpointId(name),
-        DESK,
+        PLAIN_SERVICE,
         "127.0.0.1:1",
         ZONE,
         slots,
@@ -134,18 +134,20 @@
 def request_of(
     bench: GatewayBench,
     request_id: str,
-    once: bool = False,
+    non_idempotent: bool = False,
     time: timedelta = DEADLINE,
     **terms: int,
 ) -> Request:
     """Return a call of the plain service; `once` if it may run only once."""
-    return plain_request(request_id, bench.clock.monotonic(), once, time, **terms)
+    return plain_request(
+        request_id, bench.clock.monotonic(), non_idempotent, time, **terms
+    )
 
 
 def plain_request(
     request_id: str,
     now: timedelta,
-    once: bool = False,
+    non_idempotent: bool = False,
     time: timedelta = DEADLINE,
     **terms: int,
 ) -> Request:
@@ -156,11 +158,11 @@
         request_id=RequestId(request_id),
         account=AccountId("account-a"),
         kind=RequestKind.SERVICE,
-        target=DESK,
+        target=PLAIN_SERVICE,
         prompt_tokens=0,
         max_tokens=0,
         deadline=now + time,
         body_digest=digest_of(request_id),
-        repeatability=Repeatability.NON_IDEMPOTENT if once else repeatable,
+        repeatability=Repeatability.NON_IDEMPOTENT if non_idempotent else repeatable,
         terms=replace(usual, **terms),
     )
--- a/tests/support/gateway_tables.py
+++ b/tests/support/gateway_tables.py
@@ -21,7 +21,7 @@
     TrafficSplit,
 )
 
-from .gateway_kernels import DESK
+from .gateway_kernels import PLAIN_SERVICE
 from .reserving_engines import FIGURES, HUGE, POOL
 
 HOST = "front.example"
@@ -29,8 +29,8 @@
 KEYS = ("key-a", "key-b")
 
 ROUTES = {
-    "safe": (CallKind.IDEMPOTENT, DESK, timedelta(seconds=6)),
-    "once": (CallKind.NON_IDEMPOTENT, DESK, timedelta(seconds=6)),
+    "safe": (CallKind.IDEMPOTENT, PLAIN_SERVICE, timedelta(seconds=6)),
+    "once": (CallKind.NON_IDEMPOTENT, PLAIN_SERVICE, timedelta(seconds=6)),
     "stream": (CallKind.STREAM, POOL, timedelta(seconds=12)),
     "sealed": (CallKind.STREAM, POOL, timedelta(seconds=12)),
     "huge": (CallKind.STREAM, POOL, timedelta(seconds=15)),
@@ -38,7 +38,7 @@
 """Kind, service and longest time of each route; all streams but `sealed` resume."""
 
 
-class TableHistory:
+class FakeConfigurationHistory:
     """All configurations that the operator ever sent, by their number."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
             Revision(version),
             tuple(route_of(name, most_attempts) for name in sorted(routes)),
             {
-                DESK: Service(DESK, "/healthz", 200),
+                PLAIN_SERVICE: Service(PLAIN_SERVICE, "/healthz", 200),
                 POOL: Service(POOL, "/healthz", 200, FIGURES),
             },
             ClientLimits(),
@@ -76,7 +76,7 @@
         raise NotImplementedError
 
 
-class EndpointRows:
+class FakeEndpointRows:
     """A row's value names state, service, address, zone and slots."""
 
     def decode(self, row: Row) -> ListedEndpoint:
@@ -86,7 +86,7 @@
             word = ListedState(state)
         except ValueError as error:
             raise UnreadableError(str(error)) from error
-        place = DESK if service == DESK else POOL
+        place = PLAIN_SERVICE if service == PLAIN_SERVICE else POOL
         return ListedEndpoint(
             EndpointId(row.key),
             place,
--- a/tests/support/gossip_instances.py
+++ b/tests/support/gossip_instances.py
@@ -115,4 +115,4 @@
 
     def slack_share(self, slack: float = 100.0) -> int:
         """Return this life's part of a slack."""
-        return self.sharing.slack_share().of(slack)
+        return self.sharing.slack_share().portion_of(slack)
--- a/tests/support/repeating_fleet.py
+++ b/tests/support/retrying_fleet.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from mimosafork.gateway.policies import PLUGINS
-from mimosafork.gateway.policies.allowance import ARRIVES_WITHIN, SlackShare
+from mimosafork.gateway.policies.retry_budget import MAX_RETRY_TRANSIT, SlackShare
 from mimosafork.gateway.policies.retrying import BudgetedRetry
 from mimosafork.gossip.exchange import Exchange
 from mimosafork.gossip.members import Address
@@ -36,12 +36,12 @@
 REFUSED_AFTER = ms(3)
 SECOND = timedelta(seconds=1)
 
-LATEST = ms(2300)
+MAX_TRANSIT = ms(2300)
 """What is sent again arrives up to so much later. It is not read from the policy: what
 that one reckons with is what the tests hold against it."""
 
 
-class RepeatingInstance:
+class RetryingInstance:
     """One life of an instance.
 
     Parameters
@@ -51,7 +51,7 @@
     """
 
     def __init__(
-        self, fleet: "RepeatingFleet", number: int, is_first_life: bool
+        self, fleet: "RetryingFleet", number: int, is_first_life: bool
     ) -> None:
         self.fleet = fleet
         network = fleet.network
@@ -64,7 +64,7 @@
         self.kernel = Kernel(own, network.clock, Random(boot), create(PLUGINS))
         retry = self.kernel.plugin(BudgetedRetry)
         retry.slack = fleet.budget.slack
-        retry.share = self.share
+        retry.slack_share = self.share
         self.began_at = network.now
         self.is_first_life = is_first_life
         self.read_rows()
@@ -85,7 +85,7 @@
         """Return this instance's part of the slack, as a server does."""
         census = self.exchange.roster.census
         lasted = self.now - self.began_at
-        is_over = self.is_first_life or lasted >= RETRY_WINDOW + ARRIVES_WITHIN
+        is_over = self.is_first_life or lasted >= RETRY_WINDOW + MAX_RETRY_TRANSIT
         since = None if is_over else self.began_at
         rank = census.rank(self.exchange.me.instance, self.now)
         return SlackShare(census.instances, rank, census.complete, since)
@@ -108,7 +108,7 @@
         """Carry out an effect."""
         if isinstance(effect, Dispatch):
             at = self.fleet.arrives_at(effect)
-            self.later(at + REFUSED_AFTER, refused(effect))
+            self.later(at + REFUSED_AFTER, rejected_attempt(effect))
         elif isinstance(effect, WakeAt):
             self.later(effect.at, effect.message)
 
@@ -124,7 +124,7 @@
             self.handle(Tick())
 
 
-class RepeatingFleet:
+class RetryingFleet:
     """Instances that all fail, and the budget that they share.
 
     Parameters
@@ -171,14 +171,13 @@
         self.further_names = count(size)
         self.further_boots = count(2000)
         self.zones: dict[Address, AvailabilityZoneId] = {}
-        self.latest = LATEST
+        self.latest = MAX_TRANSIT
         self.whole_at = self.network.now
         self.calls = count()
         self.arrivals: set[RequestId] = set()
-        self.instances: list[RepeatingInstance] = []
+        self.instances: list[RetryingInstance] = []
         self.instances = [
-            RepeatingInstance(self, number, is_first_life=True)
-            for number in range(size)
+            RetryingInstance(self, number, is_first_life=True) for number in range(size)
         ]
 
     def restart(self, numbers: Iterable[int]) -> None:
@@ -198,7 +197,7 @@
         """Begin a life in a fleet that had others."""
         name = self.names[number]
         self.boots[name] = next(self.further_boots)
-        self.instances[number] = RepeatingInstance(self, name, is_first_life=False)
+        self.instances[number] = RetryingInstance(self, name, is_first_life=False)
 
     def hold_up(self, span: timedelta) -> None:
         """Let links hold up what is sent again, all of which then arrives together."""
@@ -258,7 +257,7 @@
         budget.requests = [at for at in budget.requests if now - 3 * RETRY_WINDOW <= at]
 
 
-def refused(dispatch: Dispatch) -> AttemptFailed:
+def rejected_attempt(dispatch: Dispatch) -> AttemptFailed:
     """Return that an endpoint turned an attempt away."""
     return AttemptFailed(
         dispatch.request_id,
--- a/tests/support/simulated_gateway.py
+++ b/tests/support/simulated_gateway.py
@@ -22,7 +22,7 @@
 from mimosafork.directory.rows import Row
 from mimosafork.gateway.intake import AdmittedCall, CallRefusal, admit
 from mimosafork.gateway.policies import PLUGINS
-from mimosafork.gateway.policies.allowance import SlackShare
+from mimosafork.gateway.policies.retry_budget import SlackShare
 from mimosafork.gateway.policies.retrying import BudgetedRetry
 from mimosafork.gateway.problems import final_status
 from mimosafork.ids import (
@@ -74,7 +74,12 @@
 
 from .call_rules import RETRY_RATIO, RETRY_SLACK, Judge, ModelCall, Phase, Sent
 from .gateway_kernels import ZONE
-from .gateway_tables import EndpointRows, TableHistory, marks_of, message_of
+from .gateway_tables import (
+    FakeConfigurationHistory,
+    FakeEndpointRows,
+    marks_of,
+    message_of,
+)
 from .reserving_engines import POOL, FakeModelEngine
 
 OPENED_WITHIN = timedelta(milliseconds=300)
@@ -159,11 +164,11 @@
     def __init__(self, seed: int = 1) -> None:
         self.clock = ManualClock(start=timedelta(seconds=100))
         self.judge = Judge()
-        self.tables = TableHistory()
+        self.tables = FakeConfigurationHistory()
         identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
         self.kernel = Kernel(identity, self.clock, Random(seed), create(PLUGINS))
         self.directory = Directory(
-            self.tables, EndpointRows(), self.clock, Random(seed)
+            self.tables, FakeEndpointRows(), self.clock, Random(seed)
         )
         self.directory.listen(self.directory_changed)
         self.random = Random(seed)
@@ -186,8 +191,8 @@
         retry = self.kernel.plugin(BudgetedRetry)
         for each in (retry, self.peer):
             each.ratio, each.slack = RETRY_RATIO, RETRY_SLACK
-        retry.share = lambda: self.share
-        self.peer.share = lambda: SlackShare(INSTANCES, rank=1)
+        retry.slack_share = lambda: self.share
+        self.peer.slack_share = lambda: SlackShare(INSTANCES, rank=1)
 
     @property
     def now(self) -> timedelta:
@@ -214,13 +219,13 @@
     def peer_spends(self, service: ServiceId, requests: int, repeats: int) -> None:
         """Let a peer take requests and repeat as many as its part has room for."""
         budget = self.judge.budget(service)
-        allowance = self.peer.allowance(service)
+        allowance = self.peer.budget(service)
         for _ in range(requests):
             allowance.count_request(self.now)
             budget.requests.append(self.now)
         for _ in range(repeats):
-            if self.peer.room(service, self.now) >= 1:
-                allowance.count_repeat(PEERS_CALL, self.now)
+            if self.peer.available_retries(service, self.now) >= 1:
+                allowance.count_retry(PEERS_CALL, self.now)
                 budget.repeats.append(self.now)
                 budget.check(self.now)
 
--- a/tests/unit/directory/test_directory_machine.py
+++ b/tests/unit/directory/test_directory_machine.py
@@ -22,7 +22,12 @@
 from mimosafork.routing.table import RoutingTable
 
 from ...support.functions import function_tests
-from ...support.gateway_tables import KEYS, ROUTES, EndpointRows, TableHistory
+from ...support.gateway_tables import (
+    KEYS,
+    ROUTES,
+    FakeConfigurationHistory,
+    FakeEndpointRows,
+)
 from ...support.machines import explore
 from ...support.model_store import (
     STABLE,
@@ -52,7 +57,7 @@
 class ConfigurationRows(StoreSource):
     """The configuration's row."""
 
-    def __init__(self, store: ModelStore, tables: TableHistory) -> None:
+    def __init__(self, store: ModelStore, tables: FakeConfigurationHistory) -> None:
         super().__init__(store, store.configuration)
         self.tables = tables
 
@@ -66,7 +71,7 @@
 
     def __init__(self, store: ModelStore) -> None:
         super().__init__(store, store.endpoints)
-        self.rows = EndpointRows()
+        self.rows = FakeEndpointRows()
 
     def decode(self, row: Row) -> ListedEndpoint:
         """Return what a row says."""
@@ -88,7 +93,7 @@
         super().__init__()
         self.clock = ManualClock(timedelta(hours=1))
         self.store = ModelStore()
-        self.tables = TableHistory()
+        self.tables = FakeConfigurationHistory()
         self.born = 0
         self.boot()
 
--- a/tests/unit/gateway/test_attempt_notes.py
+++ b/tests/unit/gateway/test_attempt_notes.py
@@ -179,7 +179,7 @@
         world.running.ask("/stream/1", "c1", b"prompt", **LONG_PROMPT)
         fields = only_line(caught, CALL_ENDED)
         placer = world.running.gateway.kernel.plugin(WorkPlacer)
-        assert placer.first_token_at == {}
+        assert placer.predicted_first_token_at == {}
     assert fields["expected_ms"] > 0
     assert fields["first_ms"] > 0
 
--- a/tests/unit/gateway/test_budget_bounds.py
+++ b/tests/unit/gateway/test_budget_bounds.py
@@ -4,8 +4,8 @@
 from unittest import TestCase
 
 from mimosafork.clock import ManualClock
-from mimosafork.gateway.policies.allowance import SlackShare
-from mimosafork.gateway.policies.retrying import RATIO, BudgetedRetry
+from mimosafork.gateway.policies.retry_budget import SlackShare
+from mimosafork.gateway.policies.retrying import RETRY_RATIO, BudgetedRetry
 from mimosafork.gateway.upstream import TCP_USER_TIMEOUT_MS
 from mimosafork.gossip.census import STARTED_TOGETHER
 from mimosafork.gossip.finding import READ_AGAIN
@@ -14,21 +14,21 @@
 
 from ...support.call_rules import RETRY_WINDOW
 from ...support.functions import function_tests
-from ...support.gateway_kernels import DESK, gateway_bench, request_of
+from ...support.gateway_kernels import PLAIN_SERVICE, gateway_bench, request_of
 from ...support.gossip_instances import FakeRowStore, GossipInstance
 from ...support.gossip_network import ZONES, identity, ms
-from ...support.repeating_fleet import LATEST, RepeatingFleet, RepeatingInstance
+from ...support.retrying_fleet import MAX_TRANSIT, RetryingFleet, RetryingInstance
 
 case = TestCase()
 
 CALM = timedelta(seconds=12)
 FLOOD = timedelta(seconds=14)
 
-SETTLES = RETRY_WINDOW + LATEST
+SETTLES = RETRY_WINDOW + MAX_TRANSIT
 """Until then what a former life has sent may arrive in the same window."""
 
 
-class EarlyInstance(RepeatingInstance):
+class EarlyInstance(RetryingInstance):
     """The first life of an instance in a fleet that is new, as its finder looks."""
 
     def read_rows(self) -> None:
@@ -52,7 +52,7 @@
         super().step(now)
 
 
-class NewFleet(RepeatingFleet):
+class NewFleet(RetryingFleet):
     """A fleet whose instances start one after the other, behind a cut of all zones."""
 
     def __init__(self, size: int, slack: float) -> None:
@@ -83,14 +83,14 @@
     for number in range(instances):
         policy = BudgetedRetry()
         policy.slack = slack
-        policy.share = lambda rank=number: SlackShare(instances, rank)  # type: ignore[misc]
+        policy.slack_share = lambda rank=number: SlackShare(instances, rank)  # type: ignore[misc]
         now = ms(number)
-        policy.allowance(DESK).count_request(now)
+        policy.budget(PLAIN_SERVICE).count_request(now)
         requests += 1
-        if policy.room(DESK, now) >= 1:
-            policy.allowance(DESK).count_repeat(RequestId("a"), now)
+        if policy.available_retries(PLAIN_SERVICE, now) >= 1:
+            policy.budget(PLAIN_SERVICE).count_retry(RequestId("a"), now)
             sent += 1
-    case.assertLessEqual(sent, RATIO * requests + slack)
+    case.assertLessEqual(sent, RETRY_RATIO * requests + slack)
 
 
 def test_repeats_that_links_hold_up_keep_the_budget() -> None:
@@ -101,7 +101,7 @@
     as of the moment when it was sent, and is forgotten while the window in which it
     arrived goes on; the slack is spent a second time within it.
     """
-    fleet = RepeatingFleet(24, 124.0)
+    fleet = RetryingFleet(24, 124.0)
     fleet.run(CALM)
     fleet.hold_up(ms(TCP_USER_TIMEOUT_MS))
     for number in range(300):
--- a/tests/unit/gateway/test_budget_machine.py
+++ b/tests/unit/gateway/test_budget_machine.py
@@ -12,7 +12,7 @@
 from ...support.functions import function_tests
 from ...support.gossip_network import ms
 from ...support.machines import explore
-from ...support.repeating_fleet import LATEST, RepeatingFleet
+from ...support.retrying_fleet import MAX_TRANSIT, RetryingFleet
 
 EXAMPLES = 50
 STEPS = 25
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = RepeatingFleet(SIZE, self.slack)
+        self.fleet = RetryingFleet(SIZE, self.slack)
         self.fleet.run(timedelta(seconds=1))
 
     @rule(
@@ -69,7 +69,7 @@
         the repeats were sent is over, but not the one in which they arrived.
         """
         self.fleet.run(timedelta(seconds=12.5))
-        self.fleet.hold_up(LATEST)
+        self.fleet.hold_up(MAX_TRANSIT)
         for number in range(20 * SIZE):
             self.fleet.call(number % SIZE)
         self.fleet.run(timedelta(seconds=12.5), 30.0)
--- a/tests/unit/gateway/test_fleet_budget.py
+++ b/tests/unit/gateway/test_fleet_budget.py
@@ -9,7 +9,7 @@
 
 from ...support.functions import function_tests
 from ...support.gossip_network import ms
-from ...support.repeating_fleet import RepeatingFleet
+from ...support.retrying_fleet import RetryingFleet
 
 case = TestCase()
 
@@ -34,7 +34,7 @@
     arrivals beyond the first of their call in ten seconds, where 373 are allowed.
     """
     for lag in (ms(0), ms(600), ms(2000)):
-        fleet = RepeatingFleet(INSTANCES, SLACK, lag)
+        fleet = RetryingFleet(INSTANCES, SLACK, lag)
         fleet.run(CALM)
         fleet.run(FLOOD, CALLS_S)
         case.assertLessEqual(fleet.worst_window(), 0, lag)
@@ -46,7 +46,7 @@
     Nobody remembers what was sent before; the new lives spent the whole slack a second
     time within the same ten seconds, on engines that the returning callers had filled.
     """
-    fleet = RepeatingFleet(FEW, FEW_SLACK)
+    fleet = RetryingFleet(FEW, FEW_SLACK)
     fleet.run(CALM)
     fleet.run(timedelta(seconds=4), FEW_CALLS_S)
     fleet.restart(range(FEW))
@@ -60,7 +60,7 @@
     Its peers divide the budget among those that they know; each new life of the same
     instance took its part anew, three times within one window.
     """
-    fleet = RepeatingFleet(FEW, FEW_SLACK)
+    fleet = RetryingFleet(FEW, FEW_SLACK)
     fleet.run(CALM)
     for _ in range(4):
         fleet.run(timedelta(seconds=2), FEW_CALLS_S)
@@ -76,7 +76,7 @@
     counted only those that they heard, and divided the slack among too few.
     """
     for store_answers in (True, False):
-        fleet = RepeatingFleet(FEW, FEW_SLACK)
+        fleet = RetryingFleet(FEW, FEW_SLACK)
         fleet.run(CALM)
         zones = {e.exchange.me.address: e.exchange.me.zone for e in fleet.instances}
         fleet.network.cut = lambda a, b, zones=zones: zones[a] != zones[b]  # type: ignore[misc]
@@ -96,7 +96,7 @@
     """
     instances, slack = 12, 8.0
     for is_cut in (False, True):
-        fleet = RepeatingFleet(instances, slack)
+        fleet = RetryingFleet(instances, slack)
         fleet.run(CALM)
         if is_cut:
             fleet.cut_zones()
@@ -114,7 +114,7 @@
     A budget that holds by giving nothing away would keep each test above. Repeats that
     are late are spread over further windows, and none of these is full; here none is.
     """
-    fleet = RepeatingFleet(FEW, FEW_SLACK)
+    fleet = RetryingFleet(FEW, FEW_SLACK)
     fleet.latest = timedelta(0)
     fleet.run(CALM)
     fleet.run(FLOOD, FEW_CALLS_S)
--- a/tests/unit/gateway/test_fleet_view.py
+++ b/tests/unit/gateway/test_fleet_view.py
@@ -6,9 +6,9 @@
 from msgspec.structs import replace
 
 from mimosafork.gateway.policies.fleet_view import (
-    LONGEST_ABSENCE,
-    SUSPECT_FOR,
-    UNREACHED_FOR,
+    ENDPOINT_SUSPICION_PERIOD,
+    MAX_UNREACHABLE_BACKOFF,
+    UNREACHABLE_BACKOFF,
     FleetView,
 )
 from mimosafork.ids import EndpointId
@@ -18,7 +18,7 @@
 
 from ...support.functions import function_tests
 from ...support.gateway_kernels import (
-    DESK,
+    PLAIN_SERVICE,
     GatewayBench,
     gateway_bench,
     request_of,
@@ -32,13 +32,19 @@
 
 def usable(bench: GatewayBench) -> set[str]:
     now = bench.clock.monotonic()
-    views = (b.view(now) for b in bench.kernel.plugin(FleetView).of_service(DESK))
+    views = (
+        b.view(now)
+        for b in bench.kernel.plugin(FleetView).service_endpoints(PLAIN_SERVICE)
+    )
     return {view.endpoint for view in views if view.usable}
 
 
 def suspects(bench: GatewayBench) -> set[str]:
     now = bench.clock.monotonic()
-    views = (b.view(now) for b in bench.kernel.plugin(FleetView).of_service(DESK))
+    views = (
+        b.view(now)
+        for b in bench.kernel.plugin(FleetView).service_endpoints(PLAIN_SERVICE)
+    )
     return {view.endpoint for view in views if view.suspect}
 
 
@@ -66,7 +72,7 @@
     Views are kept between placements; one must not outlive the entry it came from.
     """
     bench = gateway_bench(endpoints=1)
-    belief = bench.kernel.plugin(FleetView).of_service(DESK)[0]
+    belief = bench.kernel.plugin(FleetView).service_endpoints(PLAIN_SERVICE)[0]
     now = bench.clock.monotonic()
     kept = belief.view(now)
     case.assertIs(kept, belief.view(now + MOMENT))
@@ -80,14 +86,14 @@
 
 def test_an_unreached_endpoint_is_left_alone_longer_each_time() -> None:
     bench = gateway_bench(endpoints=1)
-    absence = UNREACHED_FOR
+    absence = UNREACHABLE_BACKOFF
     for number in range(4):
         miss(bench, f"a{number}")
         bench.handle_after(absence - MOMENT, Tick())
         case.assertEqual(set(), usable(bench))
         bench.clock.advance(MOMENT)
         case.assertEqual({"desk-0"}, usable(bench))
-        absence = min(LONGEST_ABSENCE, absence * 2)
+        absence = min(MAX_UNREACHABLE_BACKOFF, absence * 2)
 
 
 def test_one_at_another_address_is_left_alone() -> None:
@@ -103,7 +109,7 @@
     bench.fail(first)
     case.assertEqual({first.endpoint}, suspects(bench))
     case.assertEqual(2, len(usable(bench)))
-    bench.clock.advance(SUSPECT_FOR)
+    bench.clock.advance(ENDPOINT_SUSPICION_PERIOD)
     for number in range(3):
         case.assertEqual(first.endpoint in suspects(bench), number < 1)
         bench.kernel.plugin(FleetView).endpoints[first.endpoint].note_outcome(
@@ -153,7 +159,7 @@
         bench.fail(first, FailureKind.UNREACHED, Exposure.NEVER_SENT)
     belief = bench.kernel.plugin(FleetView).endpoints[calls[0].endpoint]
     left = belief.unusable_until - bench.clock.monotonic()
-    case.assertEqual(LONGEST_ABSENCE, left)
+    case.assertEqual(MAX_UNREACHABLE_BACKOFF, left)
 
 
 def test_what_was_learned_of_a_life_ends_with_it() -> None:
--- a/tests/unit/gateway/test_full_engines.py
+++ b/tests/unit/gateway/test_full_engines.py
@@ -278,8 +278,8 @@
         fleet.submit(f"call{number}")
     fleet.run(timedelta(seconds=16))
     placer = fleet.benches[0].kernel.plugin(WorkPlacer)
-    case.assertEqual({}, placer.turned_away.crowds)
-    case.assertLessEqual(len(placer.book.overloads.by_endpoint), 2)
+    case.assertEqual({}, placer.full_rejections.by_request)
+    case.assertLessEqual(len(placer.load_tracker.overloads.by_endpoint), 2)
 
 
 def test_an_engine_that_names_itself_is_full() -> None:
--- a/tests/unit/gateway/test_gateway_machine.py
+++ b/tests/unit/gateway/test_gateway_machine.py
@@ -15,17 +15,17 @@
 )
 
 from mimosafork.directory.rows import Row
-from mimosafork.gateway.policies.allowance import SlackShare
 from mimosafork.gateway.policies.fleet_view import FleetView
 from mimosafork.gateway.policies.placing import WorkPlacer
 from mimosafork.gateway.policies.reserving import MemoryKeeper
+from mimosafork.gateway.policies.retry_budget import SlackShare
 from mimosafork.ids import EndpointId, InstanceId, RequestId, ServiceId
 from mimosafork.kernel.core import TICK
 from mimosafork.kernel.messages.routing import PeerWorkReplaced, PeerWorkUnknown
 from mimosafork.placement.load_tracker import InFlightRequest
 
 from ...support.functions import function_tests
-from ...support.gateway_kernels import DESK
+from ...support.gateway_kernels import PLAIN_SERVICE
 from ...support.gateway_tables import KEYS, ROUTES
 from ...support.machines import explore
 from ...support.reserving_engines import MEMORY, POOL, FakeModelEngine
@@ -34,11 +34,11 @@
 EXAMPLES = 50
 STEPS = 50
 
-PLACES = {f"10.0.0.{n}:80": DESK if n < 4 else POOL for n in range(1, 8)}
+PLACES = {f"10.0.0.{n}:80": PLAIN_SERVICE if n < 4 else POOL for n in range(1, 8)}
 """Addresses, and who has them first."""
 
 ADDRESSES = st.sampled_from(sorted(PLACES))
-SERVICES = st.sampled_from([DESK, POOL])
+SERVICES = st.sampled_from([PLAIN_SERVICE, POOL])
 WHICH = st.integers(0, 11)
 THEN = st.sampled_from([0, 0, 1, 1, 4, 20])
 """Ticks that pass after a step; in none of them a tick can come before what follows."""
@@ -242,7 +242,7 @@
     def wanted_engine_drains(self, which: int, then: int) -> None:
         """Let an engine leave while memory is reserved for a prompt, often on it."""
         gangs = self.world.kernel.plugin(MemoryKeeper).gangs.values()
-        names = [ticket.endpoint for gang in gangs for ticket in gang.tickets]
+        names = [ticket.endpoint for gang in gangs for ticket in gang.reservations]
         living = [n for n in names if n in self.world.living.values()]
         if living:
             life = self.world.endpoints[living[which % len(living)]]
@@ -304,7 +304,7 @@
     ) -> None:
         """Let a peer take requests and repeat some, and this instance lose its part."""
         since = None if settled else self.world.now
-        self.world.share = SlackShare(INSTANCES, since=since)
+        self.world.share = SlackShare(INSTANCES, restarted_at=since)
         self.world.peer_spends(service, requests, repeats)
 
     @precondition(lambda self: self.world.calls)
@@ -370,9 +370,9 @@
         kept = [
             set(kernel.state.requests),
             set(keeper.gangs),
-            set(keeper.failures),
-            set(keeper.not_before),
-            set(placer.book.own),
+            set(keeper.gang_failures),
+            set(keeper.backoff_until),
+            set(placer.load_tracker.own),
             set(placer.waiting_since),
             {record.request_id for record in kernel.state.waiting},
         ]
@@ -381,7 +381,7 @@
     @invariant()
     def running_calls_are_booked(self) -> None:
         """Check that what runs is known to take its endpoint's place."""
-        own = self.world.kernel.plugin(WorkPlacer).book.own
+        own = self.world.kernel.plugin(WorkPlacer).load_tracker.own
         for sent in self.world.open:
             work = own.get(sent.dispatch.request_id)
             assert work is not None, ("LIMIT", sent)
@@ -391,7 +391,7 @@
     def memory_is_wanted(self) -> None:
         """Check that engines that hear hold only what a gang knows of."""
         gangs = self.world.kernel.plugin(MemoryKeeper).gangs.values()
-        wanted = {str(t.reservation) for gang in gangs for t in gang.tickets}
+        wanted = {str(t.reservation_id) for gang in gangs for t in gang.reservations}
         for life in self.world.endpoints.values():
             unwanted = set(life.memory.reservations) - wanted
             until = [life.memory.reservations[name].until for name in unwanted]
--- a/tests/unit/gateway/test_gateway_peers.py
+++ b/tests/unit/gateway/test_gateway_peers.py
@@ -65,7 +65,7 @@
 
 
 def peer_works(running: RunningGateway) -> int:
-    book = running.server.kernel.plugin(WorkPlacer).book
+    book = running.server.kernel.plugin(WorkPlacer).load_tracker
     return sum(len(works) for works in book.peers.values())
 
 
@@ -218,7 +218,7 @@
 
 
 def sharers(running: RunningGateway) -> int:
-    return running.server.kernel.plugin(BudgetedRetry).sharers()
+    return running.server.kernel.plugin(BudgetedRetry).slack_sharers()
 
 
 def set_budget(running: RunningGateway) -> None:
--- a/tests/unit/gateway/test_hedged_ends.py
+++ b/tests/unit/gateway/test_hedged_ends.py
@@ -92,7 +92,7 @@
     case.assertEqual(first.endpoint, second.endpoint)
     bench.fail(second, FailureKind.REFUSED, Exposure.REFUSED, 503, "not-run")
     bench.handle(HedgedAttemptResumed(first.request_id, first.attempt))
-    book = bench.kernel.plugin(WorkPlacer).book
+    book = bench.kernel.plugin(WorkPlacer).load_tracker
     case.assertEqual([first.request_id], list(book.own))
 
 
--- a/tests/unit/gateway/test_placing.py
+++ b/tests/unit/gateway/test_placing.py
@@ -7,8 +7,8 @@
 
 from mimosafork.gateway.policies.placing import (
     WorkPlacer,
-    expected_answer,
-    reads_long,
+    expected_answer_tokens,
+    has_long_prefill,
 )
 from mimosafork.ids import EndpointId, InstanceId, RequestId
 from mimosafork.kernel.messages.attempts import Exposure, FailureKind, RetryDue
@@ -36,7 +36,7 @@
 
 
 def book_of(bench: GatewayBench) -> LoadTracker:
-    return bench.kernel.plugin(WorkPlacer).book
+    return bench.kernel.plugin(WorkPlacer).load_tracker
 
 
 def test_calls_spread_over_the_endpoints() -> None:
@@ -52,7 +52,7 @@
     """
     bench = gateway_bench()
     finished = bench.begin(request_of(bench, "a"))
-    failed = bench.begin(request_of(bench, "b", once=True))
+    failed = bench.begin(request_of(bench, "b", non_idempotent=True))
     left = bench.begin(request_of(bench, "c"))
     late = bench.begin(request_of(bench, "d", time=timedelta(seconds=1)))
     case.assertEqual(4, len(book_of(bench).own))
@@ -144,10 +144,12 @@
     hinting = replace(silent, terms=replace(silent.terms, expected_tokens=90))
     capped = replace(silent, max_tokens=1_000)
     figures = replace(FIGURES, mean_answer_tokens=1_700)
-    asked = [expected_answer(each, figures) for each in (silent, hinting, capped)]
+    asked = [
+        expected_answer_tokens(each, figures) for each in (silent, hinting, capped)
+    ]
     case.assertEqual([1_700, 90, 1_000], asked)
     unstated = replace(FIGURES, mean_answer_tokens=0)
-    case.assertEqual(DEFAULT_ANSWER_TOKENS, expected_answer(silent, unstated))
+    case.assertEqual(DEFAULT_ANSWER_TOKENS, expected_answer_tokens(silent, unstated))
 
 
 def test_peers_hear_only_of_long_readings_that_they_are_over() -> None:
@@ -165,7 +167,7 @@
     )
     plain = InFlightRequest(RequestId("c"), host)
     case.assertEqual(
-        [False, True, False], [reads_long(w) for w in (short, long, plain)]
+        [False, True, False], [has_long_prefill(w) for w in (short, long, plain)]
     )
 
 
--- a/tests/unit/gateway/test_quarantining.py
+++ b/tests/unit/gateway/test_quarantining.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.gateway.policies.quarantining import KEPT_FOR, CrashQuarantine
+from mimosafork.gateway.policies.quarantining import SUSPICION_TTL, CrashQuarantine
 from mimosafork.ids import EndpointId
 from mimosafork.kernel.messages.attempts import FailureKind
 from mimosafork.kernel.messages.base import Tick
@@ -106,7 +106,7 @@
     for number in range(200):
         crash(bench, f"once{number}", 1)
         bench.handle_after(timedelta(milliseconds=600), Tick())
-    bench.handle_after(KEPT_FOR + SOON, Tick())
+    bench.handle_after(SUSPICION_TTL + SOON, Tick())
     case.assertFalse(refused(bench, "bad-x"))
     crash(bench, "last", 1)
     case.assertLessEqual(len(bench.kernel.plugin(CrashQuarantine).suspicions), 2)
--- a/tests/unit/gateway/test_reserved_tokens.py
+++ b/tests/unit/gateway/test_reserved_tokens.py
@@ -6,8 +6,8 @@
 
 from mimosafork.gateway.gateway import Gateway
 from mimosafork.gateway.gauges import GatewayGauges
-from mimosafork.gateway.policies.reserving import HOLD, MemoryKeeper
-from mimosafork.gateway.policies.tickets import HeldState
+from mimosafork.gateway.policies.reservations import ReservationState
+from mimosafork.gateway.policies.reserving import RESERVATION_TTL, MemoryKeeper
 from mimosafork.ids import RequestId
 from mimosafork.kernel.messages.requests import CallerGone, Submit
 from mimosafork.telemetry.catalogue.gateway import MEMORY_RESERVED
@@ -22,9 +22,9 @@
 )
 
 
-def tokens_of(bench: ReservingBench, state: HeldState) -> int:
+def tokens_of(bench: ReservingBench, state: ReservationState) -> int:
     keeper = bench.kernel.plugin(MemoryKeeper)
-    return keeper.tokens_held(bench.clock.monotonic())[state]
+    return keeper.reserved_tokens(bench.clock.monotonic())[state]
 
 
 def begun(bench: ReservingBench) -> None:
@@ -33,15 +33,15 @@
 
 def test_held_tokens_are_those_that_the_engines_hold() -> None:
     bench = reserving_bench()
-    assert tokens_of(bench, HeldState.HELD) == 0
+    assert tokens_of(bench, ReservationState.HELD) == 0
     begun(bench)
     engines = bench.engines.values()
     held = sum(each.tokens for e in engines for each in e.reservations.values())
     assert held >= HUGE
-    assert tokens_of(bench, HeldState.HELD) == held
-    assert tokens_of(bench, HeldState.UNSURE) == 0
+    assert tokens_of(bench, ReservationState.HELD) == held
+    assert tokens_of(bench, ReservationState.UNSURE) == 0
     bench.serve(CallerGone(RequestId("r")))
-    assert tokens_of(bench, HeldState.HELD) == 0
+    assert tokens_of(bench, ReservationState.HELD) == 0
 
 
 def test_tokens_whose_order_has_no_answer_are_unsure() -> None:
@@ -55,18 +55,18 @@
         engine.silent = True
     begun(bench)
     (order,) = bench.unanswered_orders
-    assert tokens_of(bench, HeldState.UNSURE) == cast(Any, order).tokens
-    assert tokens_of(bench, HeldState.HELD) == 0
+    assert tokens_of(bench, ReservationState.UNSURE) == cast(Any, order).tokens
+    assert tokens_of(bench, ReservationState.HELD) == 0
 
 
 def test_tokens_whose_time_may_be_over_are_unsure() -> None:
     """The instance stands still for longer than a reservation lasts."""
     bench = reserving_bench()
     begun(bench)
-    held = tokens_of(bench, HeldState.HELD)
-    bench.run(HOLD + timedelta(milliseconds=10), ticking=False)
-    assert tokens_of(bench, HeldState.HELD) == 0
-    assert tokens_of(bench, HeldState.UNSURE) == held
+    held = tokens_of(bench, ReservationState.HELD)
+    bench.run(RESERVATION_TTL + timedelta(milliseconds=10), ticking=False)
+    assert tokens_of(bench, ReservationState.HELD) == 0
+    assert tokens_of(bench, ReservationState.UNSURE) == held
 
 
 def test_metrics_page_tells_tokens_by_state() -> None:
@@ -78,7 +78,7 @@
     gauges = GatewayGauges(gateway, cast(Any, None), None)
     metrics.observe(MEMORY_RESERVED, gauges.reserved_tokens)
     begun(bench)
-    held = tokens_of(bench, HeldState.HELD)
+    held = tokens_of(bench, ReservationState.HELD)
     lines = metrics.page().decode().splitlines()
     shown = [x for x in lines if x.startswith(MEMORY_RESERVED.exposed_name)]
     values = {
--- a/tests/unit/gateway/test_reserving.py
+++ b/tests/unit/gateway/test_reserving.py
@@ -12,15 +12,15 @@
 from msgspec.structs import replace
 
 from mimosafork.gateway.gossip_adapter import work_note
-from mimosafork.gateway.policies.allowance import Allowance
 from mimosafork.gateway.policies.fleet_view import FleetView
 from mimosafork.gateway.policies.placing import WorkPlacer
 from mimosafork.gateway.policies.reserving import (
-    ASK_AGAIN_AFTER,
-    HOLD,
-    LAST_OF_HOLD,
+    RENEWAL_MARGIN,
+    RENEWAL_RETRY_DELAY,
+    RESERVATION_TTL,
     MemoryKeeper,
 )
+from mimosafork.gateway.policies.retry_budget import ServiceRetryBudget
 from mimosafork.gateway.policies.retrying import BudgetedRetry
 from mimosafork.ids import EndpointId, RequestId
 from mimosafork.kernel.messages.attempts import AttemptFinished, FirstToken
@@ -67,7 +67,7 @@
     """Check that neither engines nor plug-ins hold anything."""
     case.assertEqual({}, bench.held())
     case.assertEqual({}, bench.kernel.plugin(MemoryKeeper).gangs)
-    case.assertEqual({}, bench.kernel.plugin(WorkPlacer).book.own)
+    case.assertEqual({}, bench.kernel.plugin(WorkPlacer).load_tracker.own)
 
 
 def tickets_of(dispatch: Dispatch) -> list[str]:
@@ -118,7 +118,7 @@
     begun(bench)
     bench.serve(FirstToken(RequestId("r"), first_attempt()))
     count = len(bench.held())
-    bench.run(HOLD * 3)
+    bench.run(RESERVATION_TTL * 3)
     case.assertEqual(count, len(bench.held()))
     case.assertLessEqual(len(bench.emitted(ReserveMemory)), count * 8)
     bench.serve(AttemptFinished(RequestId("r"), first_attempt()))
@@ -176,7 +176,7 @@
     begun(bench)
     case.assertEqual({}, bench.held())
     case.assertEqual([], bench.dispatches("r"))
-    case.assertEqual({}, bench.kernel.plugin(WorkPlacer).book.own)
+    case.assertEqual({}, bench.kernel.plugin(WorkPlacer).load_tracker.own)
     bench.run(ms(400))
     dispatch = bench.last_dispatch("r")
     case.assertEqual(set(bench.held()), set(tickets_of(dispatch)))
@@ -278,7 +278,7 @@
     bench = reserving_bench()
     bench.delayed_answers = []
     begun(bench)
-    bench.run(HOLD, ticking=False)
+    bench.run(RESERVATION_TTL, ticking=False)
     bench.deliver_delayed_answers()
     case.assertEqual([], bench.dispatches("r"))
     bench.run(ms(400))
@@ -316,7 +316,7 @@
     """
     bench = reserving_bench()
     begun(bench)
-    bench.run(HOLD + ms(100), ticking=False)
+    bench.run(RESERVATION_TTL + ms(100), ticking=False)
     before = len(bench.emitted(ReserveMemory))
     bench.serve(Tick())
     case.assertEqual(before, len(bench.emitted(ReserveMemory)))
@@ -339,15 +339,15 @@
     bench = reserving_bench()
     begun(bench)
     engine = bench.engines[bench.reserve_order[0]]
-    bench.run(HOLD - LAST_OF_HOLD - ms(50))
+    bench.run(RESERVATION_TTL - RENEWAL_MARGIN - ms(50))
     engine.silent = True
     bench.run(ms(100))
     engine.silent = False
     case.assertTrue(bench.unanswered_orders)
     bench.lose_orders()
-    bench.run(ASK_AGAIN_AFTER + ms(50))
+    bench.run(RENEWAL_RETRY_DELAY + ms(50))
     until = max(ticket.until for ticket in engine.reservations.values())
-    case.assertGreater(until - bench.clock.monotonic(), HOLD - ms(200))
+    case.assertGreater(until - bench.clock.monotonic(), RESERVATION_TTL - ms(200))
 
 
 def test_a_dead_engine_is_left_alone_by_all_and_the_request_placed_at_once() -> None:
@@ -404,7 +404,7 @@
     """A peer that didn't know would promise the same memory to its own requests."""
     bench = reserving_bench()
     begun(bench)
-    work = bench.kernel.plugin(WorkPlacer).book.own[RequestId("r")]
+    work = bench.kernel.plugin(WorkPlacer).load_tracker.own[RequestId("r")]
     numbered = replace(work, request=RequestId("7"))
     told = work_note(numbered, bench.clock.monotonic())
     case.assertEqual(
@@ -414,7 +414,7 @@
     case.assertGreaterEqual(sum(part.tokens for part in told.held), HUGE)
 
 
-def held_up_repeat(bench: ReservingBench, repeats: int) -> Allowance:
+def held_up_repeat(bench: ReservingBench, repeats: int) -> ServiceRetryBudget:
     """Have a call refused and its memory reserved again, for longer than it is paid.
 
     Parameters
@@ -428,11 +428,11 @@
     bench.delayed_answers = []
     bench.fail_attempt("r")
     bench.run(ms(50))
-    own = policy.allowance(POOL)
-    case.assertEqual(1, own.held())
+    own = policy.budget(POOL)
+    case.assertEqual(1, own.counted_retries())
     bench.run(ms(400))
     for number in range(repeats):
-        own.count_repeat(RequestId(f"o{number}"), bench.clock.monotonic())
+        own.count_retry(RequestId(f"o{number}"), bench.clock.monotonic())
     bench.deliver_delayed_answers()
     return own
 
@@ -446,8 +446,8 @@
     bench = reserving_bench()
     own = held_up_repeat(bench, repeats=1)
     case.assertEqual(2, len(bench.dispatches("r")))
-    case.assertEqual(2, own.held())
-    case.assertEqual(bench.clock.monotonic(), own.sent[RequestId("r")])
+    case.assertEqual(2, own.counted_retries())
+    case.assertEqual(bench.clock.monotonic(), own.sent_at[RequestId("r")])
 
 
 def test_a_repeat_that_waited_for_memory_needs_room_when_it_is_sent() -> None:
@@ -460,7 +460,7 @@
     own = held_up_repeat(bench, repeats=2)
     case.assertEqual(1, len(bench.dispatches("r")))
     case.assertIsNotNone(bench.conclusion("r"))
-    case.assertEqual(2, own.held())
+    case.assertEqual(2, own.counted_retries())
     nothing_kept(bench)
 
 
@@ -534,7 +534,7 @@
     def engines_hold_only_what_somebody_wants(self) -> None:
         """Check that nothing is held for a request that has ended."""
         gangs = self.bench.kernel.plugin(MemoryKeeper).gangs.values()
-        wanted = {str(t.reservation) for gang in gangs for t in gang.tickets}
+        wanted = {str(t.reservation_id) for gang in gangs for t in gang.reservations}
         for engine in self.bench.engines.values():
             unwanted = set(engine.reservations) - wanted
             lost = {o.holding_id for o in self._lost_releases()}
--- a/tests/unit/gateway/test_retrying.py
+++ b/tests/unit/gateway/test_retrying.py
@@ -3,13 +3,13 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.gateway.policies.allowance import (
-    ARRIVES_WITHIN,
-    Allowance,
+from mimosafork.gateway.policies.retry_budget import (
+    MAX_RETRY_TRANSIT,
+    RetryLimits,
+    ServiceRetryBudget,
     SlackShare,
-    Terms,
 )
-from mimosafork.gateway.policies.retrying import MOST_SENDS, RATIO, BudgetedRetry
+from mimosafork.gateway.policies.retrying import MAX_SENDS, RETRY_RATIO, BudgetedRetry
 from mimosafork.ids import AttemptNumber, RequestId
 from mimosafork.kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
 from mimosafork.kernel.messages.base import Tick
@@ -20,7 +20,7 @@
 
 from ...support.functions import function_tests
 from ...support.gateway_kernels import (
-    DESK,
+    PLAIN_SERVICE,
     RETRY_PAUSE,
     GatewayBench,
     gateway_bench,
@@ -49,7 +49,7 @@
     """
     for kind in LOST:
         bench = gateway_bench()
-        first = bench.begin(request_of(bench, "a", once=True))
+        first = bench.begin(request_of(bench, "a", non_idempotent=True))
         bench.fail(first, kind)
         case.assertIsNone(bench.retried(first))
         case.assertIs(Outcome.UNKNOWN, bench.concluded("a").outcome)
@@ -61,7 +61,7 @@
         (FailureKind.UNREACHED, Exposure.NEVER_SENT),
     ):
         bench = gateway_bench()
-        first = bench.begin(request_of(bench, "a", once=True))
+        first = bench.begin(request_of(bench, "a", non_idempotent=True))
         bench.fail(first, kind, exposure)
         second = bench.retried(first)
         assert second is not None
@@ -70,7 +70,7 @@
 
 def test_only_what_no_endpoint_ran_is_told_as_not_run() -> None:
     bench = gateway_bench()
-    last: Dispatch | None = bench.begin(request_of(bench, "a", once=True))
+    last: Dispatch | None = bench.begin(request_of(bench, "a", non_idempotent=True))
     while last is not None:
         refuse(bench, last)
         last = bench.retried(last)
@@ -79,7 +79,7 @@
     case.assertIs(Outcome.NOT_RUN, end.outcome)
     case.assertIs(ProblemCode.NO_ENDPOINT, end.problem.code)
     case.assertIsNotNone(end.problem.retry_after)
-    case.assertEqual(MOST_SENDS, end.attempts)
+    case.assertEqual(MAX_SENDS, end.attempts)
 
 
 def test_a_repeatable_call_that_ran_once_is_never_told_as_not_run() -> None:
@@ -141,18 +141,18 @@
         bench = gateway_bench()
         policy = bench.kernel.plugin(BudgetedRetry)
         policy.ratio, policy.slack = 0.1, 10.0
-        policy.share = lambda n=instances: SlackShare(n)  # type: ignore[misc]
-        own = policy.allowance(DESK)
+        policy.slack_share = lambda n=instances: SlackShare(n)  # type: ignore[misc]
+        own = policy.budget(PLAIN_SERVICE)
         for _ in range(earlier):
             own.count_request(bench.clock.monotonic())
         for number in range(repeats):
-            own.count_repeat(RequestId(f"r{number}"), bench.clock.monotonic())
-        bench.clock.advance(2 * ARRIVES_WITHIN)
+            own.count_retry(RequestId(f"r{number}"), bench.clock.monotonic())
+        bench.clock.advance(2 * MAX_RETRY_TRANSIT)
         for _ in range(later - 1):
             own.count_request(bench.clock.monotonic())
         first = bench.begin(request_of(bench, "a"))
         if not later:
-            own.requests.pop()
+            own.request_times.pop()
         bench.fail(first)
         told = (earlier, repeats, later, instances)
         case.assertEqual(allowed, bench.retried(first) is not None, told)
@@ -166,8 +166,8 @@
     bench = gateway_bench()
     policy = bench.kernel.plugin(BudgetedRetry)
     policy.ratio, policy.slack = 0.2, 10.0
-    share = SlackShare(since=bench.clock.monotonic())
-    policy.share = lambda: share
+    share = SlackShare(restarted_at=bench.clock.monotonic())
+    policy.slack_share = lambda: share
     bench.clock.advance(timedelta(seconds=1))
     sent = []
     for number in range(20):
@@ -176,16 +176,18 @@
         sent.append(bench.retried(first) is not None)
     case.assertEqual([False] * 4 + [True], sent[:5])
     case.assertLessEqual(sum(sent), 4)
-    case.assertEqual(0, policy.sharers())
+    case.assertEqual(0, policy.slack_sharers())
 
 
 def test_whole_repeats_are_shared_and_the_rest_goes_by_rank() -> None:
     for slack, instances in ((10.0, 100), (212.0, 68), (5.9, 2), (0.0, 3), (7.0, 7)):
-        parts = [SlackShare(instances, rank).of(slack) for rank in range(instances)]
+        parts = [
+            SlackShare(instances, rank).portion_of(slack) for rank in range(instances)
+        ]
         case.assertEqual(int(slack), sum(parts))
         case.assertLessEqual(max(parts) - min(parts), 1)
-    case.assertEqual(0, SlackShare(known=False).of(100.0))
-    case.assertEqual(0, SlackShare(since=timedelta(0)).of(100.0))
+    case.assertEqual(0, SlackShare(known=False).portion_of(100.0))
+    case.assertEqual(0, SlackShare(restarted_at=timedelta(0)).portion_of(100.0))
 
 
 def test_an_instance_without_a_part_repeats_what_it_has_earned_twice() -> None:
@@ -197,7 +199,7 @@
         bench = gateway_bench()
         policy = bench.kernel.plugin(BudgetedRetry)
         policy.ratio, policy.slack = 0.2, 0.0
-        own = policy.allowance(DESK)
+        own = policy.budget(PLAIN_SERVICE)
         for _ in range(requests - 1):
             own.count_request(bench.clock.monotonic())
         first = bench.begin(request_of(bench, "a"))
@@ -206,17 +208,17 @@
 
 
 def test_what_is_saved_up_is_paid_by_earning_half_as_fast() -> None:
-    own = Allowance(timedelta(seconds=10))
-    terms = Terms(ratio=0.2, burst=0)
+    own = ServiceRetryBudget(timedelta(seconds=10))
+    terms = RetryLimits(ratio=0.2, burst=0)
     at = timedelta(seconds=100)
     for _ in range(20):
         own.count_request(at)
-    own.count_repeat(RequestId("a"), at)
-    later = at + 2 * ARRIVES_WITHIN
+    own.count_retry(RequestId("a"), at)
+    later = at + 2 * MAX_RETRY_TRANSIT
     for number in range(10):
-        case.assertAlmostEqual(number * 0.1, own.room(terms, later))
+        case.assertAlmostEqual(number * 0.1, own.available(terms, later))
         own.count_request(later)
-    case.assertAlmostEqual(1.0, own.room(terms, later))
+    case.assertAlmostEqual(1.0, own.available(terms, later))
 
 
 def test_nothing_is_repeated_where_nothing_is_allowed() -> None:
@@ -229,15 +231,15 @@
 
 
 def test_repeats_that_follow_at_once_are_kept_together() -> None:
-    own = Allowance(timedelta(seconds=10))
+    own = ServiceRetryBudget(timedelta(seconds=10))
     at = timedelta(seconds=100)
     for number in range(500):
-        own.count_repeat(RequestId(f"r{number}"), at)
+        own.count_retry(RequestId(f"r{number}"), at)
         at += timedelta(milliseconds=1)
-    case.assertEqual(500, own.held())
-    case.assertLessEqual(len(own.repeats), 12)
-    own.take_back(RequestId("r250"))
-    case.assertEqual(499, own.held())
+    case.assertEqual(500, own.counted_retries())
+    case.assertLessEqual(len(own.retry_batches), 12)
+    own.refund(RequestId("r250"))
+    case.assertEqual(499, own.counted_retries())
 
 
 def test_many_instances_that_fail_at_once_keep_the_budget_together() -> None:
@@ -258,19 +260,19 @@
     fleet = [BudgetedRetry() for _ in range(instances)]
     for rank, policy in enumerate(fleet):
         policy.slack = slack
-        policy.share = lambda rank=rank: SlackShare(instances, rank)  # type: ignore[misc]
+        policy.slack_share = lambda rank=rank: SlackShare(instances, rank)  # type: ignore[misc]
     sent = requests = 0
     for number in range(1000):
         now = number * step
         while requests < calls_s * (now / timedelta(seconds=1)):
-            fleet[requests % instances].allowance(DESK).count_request(now)
+            fleet[requests % instances].budget(PLAIN_SERVICE).count_request(now)
             requests += 1
         for policy in fleet:
-            if policy.affords(DESK, failure, now):
-                policy.allowance(DESK).count_repeat(RequestId("a"), now)
+            if policy.within_budget(PLAIN_SERVICE, failure, now):
+                policy.budget(PLAIN_SERVICE).count_retry(RequestId("a"), now)
                 sent += 1
-    case.assertLessEqual(sent, RATIO * requests + slack)
-    case.assertGreater(sent, 0.8 * (RATIO * requests + 0.7 * slack))
+    case.assertLessEqual(sent, RETRY_RATIO * requests + slack)
+    case.assertGreater(sent, 0.8 * (RETRY_RATIO * requests + 0.7 * slack))
 
 
 def test_what_reached_no_endpoint_costs_no_budget() -> None:
@@ -280,7 +282,7 @@
     first = bench.begin(request_of(bench, "a"))
     bench.fail(first, FailureKind.UNREACHED, Exposure.NEVER_SENT)
     case.assertIsNotNone(bench.retried(first))
-    case.assertEqual(0, policy.sent(DESK))
+    case.assertEqual(0, policy.retries_sent(PLAIN_SERVICE))
 
 
 def test_a_repeat_that_reached_no_endpoint_is_counted_when_it_does() -> None:
@@ -299,7 +301,7 @@
         bench.fail(again, FailureKind.UNREACHED, Exposure.NEVER_SENT)
         again = bench.retried(again)
     case.assertIsNotNone(again)
-    case.assertEqual(1, policy.allowance(DESK).held())
+    case.assertEqual(1, policy.budget(PLAIN_SERVICE).counted_retries())
 
 
 def test_requests_and_repeats_are_counted() -> None:
@@ -309,21 +311,23 @@
     second = bench.retried(first)
     assert second is not None
     bench.finish(second)
-    own = bench.kernel.plugin(BudgetedRetry).allowance(DESK)
-    case.assertEqual((1, 1, 1), (len(own.requests), own.held(), own.total))
-    case.assertEqual((set(), {}), (own.promised, own.sent))
+    own = bench.kernel.plugin(BudgetedRetry).budget(PLAIN_SERVICE)
+    case.assertEqual(
+        (1, 1, 1), (len(own.request_times), own.counted_retries(), own.total_retries)
+    )
+    case.assertEqual((set(), {}), (own.reserved, own.sent_at))
 
 
 def test_what_was_sent_counts_for_a_window_and_until_it_has_arrived() -> None:
-    own = Allowance(timedelta(seconds=10))
-    terms = Terms(ratio=0.5, burst=1)
+    own = ServiceRetryBudget(timedelta(seconds=10))
+    terms = RetryLimits(ratio=0.5, burst=1)
     at = timedelta(seconds=100)
     own.count_request(at)
-    own.count_repeat(RequestId("a"), at)
-    late = at + own.window + ARRIVES_WITHIN
-    case.assertEqual(0.0, own.room(terms, late - timedelta(milliseconds=1)))
-    case.assertEqual(1.0, own.room(terms, late))
-    case.assertEqual(([], 0), (own.requests, own.held()))
+    own.count_retry(RequestId("a"), at)
+    late = at + own.window + MAX_RETRY_TRANSIT
+    case.assertEqual(0.0, own.available(terms, late - timedelta(milliseconds=1)))
+    case.assertEqual(1.0, own.available(terms, late))
+    case.assertEqual(([], 0), (own.request_times, own.counted_retries()))
 
 
 def test_only_requests_of_the_same_span_earn_a_repeat() -> None:
@@ -331,18 +335,18 @@
 
     Each could send, after its own busiest seconds, what these had earned.
     """
-    terms = Terms(ratio=0.5, burst=1)
-    own = Allowance(timedelta(seconds=10))
+    terms = RetryLimits(ratio=0.5, burst=1)
+    own = ServiceRetryBudget(timedelta(seconds=10))
     at = timedelta(seconds=100)
     for _ in range(10):
         own.count_request(at)
     now = at + timedelta(seconds=1)
-    case.assertEqual(1.0, own.room(terms, now))
-    own.count_repeat(RequestId("a"), now)
-    case.assertEqual(0.0, own.room(terms, now))
-    own.count_request(now + ARRIVES_WITHIN / 2)
-    own.count_request(now + ARRIVES_WITHIN * 2)
-    case.assertEqual(0.5, own.room(terms, now + ARRIVES_WITHIN * 2))
+    case.assertEqual(1.0, own.available(terms, now))
+    own.count_retry(RequestId("a"), now)
+    case.assertEqual(0.0, own.available(terms, now))
+    own.count_request(now + MAX_RETRY_TRANSIT / 2)
+    own.count_request(now + MAX_RETRY_TRANSIT * 2)
+    case.assertEqual(0.5, own.available(terms, now + MAX_RETRY_TRANSIT * 2))
 
 
 def test_repeats_that_had_to_wait_are_held_against_the_budget_again() -> None:
@@ -366,19 +370,19 @@
         bench.handle(EndpointLeaving(first.endpoint))
         bench.fail(first)
         case.assertIsNone(bench.retried(first))
-        case.assertEqual(0, policy.sent(DESK))
+        case.assertEqual(0, policy.retries_sent(PLAIN_SERVICE))
         bench.handle_after(waited, Tick())
         for number in range(repeats):
             now = bench.clock.monotonic()
-            policy.allowance(DESK).count_repeat(RequestId(f"r{number}"), now)
+            policy.budget(PLAIN_SERVICE).count_retry(RequestId(f"r{number}"), now)
         bench.list_endpoint("desk-9")
         bench.handle_after(RETRY_PAUSE, Tick())
         if allowed:
             case.assertEqual(2, len(bench.dispatches("a")))
-            case.assertEqual(repeats + 1, policy.sent(DESK))
+            case.assertEqual(repeats + 1, policy.retries_sent(PLAIN_SERVICE))
         else:
             case.assertIs(Outcome.FAILED, bench.concluded("a").outcome)
-            case.assertEqual(repeats, policy.sent(DESK))
+            case.assertEqual(repeats, policy.retries_sent(PLAIN_SERVICE))
 
 
 def test_waiting_repeats_don_t_crowd_out_each_other() -> None:
@@ -395,13 +399,15 @@
     for first in calls:
         bench.fail(first, FailureKind.INVALID)
         case.assertIsNone(bench.retried(first))
-    case.assertEqual(0, policy.room(DESK, bench.clock.monotonic()))
+    case.assertEqual(
+        0, policy.available_retries(PLAIN_SERVICE, bench.clock.monotonic())
+    )
     bench.handle_after(timedelta(seconds=1), Tick())
     bench.list_endpoint("desk-9")
     bench.handle_after(RETRY_PAUSE, Tick())
     for number in range(3):
         case.assertEqual(2, len(bench.dispatches(f"a-{number}")))
-    case.assertEqual(3, policy.sent(DESK))
+    case.assertEqual(3, policy.retries_sent(PLAIN_SERVICE))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_silence.py
+++ b/tests/unit/gateway/test_silence.py
@@ -5,8 +5,8 @@
 
 from msgspec.structs import force_setattr
 
-from mimosafork.gateway.policies.patience import patience_of
 from mimosafork.gateway.policies.placing import WorkPlacer
+from mimosafork.gateway.policies.stall_timeouts import stall_timeouts_for
 from mimosafork.ids import EndpointId, InstanceId, RequestId
 from mimosafork.kernel.lifecycle import QUEUE_MISSES
 from mimosafork.kernel.messages.attempts import (
@@ -71,7 +71,7 @@
 
 def test_a_silent_call_that_may_run_once_goes_on() -> None:
     bench = gateway_bench()
-    first = bench.begin(request_of(bench, "a", once=True))
+    first = bench.begin(request_of(bench, "a", non_idempotent=True))
     case.assertIsNone(first.silence_timeouts)
     fall_silent(bench, first)
     case.assertEqual([], ended(bench))
@@ -217,7 +217,9 @@
     bench = reserving_bench(engines=3)
     first = begun_stream(bench, SILENCE * 9)
     placer = bench.kernel.plugin(WorkPlacer)
-    placer.narrowed = lambda views: [v for v in views if v.endpoint == first.endpoint]
+    placer.engine_subset = lambda views: [
+        v for v in views if v.endpoint == first.endpoint
+    ]
     stays_where_it_is(bench, first)
 
 
@@ -301,7 +303,7 @@
             resumable=True,
         ),
     )
-    patience = patience_of(request)
+    patience = stall_timeouts_for(request)
     assert patience is not None
     case.assertLess(patience.first_event, timedelta(seconds=1))
     case.assertGreater(patience.between_events, timedelta(milliseconds=500))
--- a/tests/unit/gateway/test_standing.py
+++ b/tests/unit/gateway/test_standing.py
@@ -5,8 +5,12 @@
 
 from mimosafork.clock import ManualClock
 from mimosafork.gateway.policies import PLUGINS
-from mimosafork.gateway.policies.fleet_view import EndpointBelief
-from mimosafork.gateway.policies.standing import Standing, log_reinstated, log_suspicion
+from mimosafork.gateway.policies.fleet_view import EndpointHealth
+from mimosafork.gateway.policies.health_log import (
+    HealthStatus,
+    log_reinstated,
+    log_suspicion,
+)
 from mimosafork.ids import (
     AvailabilityZoneId,
     Digest,
@@ -44,7 +48,7 @@
     return Kernel(identity, ManualClock(), Random(1), create(PLUGINS))
 
 
-def belief() -> EndpointBelief:
+def belief() -> EndpointHealth:
     listed = ListedEndpoint(
         EndpointId("e1"),
         ServiceId("letters"),
@@ -53,7 +57,7 @@
         4,
         ListedState.READY,
     )
-    return EndpointBelief(listed)
+    return EndpointHealth(listed)
 
 
 def test_endpoint_that_vanishes_is_told_once_and_told_back() -> None:
@@ -65,7 +69,7 @@
     known = belief()
     with caught_lines() as caught:
         for _ in range(8):
-            before = Standing.of(known, START)
+            before = HealthStatus.of(known, START)
             known.note_unreached(START)
             log_suspicion(known, before, "unreached", START)
         log_reinstated(known, START)
@@ -79,7 +83,7 @@
     known = belief()
     with caught_lines() as caught:
         for _ in range(3):
-            before = Standing.of(known, START)
+            before = HealthStatus.of(known, START)
             known.note_outcome(True, START)
             log_suspicion(known, before, "broken", START)
     fields = caught.one(ENDPOINT_SUSPECTED)
--- a/tests/unit/gateway/test_subset_selector.py
+++ b/tests/unit/gateway/test_subset_selector.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.gateway.policies.fleet_view import EndpointBelief, FleetView
+from mimosafork.gateway.policies.fleet_view import EndpointHealth, FleetView
 from mimosafork.gateway.subset_selector import SubsetSelector
 from mimosafork.ids import AvailabilityZoneId, EndpointId, InstanceId, ServiceId
 from mimosafork.placement.subset import MIN_ENGINES_FOR_SUBSETS, SUBSET_SIZE
@@ -32,7 +32,7 @@
             state=ListedState.READY,
             sequence=1,
         )
-        belief = EndpointBelief(listed)
+        belief = EndpointHealth(listed)
         fleet.endpoints[listed.endpoint] = belief
         fleet.by_service.setdefault(POOL, {})[listed.endpoint] = belief
     return fleet
@@ -40,7 +40,7 @@
 
 def used(neighbours: SubsetSelector) -> set[EndpointId]:
     """Return the engines that an instance uses."""
-    views = [each.view(NOW) for each in neighbours.fleet.of_service(POOL)]
+    views = [each.view(NOW) for each in neighbours.fleet.service_endpoints(POOL)]
     return {view.endpoint for view in neighbours.select_engines(views)}
 
 
--- a/tests/unit/gateway/test_zone_suspicion.py
+++ b/tests/unit/gateway/test_zone_suspicion.py
@@ -5,7 +5,7 @@
 
 from msgspec.structs import replace
 
-from mimosafork.gateway.policies.fleet_view import LONGEST_ABSENCE, FleetView
+from mimosafork.gateway.policies.fleet_view import MAX_UNREACHABLE_BACKOFF, FleetView
 from mimosafork.gateway.policies.zone_suspicion import (
     FAILURE_WINDOW,
     SUSPICION_PERIOD,
@@ -87,7 +87,7 @@
     bench = bench_of_zones(FAR, OTHER)
     serve(bench, 40, FAR)
     with caught_lines() as lines:
-        bench.clock.advance(LONGEST_ABSENCE)
+        bench.clock.advance(MAX_UNREACHABLE_BACKOFF)
         serve(bench, 40, name="b")
     case.assertEqual(FAR, lines.one(ZONE_ANSWERS)["zone"])
     later = [d for d in bench.emitted(Dispatch) if d.request_id.startswith("b")]
@@ -149,7 +149,7 @@
     bench = bench_of_zones(ZONE, OTHER)
     serve(bench, 20, ZONE)
     now = bench.clock.monotonic()
-    case.assertFalse(bench.kernel.plugin(FleetView).zones.suspected(ZONE, now))
+    case.assertFalse(bench.kernel.plugin(FleetView).zone_suspicion.suspected(ZONE, now))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gossip/test_census.py
+++ b/tests/unit/gossip/test_census.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.gateway.policies.allowance import SlackShare
+from mimosafork.gateway.policies.retry_budget import SlackShare
 from mimosafork.gossip.census import KEPT, MOST_SILENT, Census
 from mimosafork.gossip.members import Identity
 
@@ -114,14 +114,14 @@
     alone = Census(early.started_ms)
     alone.all_read([], True)
     case.assertTrue(alone.complete)
-    spent = SlackShare(alone.instances, 0, alone.complete).of(slack)
+    spent = SlackShare(alone.instances, 0, alone.complete).portion_of(slack)
     joining = Census(late.started_ms)
     joining.learn(early, START)
     joining.all_read([early], True)
     joining.all_read([early], True)
     since = None if joining.fleet_is_new else START
     share = SlackShare(joining.instances, 1, joining.complete, since)
-    case.assertLessEqual(spent + share.of(slack), slack)
+    case.assertLessEqual(spent + share.portion_of(slack), slack)
 
 
 def test_who_joins_under_a_new_name_stands_last_until_all_have_heard_it() -> None:
--- a/tests/unit/tooling/test_gateway_page.py
+++ b/tests/unit/tooling/test_gateway_page.py
@@ -15,12 +15,12 @@
     upstream,
 )
 from mimosafork.gateway.policies import (
-    allowance,
     fleet_view,
-    patience,
     quarantining,
     reserving,
+    retry_budget,
     retrying,
+    stall_timeouts,
     zone_suspicion,
 )
 from mimosafork.gossip import census
@@ -41,7 +41,7 @@
 def told() -> list[str]:
     """Return what the page must say, with the figures of the code."""
     follow, gossip = DirectorySettings(), Timing()
-    longest = fleet_view.LONGEST_ABSENCE
+    longest = fleet_view.MAX_UNREACHABLE_BACKOFF
     return [
         f"For {s(server.BALANCER_LAG)} calls are served as before",
         f"after {WORDS[draining.GRACE_SHARE_FOR_CALLS]} tenths of `bounds.grace`",
@@ -51,14 +51,16 @@
         "whole answer of more than "
         f"{attempt.MAX_BUFFERED_BYTES // 1024} KiB is passed on",
         f"acknowledges nothing for {upstream.TCP_USER_TIMEOUT_MS / 1000:g} s is taken",
-        f"`bounds.retry_window` and {s(allowance.ARRIVES_WITHIN)} have passed",
+        f"`bounds.retry_window` and {s(retry_budget.MAX_RETRY_TRANSIT)} have passed",
         f"for {census.KEPT / HOUR:g} hour after it was last heard",
-        f"endpoints refused are at most {WORDS[retrying.MOST_SENDS]}",
-        f"after {patience.STREAM_SHARE} of the longest of "
-        f"{s(patience.SHORTEST_GIVE_UP)}, {patience.GIVE_UP_OBJECTIVES} objectives and "
-        f"{patience.GIVE_UP_PAUSES} longest pauses",
-        f"plain calls after {patience.CALL_OBJECTIVES} objectives, at least "
-        f"{patience.SHORTEST_CALL // timedelta(milliseconds=1)} ms",
+        f"endpoints refused are at most {WORDS[retrying.MAX_SENDS]}",
+        f"after {stall_timeouts.STREAM_STALL_SHARE} of the longest of "
+        f"{s(stall_timeouts.MIN_CALLER_TIMEOUT)}, "
+        f"{stall_timeouts.CALLER_TIMEOUT_OBJECTIVES} objectives and "
+        f"{stall_timeouts.CALLER_TIMEOUT_PAUSES} longest pauses",
+        f"plain calls after {stall_timeouts.CALL_STALL_OBJECTIVES} objectives, "
+        f"at least "
+        f"{stall_timeouts.MIN_CALL_STALL_TIMEOUT // timedelta(milliseconds=1)} ms",
         f"tries again after {s(follow.endpoints.first_retry)}, doubled up to "
         f"{s(follow.endpoints.last_retry)}",
         f"found within {s(StoreTimeouts().resend_after)} after the long poll's wait "
@@ -71,19 +73,21 @@
         f"({s(gossip.relayed_suspect_after)} beyond {gossip.mesh_size} instances)",
         f"its row is back and lasts {s(ROW_EXPIRY)}",
         f"cannot be connected to within {s(pool.CONNECT_TIMEOUT)} | left alone for "
-        f"{s(fleet_view.UNREACHED_FOR)}, then 2 s, then {s(longest)}",
-        f"taken last for {s(fleet_view.SUSPECT_FOR)}, and while over a quarter",
+        f"{s(fleet_view.UNREACHABLE_BACKOFF)}, then 2 s, then {s(longest)}",
+        f"taken last for {s(fleet_view.ENDPOINT_SUSPICION_PERIOD)}, "
+        f"and while over a quarter",
         f"were silent, within {s(zone_suspicion.FAILURE_WINDOW)} and none answered | "
         f"its endpoints are taken last for {s(zone_suspicion.SUSPICION_PERIOD)}",
         f"the address is left alone for {s(longest)}",
-        f"broke at {WORDS[quarantining.CRASHES + 1]} endpoints",
-        f"for {s(quarantining.KEPT_FOR)} after the last such break",
-        f"`Retry-After: {quarantining.COME_BACK.total_seconds():.2f}`",
-        f"not reserved within {s(reserving.RESERVE_WITHIN)}",
-        f"a pause of {s(reserving.PAUSE)}, doubled up to {s(reserving.LONGEST_PAUSE)}",
-        f"after {WORDS[reserving.MOST_GANGS]} times in vain",
-        f"A reservation lasts {s(reserving.HOLD)}",
-        f"renewed when {s(reserving.LAST_OF_HOLD)} of it is left",
+        f"broke at {WORDS[quarantining.MAX_CRASHES + 1]} endpoints",
+        f"for {s(quarantining.SUSPICION_TTL)} after the last such break",
+        f"`Retry-After: {quarantining.RETRY_AFTER.total_seconds():.2f}`",
+        f"not reserved within {s(reserving.RESERVE_TIMEOUT)}",
+        f"a pause of {s(reserving.FIRST_BACKOFF)}, "
+        f"doubled up to {s(reserving.MAX_BACKOFF)}",
+        f"after {WORDS[reserving.MAX_GANG_FAILURES]} times in vain",
+        f"A reservation lasts {s(reserving.RESERVATION_TTL)}",
+        f"renewed when {s(reserving.RENEWAL_MARGIN)} of it is left",
     ]
 
 
