--- a/src/mimosafork/endpoints/calls.py
+++ b/src/mimosafork/endpoints/calls.py
@@ -1,4 +1,4 @@
-"""What a caller wants run, as it is sent to an endpoint."""
+"""Calls of clients, as they are sent to endpoints."""
 
 from dataclasses import dataclass
 
@@ -24,7 +24,7 @@
 
     @property
     def size(self) -> int:
-        """Length of the prompt, about as many bytes as it holds in memory."""
+        """Length of the prompt, about its number of bytes in memory."""
         return len(self.prompt)
 
 
@@ -35,7 +35,7 @@
     Attributes
     ----------
     path : str
-        Path and query at the service, as the caller quoted them.
+        Path and query at the service, with the client's quoting.
     """
 
     service: ServiceId
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenCall:
-    """Job: send an attempt's call and give its socket to the relay."""
+    """Job: send the call of an attempt and hand its socket to the relay."""
 
     dispatch: Dispatch
     call: EndpointCall
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelStream:
-    """Job: have an engine end a stream and free what it holds."""
+    """Job: cancel a stream on an engine and free what it holds."""
 
     address: str
     stream_id: StreamId
--- a/src/mimosafork/endpoints/connector.py
+++ b/src/mimosafork/endpoints/connector.py
@@ -1,8 +1,8 @@
 """Threads that open calls to endpoints and hand their sockets over.
 
-Connecting and sending block; the relay must not. Each lane has threads of its own,
-so that a long prompt on its way to an engine that has stopped reading can't keep a
-short one, or a cancellation, from going out.
+Connecting and sending block; the relay must not. Each worker pool has threads of its
+own, so that a long prompt to an engine that has stopped reading can't delay short ones
+or cancellations.
 """
 
 import socket
@@ -32,13 +32,13 @@
 logger = getLogger(__name__)
 
 LONG_CALL_BYTES = 64 << 10
-"""Calls from this size on go through the lane for long ones: less than this fits
-into the sockets' buffers, so that sending it does not wait for the endpoint."""
+"""Minimum size of calls that are sent by the pool for long ones: smaller calls fit into
+the sockets' buffers, so that sending them doesn't wait for the endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectorLimits:
-    """How long and how widely the connector tries."""
+    """Timeouts and thread counts of the connector."""
 
     connect_timeout: timedelta = timedelta(seconds=1)
     send_timeout: timedelta = timedelta(seconds=10)
@@ -48,7 +48,7 @@
 
 
 class WorkerPool:
-    """Threads that take jobs from one queue."""
+    """Threads that run jobs from one queue."""
 
     def __init__(self, name: str, threads: int) -> None:
         self.jobs: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
@@ -67,7 +67,7 @@
         self.jobs.put(job)
 
     def stop(self, timeout: timedelta) -> None:
-        """Let the threads end after the jobs that are queued."""
+        """Stop the threads after the queued jobs."""
         for _ in self.threads:
             self.jobs.put(None)
         for thread in self.threads:
@@ -110,7 +110,7 @@
         self.cancels = WorkerPool("cancel", self.limits.cancel_threads)
 
     def start(self, deliver: Callable[[RelayMessage], None]) -> None:
-        """Start the lanes.
+        """Start the worker pools.
 
         Parameters
         ----------
@@ -118,18 +118,18 @@
             Takes messages for the relay; from any thread, never blocks.
         """
         self.deliver = deliver
-        for lane in (self.short, self.long, self.cancels):
-            lane.start()
+        for pool in (self.short, self.long, self.cancels):
+            pool.start()
 
     def stop(self, timeout: timedelta = timedelta(seconds=2)) -> None:
-        """End the lanes, cancellations that are queued first of all."""
-        for lane in (self.cancels, self.short, self.long):
-            lane.stop(timeout)
+        """Stop the worker pools, the one with queued cancellations first."""
+        for pool in (self.cancels, self.short, self.long):
+            pool.stop(timeout)
 
     def open(self, job: OpenCall) -> None:
         """Queue a call."""
-        lane = self.long if job.call.size >= LONG_CALL_BYTES else self.short
-        lane.put(lambda: self._open(job))
+        pool = self.long if job.call.size >= LONG_CALL_BYTES else self.short
+        pool.put(lambda: self._open(job))
 
     def cancel(self, job: CancelStream) -> None:
         """Queue a cancellation."""
@@ -175,15 +175,15 @@
     def _time_left(self, job: OpenCall) -> timedelta:
         """Return the time until the call's deadline.
 
-        The dispatch may have waited in the lane, or the process may have been
-        frozen since the kernel's last look at the clock: a call whose time is over
-        must not reach the endpoint any more, its caller may have been told that it
-        was not run. So it is asked again once the connection stands.
+        The job may have waited in the queue, or the process may have been frozen since
+        the kernel last read the clock. A call must not reach the endpoint after its
+        deadline, as its caller may already have got the answer that it was not run. So
+        the deadline is checked again once the connection is established.
 
         Raises
         ------
         OpenError
-            If there is none.
+            If the deadline has passed.
         """
         time_left = job.dispatch.deadline - self.clock.monotonic()
         if time_left <= timedelta(0):
@@ -216,7 +216,7 @@
         return connection
 
     def _cancel(self, job: CancelStream) -> None:
-        """Send one DELETE; a lost one is made good by the engine's deadline."""
+        """Send one DELETE; if it is lost, the stream ends at its deadline."""
         try:
             self.http.call("DELETE", job.address, stream_path(job.stream_id))
         except NetworkError as error:
@@ -235,7 +235,7 @@
 
 
 def _take_socket(connection: HTTPConnection) -> socket.socket:
-    """Return the connection's socket, which is the caller's from now on."""
+    """Detach the connection's socket, which the caller then owns."""
     sock = connection.sock
     assert sock is not None
     connection.sock = None
--- a/src/mimosafork/endpoints/errors.py
+++ b/src/mimosafork/endpoints/errors.py
@@ -5,17 +5,17 @@
 
 
 class EndpointError(MimosaforkError):
-    """Base of failed calls to endpoints."""
+    """Base class of failed calls to endpoints."""
 
 
 class OpenError(EndpointError):
-    """An attempt's call could not be sent whole.
+    """The call of an attempt could not be sent completely.
 
     Attributes
     ----------
     kind : FailureKind
     exposure : Exposure
-        Whether a byte can have reached the endpoint.
+        Whether any byte can have reached the endpoint.
     """
 
     def __init__(self, detail: str, kind: FailureKind, exposure: Exposure) -> None:
--- a/src/mimosafork/endpoints/reservations.py
+++ b/src/mimosafork/endpoints/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations, prefilled parts and KV imports of gangs, over HTTP."""
+"""Memory reservations, prefills of prompt parts and KV imports of gangs, over HTTP."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -35,21 +35,21 @@
 
 STEP_THREADS = 4
 PREFILL_THREADS = 4
-"""Gangs of this instance that prefill at a time; each is many seconds of work of an
-engine, so a small entry instance never has more for long."""
+"""Concurrent prefills of this instance for gangs; each takes an engine many seconds, so
+the limit bounds the load that a small entry instance can cause."""
 
 STEP_TIMEOUT = timedelta(seconds=2)
 IMPORT_TIMEOUT = timedelta(seconds=10)
-ATTACHMENTS = 2
-"""How often a prefill whose connection broke is attached to again: it runs on, and
-without its handle nobody could free its export before the deadline."""
+REATTACH_ATTEMPTS = 2
+"""Attempts to reattach to a prefill whose connection broke: it continues to run, and
+without its handle its export can't be freed before the deadline."""
 
 CREATED = 201
 OK = 200
 REFUSALS = frozenset({409, 429, 503})
 NO_MEMORY = "memory"
-WHOLE = frozenset({"length", "stop"})
-EVENT = b"data: "
+COMPLETE_FINISHES = frozenset({"length", "stop"})
+EVENT_PREFIX = b"data: "
 
 
 class RefusalMember(msgspec.Struct):
@@ -66,15 +66,15 @@
 
 
 class ReservationAdapter:
-    """Carries out the steps of gangs, in threads of its own.
+    """Executes the steps of gangs in threads of its own.
 
     Parameters
     ----------
     identity : InstanceIdentity
-        Owner of all that is held.
+        Owner of all holdings.
     http : HttpClient
     clock : Clock
-    tell_kernel : Callable
+    send_to_kernel : Callable
         Takes messages for the kernel; never blocks.
     """
 
@@ -103,7 +103,7 @@
         self.prefills.start()
 
     def stop(self) -> None:
-        """End the threads; what is still held expires at the engines."""
+        """Stop the threads; remaining holdings expire at the engines."""
         self.steps.stop(STEP_TIMEOUT)
         self.prefills.stop(timedelta(0))
 
@@ -116,7 +116,7 @@
 
     @singledispatchmethod
     def execute(self, effect: Effect) -> None:
-        """Make the call and tell the kernel what came of it."""
+        """Make the call and send its result to the kernel."""
         raise NotImplementedError(type(effect).__name__)
 
     @execute.register
@@ -128,10 +128,10 @@
             "ttl_s": effect.time_to_live.total_seconds(),
         }
         failure = self._create(effect.address, "/v1/reservations", body, STEP_TIMEOUT)
-        done: Message = MemoryReserved(effect.request_id, effect.reservation)
+        result: Message = MemoryReserved(effect.request_id, effect.reservation)
         if failure is not None:
-            done = ReservationFailed(effect.request_id, effect.reservation, failure)
-        self.send_to_kernel(done)
+            result = ReservationFailed(effect.request_id, effect.reservation, failure)
+        self.send_to_kernel(result)
 
     @execute.register
     def _(self, effect: ImportKv) -> None:
@@ -143,10 +143,10 @@
             "ttl_s": effect.time_to_live.total_seconds(),
         }
         failure = self._create(effect.address, "/v1/kv/imports", body, IMPORT_TIMEOUT)
-        done: Message = KvImported(effect.request_id, effect.import_id)
+        result: Message = KvImported(effect.request_id, effect.import_id)
         if failure is not None:
-            done = ImportFailed(effect.request_id, effect.import_id, failure)
-        self.send_to_kernel(done)
+            result = ImportFailed(effect.request_id, effect.import_id, failure)
+        self.send_to_kernel(result)
 
     @execute.register
     def _(self, effect: FreeOwnHolding) -> None:
@@ -155,7 +155,7 @@
             try:
                 self.http.call("DELETE", effect.address, path, timeout=STEP_TIMEOUT)
             except NetworkError:
-                # Tried once more; then the engine frees it at its expiry.
+                # Retried once; otherwise the engine frees it when it expires.
                 continue
             return
 
@@ -165,7 +165,7 @@
     def _create(
         self, address: str, path: str, body: Any, timeout: timedelta
     ) -> GangStepFailure | None:
-        """Post and return why it failed; None if it did not."""
+        """Post and return the failure; None if it succeeded."""
         try:
             answer = self.http.call("POST", address, path, body, timeout=timeout)
         except NeverSentError:
@@ -180,7 +180,7 @@
         self.send_to_kernel(self.run_prefill(effect, call))
 
     def run_prefill(self, effect: PrefillSegment, call: EndpointCall) -> Message:
-        """Prefill a part and return what came of it; blocks until its end."""
+        """Prefill a part and return the result; blocks until it ends."""
         time_left = effect.deadline - self.clock.monotonic()
         if not isinstance(call, ModelCall) or time_left <= timedelta(0):
             failure = GangStepFailure.UNREACHED
@@ -196,7 +196,7 @@
             return self.reattach(effect)
         if answer.status in REFUSALS:
             return _failed(effect, _refusal(answer), Exposure.REFUSED)
-        return _ended(effect, answer)
+        return _prefill_result(effect, answer)
 
     def _stream(
         self, effect: PrefillSegment, call: ModelCall, time_left: timedelta
@@ -221,7 +221,7 @@
     def reattach(self, effect: PrefillSegment) -> Message:
         """Wait for the end of a prefill whose connection broke."""
         path = f"{stream_path(effect.stream_id)}?offset=0"
-        for _ in range(ATTACHMENTS):
+        for _ in range(REATTACH_ATTEMPTS):
             time_left = effect.deadline - self.clock.monotonic()
             if time_left <= timedelta(0):
                 break
@@ -229,12 +229,12 @@
                 answer = self.http.call("GET", effect.address, path, timeout=time_left)
             except NetworkError:
                 continue
-            return _ended(effect, answer)
+            return _prefill_result(effect, answer)
         return _failed(effect, GangStepFailure.LOST, Exposure.POSSIBLE)
 
 
 def _refusal(answer: Answer) -> GangStepFailure:
-    """Return the failure that a refusing answer means."""
+    """Return the failure that an error answer stands for."""
     if answer.status not in REFUSALS:
         return GangStepFailure.FAILED
     try:
@@ -244,12 +244,16 @@
     return GangStepFailure.NO_MEMORY if reason == NO_MEMORY else GangStepFailure.REFUSED
 
 
-def _ended(effect: PrefillSegment, answer: Answer) -> Message:
-    """Return what a stream's events say; without a handle it has failed."""
+def _prefill_result(effect: PrefillSegment, answer: Answer) -> Message:
+    """Return the result of a stream; without a KV handle it has failed."""
     if answer.status == OK:
         for line in answer.body.splitlines():
             event = _event(line)
-            if event is not None and event.finish in WHOLE and event.kv_handle:
+            if (
+                event is not None
+                and event.finish in COMPLETE_FINISHES
+                and event.kv_handle
+            ):
                 return SegmentPrefilled(
                     effect.request_id,
                     effect.stream_id,
@@ -261,10 +265,10 @@
 
 
 def _event(line: bytes) -> LastEventMember | None:
-    if not line.startswith(EVENT):
+    if not line.startswith(EVENT_PREFIX):
         return None
     try:
-        return msgspec.json.decode(line[len(EVENT) :], type=LastEventMember)
+        return msgspec.json.decode(line[len(EVENT_PREFIX) :], type=LastEventMember)
     except msgspec.MsgspecError:
         return None
 
--- a/src/mimosafork/endpoints/segments.py
+++ b/src/mimosafork/endpoints/segments.py
@@ -1,4 +1,4 @@
-"""Parts of a prompt, cut by tokens."""
+"""Slices of a prompt by token positions."""
 
 BYTES_PER_TOKEN = 4
 """A prompt of `n` UTF-8 bytes counts as ``ceil(n / 4)`` tokens."""
@@ -8,20 +8,20 @@
 
 
 def prompt_part(prompt: str, first: int, tokens: int | None = None) -> str:
-    """Return the part of a prompt that begins at a token.
+    """Return a slice of a prompt.
 
     Parameters
     ----------
     first : int
-        Token with which it begins.
+        Index of its first token.
     tokens : int, optional
         Its length; the rest of the prompt if left out.
 
     Returns
     -------
     str
-        Cut before a character where a token boundary falls inside one, so that
-        parts that follow each other join to the whole prompt.
+        Cut before a character where a token boundary falls inside it, so that
+        consecutive slices join to the whole prompt.
     """
     if first == 0 and tokens is None:
         return prompt
@@ -32,8 +32,10 @@
 
 
 def _boundary(data: bytes, token: int) -> int:
-    """Return the last beginning of a character up to a token's first byte."""
-    place = min(len(data), token * BYTES_PER_TOKEN)
-    while 0 < place < len(data) and data[place] & CONTINUATION_MASK == CONTINUATION:
-        place -= 1
-    return place
+    """Return the start of the character that contains a token's first byte."""
+    position = min(len(data), token * BYTES_PER_TOKEN)
+    while (
+        0 < position < len(data) and data[position] & CONTINUATION_MASK == CONTINUATION
+    ):
+        position -= 1
+    return position
--- a/src/mimosafork/endpoints/wire.py
+++ b/src/mimosafork/endpoints/wire.py
@@ -1,4 +1,4 @@
-"""The HTTP request of an attempt, by sort of endpoint."""
+"""HTTP requests of attempts, by kind of endpoint."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -20,7 +20,7 @@
 
 
 class OwnerMember(msgspec.Struct):
-    """Who owns a stream on an engine."""
+    """Owner of a stream on an engine."""
 
     instance: str
     incarnation: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WireRequest:
-    """One HTTP request, ready to be sent."""
+    """An HTTP request that is ready to be sent."""
 
     method: str
     path: str
@@ -67,7 +67,7 @@
     identity: InstanceIdentity,
     time_left: timedelta,
 ) -> WireRequest:
-    """Return the request that carries out a dispatch."""
+    """Return the HTTP request for a dispatch."""
     raise NotImplementedError(type(call).__name__)
 
 
--- a/src/mimosafork/placement/__init__.py
+++ b/src/mimosafork/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Where an instance sends each call: the load that it knows, and the choice.
+"""Placement of requests on engines, by the load that this instance knows of.
 
-Nothing here does I/O or reads a clock; the time of the call is passed in.
+Nothing here does I/O or reads a clock; callers pass in the current time.
 """
--- a/src/mimosafork/placement/choice.py
+++ b/src/mimosafork/placement/choice.py
@@ -1,4 +1,4 @@
-"""What is asked of placement, and what it says."""
+"""Placement requests and decisions."""
 
 from datetime import timedelta
 from enum import Enum
@@ -10,31 +10,32 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True):
-    """A request that needs a place.
+    """A request that has to be placed.
 
     Attributes
     ----------
     prompt_tokens, max_answer_tokens : int
-        As the caller stated them; 0 where it stated none.
+        As the caller stated them; 0 if it didn't.
     answer_tokens : int
         Expected length of the answer; right at the median, often far off.
     time_left : timedelta
         Until the caller stops waiting.
     objective : timedelta
-        What is left of the time within which the first event is on time.
+        Remaining time to the first event for the answer to be on time.
     longest_pause : timedelta or None
         Between two events of an answer that is on time.
     priority : int
         0 is the highest.
     avoid : frozenset of EndpointId
-        Not to be taken while there are others, such as those tried before.
+        Used only if there is no other endpoint, such as those tried before.
     zone : AvailabilityZoneId or None
-        Where this instance runs; its zone goes first on ties.
-    repeated : bool
-        Whether endpoints may have run it before.
-    crowded : int or None
-        No host of so many requests or more is taken: one that seemed to be as busy has
-        just turned it away. None where none has.
+        Zone of this instance; its endpoints are preferred on ties.
+    may_have_run : bool
+        Whether an earlier attempt may have reached an endpoint.
+    running_ceiling : int or None
+        Engines with this many running requests or more are excluded, because an engine
+        with as many has just rejected the request as overloaded. None without such a
+        rejection.
     """
 
     request: RequestId
@@ -52,16 +53,16 @@
 
 
 class EngineView(msgspec.Struct, frozen=True):
-    """What this instance knows of an endpoint beside its work.
+    """State of an endpoint, apart from its load, as this instance knows it.
 
     Attributes
     ----------
     usable : bool
         Ready and connected.
     suspect : bool
-        Failed lately; taken only if there is no other.
-    pace : float
-        How many times longer than stated its work takes; at least 1.
+        Failed recently; used only if there is no other.
+    slowdown : float
+        Factor by which work takes longer than the stated figures; at least 1.
     cold : bool
         Still slow after its start.
     """
@@ -77,14 +78,14 @@
 
 
 class Helper(msgspec.Struct, frozen=True):
-    """An engine that reads a part of the prompt for the host."""
+    """An engine that prefills a part of the prompt for the host."""
 
     endpoint: EndpointId
     address: str
 
 
 class Reservation(msgspec.Struct, frozen=True):
-    """Memory to be reserved before the request is sent, in this order."""
+    """KV cache memory to reserve before the request is sent, in this order."""
 
     endpoint: EndpointId
     address: str
@@ -92,16 +93,16 @@
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """Where a request goes.
+    """The host and the helpers of a request.
 
     Attributes
     ----------
     reservations : tuple of Reservation
-        Empty where the prompt fits into the host; the host's own goes first.
+        Empty where the prompt fits into the host; otherwise the host's comes first.
     predicted_first_token : timedelta
         From now.
-    parts : tuple of Part
-        What the host and each helper read, for the book.
+    parts : tuple of PrefillPart
+        What the host and each helper prefill, for the load tracker.
     """
 
     host: EndpointId
@@ -112,24 +113,24 @@
     parts: tuple[PrefillPart, ...] = ()
 
     def to_in_flight_request(
-        self, ask: PlacementRequest, now: timedelta
+        self, request: PlacementRequest, now: timedelta
     ) -> InFlightRequest:
-        """Return what goes into the book once the request is sent."""
+        """Return the entry for the load tracker once the request is sent."""
         held = tuple(HeldTokens(r.endpoint, r.tokens) for r in self.reservations)
         return InFlightRequest(
-            request=ask.request,
+            request=request.request,
             host=self.host,
             parts=self.parts,
             held=held,
-            prompt_tokens=ask.prompt_tokens,
-            answer_tokens=ask.answer_tokens,
-            longest_pause=ask.longest_pause,
+            prompt_tokens=request.prompt_tokens,
+            answer_tokens=request.answer_tokens,
+            longest_pause=request.longest_pause,
             started_at=now,
         )
 
 
 class Shortage(Enum):
-    """What a request lacks."""
+    """Why a request can't be placed now."""
 
     ENDPOINTS = "no endpoint is usable"
     SLOTS = "all slots are taken"
@@ -140,18 +141,18 @@
 
 
 class WaitForCapacity(msgspec.Struct, frozen=True):
-    """Nothing is free now; to be asked again when work ends."""
+    """Nothing is free now; to be placed again when a running request ends."""
 
     reason: Shortage
 
 
 class RejectRequest(msgspec.Struct, frozen=True):
-    """The request can't be done in time; to be refused at once.
+    """The request can't finish in time and is rejected at once.
 
     Attributes
     ----------
-    come_back : timedelta
-        After which there should be room.
+    retry_after : timedelta
+        Time after which there should be capacity.
     """
 
     retry_after: timedelta
--- a/src/mimosafork/placement/forecast.py
+++ b/src/mimosafork/placement/forecast.py
@@ -1,7 +1,7 @@
-"""How long an engine's passes and reads will take, and what a delay costs.
+"""Predicted durations of engine passes and prefills, and the cost of delays.
 
-All times are milliseconds as floats, as each placement calculates hundreds of them.
-Costs are in the worth of a request without a prompt.
+All times are milliseconds as floats, as each placement calculates hundreds of them. The
+unit of cost is the value of a request without a prompt.
 """
 
 import msgspec
@@ -11,42 +11,42 @@
 from .load_tracker import EngineLoad, LoadSummary
 
 LATE_LOSS = 0.75
-"""Share of its worth that a late answer loses."""
+"""Share of its value that a late answer loses."""
 TOKENS_PER_REQUEST_VALUE = 9_000.0
-"""A prompt of so many tokens is worth as much as the request itself."""
+"""A prompt of this many tokens adds as much value as the request itself has."""
 PAUSE_SLACK_MS = 70.0
-"""A pass that stays so far below a pause is safe from what is not yet known."""
+"""Margin below a longest pause for load that isn't reported yet."""
 COLD_SLOWDOWN = 1.5
-"""How much slower an engine is taken to be just after its start."""
+"""Assumed slowdown of an engine just after its start."""
 FIRST_EVENT_SLACK = 0.3
-"""Share of an objective that a prediction must leave to be sure of it."""
+"""Share of an objective that a prediction must leave free to be considered safe."""
 
 
 class EngineState(msgspec.Struct):
-    """One engine as a placement sees it; not changed once it is made.
+    """Snapshot of one engine for a placement; treated as immutable.
 
-    Not frozen, as that would make each of hundreds twice as dear.
+    Not frozen, as that would double the cost of creating each of hundreds.
 
     Attributes
     ----------
-    found : LoadSum
-        Its load, whatever the time.
-    pace : float
-        How many times longer than stated its work takes; at least 1.
-    reading_ms : float
-        Milliseconds of reading that are promised and not yet done.
+    summary : LoadSummary
+        Its load, independent of the time.
+    slowdown : float
+        Factor by which work takes longer than the stated figures; at least 1.
+    prefill_backlog_ms : float
+        Milliseconds of assigned prefill that are not yet done.
     order : float
-        Its place in the order that all instances share, from 0 to 1.
+        Position in the order that all instances share, from 0 to 1.
     penalty : float
         Added to the cost of using it.
-    begin_ms : float
-        When it can begin to read a further part.
+    prefill_start_ms : float
+        Time until it can start to prefill a further part.
     busy_ms : float
-        Length of a pass in which all promised reading is done.
+        Length of a pass that does all assigned prefill.
     safe_ms : float
-        A pass of up to this length surely breaks none of them.
-    unheard : int
-        Requests that it is taken to run beside those of its load.
+        A pass of up to this length exceeds none of its requests' longest pauses.
+    unreported : int
+        Estimated running requests beyond those of its load.
     """
 
     view: EngineView
@@ -62,63 +62,63 @@
 
     @property
     def load(self) -> EngineLoad:
-        """Its load without reading."""
+        """Its load without the prefill backlog."""
         return self.summary.base_load
 
     @property
     def running(self) -> int:
-        """Requests whose host it is, unheard ones counted."""
+        """Requests that it hosts, including unreported ones."""
         return self.summary.base_load.running + self.unreported
 
     @property
     def has_slot(self) -> bool:
-        """Whether it may be host of one more request."""
+        """Whether it can host one more request."""
         return self.running < self.view.slots
 
     @property
     def can_help(self) -> bool:
-        """Whether it may read a part of one more request of another host."""
+        """Whether it can prefill a part of one more request of another host."""
         return self.summary.base_load.helping < self.view.slots
 
 
 def engine_state(
     view: EngineView,
-    found: LoadSummary,
+    summary: LoadSummary,
     figures: EngineFigures,
     now_ms: float,
     order: float,
     penalty: float,
-    unheard: int = 0,
+    unreported: int = 0,
 ) -> EngineState:
-    """Return an engine as a placement sees it.
+    """Return the snapshot of an engine for a placement.
 
-    A pass that runs already ends before a part is read, on the average half of it is
-    left, and the read ends with its own pass.
+    A part is prefilled after the current pass, of which half is left on average, and
+    the prefill ends with a pass of its own.
     """
-    pace = slowdown_of(view)
-    pass_ms = decode_pass_ms(found.base_load, figures) * pace
-    reading_ms = found.prefill_backlog_ms(now_ms)
+    slowdown = slowdown_of(view)
+    pass_ms = decode_pass_ms(summary.base_load, figures) * slowdown
+    prefill_backlog_ms = summary.prefill_backlog_ms(now_ms)
     return EngineState(
         view,
-        found,
-        pace,
-        reading_ms,
+        summary,
+        slowdown,
+        prefill_backlog_ms,
         order,
         penalty,
-        1.5 * pass_ms + reading_ms,
-        pass_ms + reading_ms,
-        found.shortest_pause_ms - PAUSE_SLACK_MS,
-        unheard,
+        1.5 * pass_ms + prefill_backlog_ms,
+        pass_ms + prefill_backlog_ms,
+        summary.shortest_pause_ms - PAUSE_SLACK_MS,
+        unreported,
     )
 
 
 def slowdown_of(view: EngineView) -> float:
-    """Return how many times longer than stated an engine's work takes."""
+    """Return the factor by which an engine is slower than its stated figures."""
     return max(1.0, view.slowdown) * (COLD_SLOWDOWN if view.cold else 1.0)
 
 
 def decode_pass_ms(load: EngineLoad, figures: EngineFigures) -> float:
-    """Return the milliseconds of a pass without reading."""
+    """Return the milliseconds of a pass without prefill."""
     if not load.running:
         return figures.step_ms
     step = figures.step_ms + figures.per_sequence_ms * load.running
@@ -127,14 +127,14 @@
 
 
 def value_of(prompt_tokens: int) -> float:
-    """Return what an answer that is on time is worth, told by its prompt."""
+    """Return the value of an answer that is on time, by the length of its prompt."""
     return 1.0 + prompt_tokens / TOKENS_PER_REQUEST_VALUE
 
 
 def miss_probability(value_ms: float, limit_ms: float, slack_ms: float) -> float:
-    """Return the chance, 0 to 1, that a limit is broken.
+    """Return the probability, 0 to 1, that a limit is exceeded.
 
-    It grows evenly from `slack_ms`, at least 0, below the limit to the limit itself.
+    It grows linearly from `slack_ms`, at least 0, below the limit to the limit itself.
     """
     over_ms = value_ms - limit_ms + slack_ms
     if over_ms <= 0.0:
@@ -142,10 +142,10 @@
     return 1.0 if over_ms >= slack_ms else over_ms / slack_ms
 
 
-def interference_cost(state: EngineState, read_ms: float) -> float:
-    """Return what a part costs the engine's own requests, beside what is so already."""
+def interference_cost(state: EngineState, prefill_ms: float) -> float:
+    """Return the added expected loss of an engine's own requests from one more part."""
     before = state.busy_ms
-    after = before + read_ms * state.slowdown
+    after = before + prefill_ms * state.slowdown
     if after <= state.safe_ms:
         return 0.0
     lost = 0.0
@@ -160,20 +160,20 @@
 
 
 def objective_slack_ms(objective_ms: float) -> float:
-    """Return how far below an objective a prediction must stay to be sure of it."""
+    """Return how far below an objective a prediction must stay to be safe."""
     return FIRST_EVENT_SLACK * max(0.0, objective_ms)
 
 
 def expected_late_loss(
-    done_ms: float, objective_ms: float, slack_ms: float, worth: float
+    done_ms: float, objective_ms: float, slack_ms: float, value: float
 ) -> float:
-    """Return what a request itself is expected to lose by its first event.
+    """Return the expected loss of a request by the time of its first event.
 
     Parameters
     ----------
     slack_ms : float
-        That of its objective.
-    worth : float
+        Of its objective.
+    value : float
         Of the request, if it is on time.
     """
-    return miss_probability(done_ms, objective_ms, slack_ms) * LATE_LOSS * worth
+    return miss_probability(done_ms, objective_ms, slack_ms) * LATE_LOSS * value
--- a/src/mimosafork/placement/load_tracker.py
+++ b/src/mimosafork/placement/load_tracker.py
@@ -1,4 +1,4 @@
-"""Running work, own and peers', and the load that it puts on each engine."""
+"""In-flight requests of this instance and its peers, and the load on each engine."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -14,14 +14,14 @@
 
 
 class PrefillPart(msgspec.Struct, frozen=True):
-    """What one engine reads of a prompt.
+    """The part of a prompt that one engine prefills.
 
     Attributes
     ----------
     tokens : int
         Prompt tokens of the part.
-    read_ms : float
-        Predicted milliseconds of reading, with the part's share of the pairs.
+    prefill_ms : float
+        Predicted prefill time, including the part's share of the attention cost.
     """
 
     endpoint: EndpointId
@@ -30,23 +30,23 @@
 
 
 class HeldTokens(msgspec.Struct, frozen=True):
-    """Tokens of a prompt's memory that one engine holds."""
+    """Tokens of a request's KV cache that one engine holds."""
 
     endpoint: EndpointId
     tokens: int
 
 
 class InFlightRequest(msgspec.Struct, frozen=True):
-    """One running request on the engines.
+    """One request that is running on the engines.
 
     Attributes
     ----------
     host : EndpointId
-        Engine that writes the answer and takes one of its slots for it.
-    parts : tuple of Part
-        What the host and its helpers read.
-    held : tuple of Held
-        Where the prompt and its answer are kept.
+        Engine that decodes the answer in one of its slots.
+    parts : tuple of PrefillPart
+        What the host and its helpers prefill.
+    held : tuple of HeldTokens
+        Where the KV cache of the prompt and its answer is kept.
     prompt_tokens, answer_tokens : int
         Length of the prompt, and the expected length of the answer.
     longest_pause : timedelta or None
@@ -54,7 +54,7 @@
     started_at : timedelta
         When the request was sent.
     first_token_at : timedelta or None
-        None while the prompt is being read.
+        None during the prefill.
     ended : bool
         Whether the engines are done with it.
     """
@@ -72,14 +72,14 @@
 
 
 class PauseLimit(NamedTuple):
-    """The longest pause that one request on an engine bears.
+    """The longest allowed pause of one request on an engine.
 
     Attributes
     ----------
     pause_ms : float
         Milliseconds between two of its events.
     prompt_tokens : int
-        Length of its prompt, by which its worth is told.
+        Length of its prompt, which determines its value.
     """
 
     pause_ms: float
@@ -87,24 +87,24 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """What is known of the work on one engine at one moment.
+    """The known load of one engine at one moment.
 
     Attributes
     ----------
     running : int
-        Requests whose host it is.
-    writers : int
+        Requests that it hosts.
+    decoding : int
         Those of them that have their first token.
     helping : int
-        Requests of other hosts, of which it still reads a part.
-    reading_ms : float
-        Milliseconds of reading that are promised and not yet done.
-    promised_tokens : int
+        Requests of other hosts of which it still prefills a part.
+    prefill_backlog_ms : float
+        Milliseconds of assigned prefill that are not yet done.
+    committed_tokens : int
         Tokens of prompts and expected answers that it holds or will hold.
     context_tokens : int
-        Tokens that its writers attend to in each step.
-    paces : tuple of Pace
-        Of the requests whose host it is and that have a longest pause.
+        Tokens that its decoding requests attend to in each step.
+    pause_limits : tuple of PauseLimit
+        Of the requests that it hosts and that have a longest pause.
     """
 
     running: int = 0
@@ -120,19 +120,21 @@
         """Shortest of the longest pauses of its requests."""
         if not self.pause_limits:
             return None
-        return timedelta(milliseconds=min(pace.pause_ms for pace in self.pause_limits))
+        return timedelta(
+            milliseconds=min(limit.pause_ms for limit in self.pause_limits)
+        )
 
 
 IDLE_LOAD = EngineLoad()
 
 
 class PauseLimitGroup(NamedTuple):
-    """Requests on an engine that bear the same longest pause.
+    """Requests on an engine with the same longest pause.
 
     Attributes
     ----------
     prompt_tokens : int
-        Of all of them.
+        Sum over the requests.
     """
 
     pause_ms: float
@@ -141,17 +143,17 @@
 
 
 class LoadSummary(msgspec.Struct, frozen=True):
-    """The load of one engine until its work changes.
+    """Load of one engine, valid until its requests change.
 
     Attributes
     ----------
-    standing : EngineLoad
-        The load without reading.
-    read_until_ms : float
-        Instant at which all promised reading is done; -inf without any.
-    tightest_ms : float
+    base_load : EngineLoad
+        The load without the prefill backlog.
+    prefill_until_ms : float
+        Time at which all assigned prefill is done; -inf without any.
+    shortest_pause_ms : float
         Shortest of the longest pauses of its requests; inf without any.
-    alike : tuple of AlikePaces
+    pause_groups : tuple of PauseLimitGroup
         Its requests by their longest pause, the shortest first.
     """
 
@@ -161,7 +163,7 @@
     pause_groups: tuple[PauseLimitGroup, ...] = ()
 
     def prefill_backlog_ms(self, now_ms: float) -> float:
-        """Return the milliseconds of reading that are promised and not yet done."""
+        """Return the milliseconds of assigned prefill that are not yet done."""
         return max(0.0, self.prefill_until_ms - now_ms)
 
 
@@ -169,11 +171,11 @@
 
 
 class LoadTracker(msgspec.Struct):
-    """The running work of this instance and of its peers, by engine.
+    """In-flight requests of this instance and of its peers, by engine.
 
-    Adding or ending a request costs the number of its engines. The load of an engine
-    is summed up when it is asked for first after a change of the work on it. All times
-    are of this instance's clock.
+    Adding or ending a request takes time proportional to the number of its engines. The
+    load of an engine is summarized on the first read after a change. All times are of
+    this instance's clock.
     """
 
     own: dict[RequestId, InFlightRequest] = msgspec.field(default_factory=dict)
@@ -183,274 +185,287 @@
     by_engine: dict[EndpointId, dict[int, InFlightRequest]] = msgspec.field(
         default_factory=dict
     )
-    """Work under its identity, as two instances may name the same request."""
+    """Keyed by object identity, as two instances may run requests with the same id."""
     summaries: dict[EndpointId, LoadSummary] = msgspec.field(default_factory=dict)
-    """Of engines with work that has not changed since it was summed up."""
+    """Cached summaries of engines whose requests haven't changed since."""
     start_rate: DecayingRate = msgspec.field(default_factory=DecayingRate)
-    """Works on engines, of all instances."""
+    """Request starts on engines, over all instances."""
     report_delay: ReportDelay = msgspec.field(default_factory=ReportDelay)
-    """Of peers' works on engines when they were heard of first."""
+    """Age of peers' requests on engines when they are first reported."""
     overloads: OverloadReports = msgspec.field(default_factory=OverloadReports)
-    """Of engines that turned calls away."""
+    """Overload rejections by engine."""
     rejection_rate: DecayingRate = msgspec.field(default_factory=DecayingRate)
-    """Calls of this instance that full engines turned away."""
+    """Overload rejections of calls of this instance."""
 
-    def record(self, work: InFlightRequest) -> None:
-        """Add own work, or replace what was known of it; ended work is dropped."""
-        if work.parts and work.request not in self.own:
-            self.start_rate.record(work.started_at)
-        self.remove(work.request)
-        if not work.ended:
-            self.own[work.request] = work
-            self.add_to_index(work)
+    def record(self, entry: InFlightRequest) -> None:
+        """Add or replace a request of this instance; an ended one is removed."""
+        if entry.parts and entry.request not in self.own:
+            self.start_rate.record(entry.started_at)
+        self.remove(entry.request)
+        if not entry.ended:
+            self.own[entry.request] = entry
+            self.add_to_index(entry)
 
     def remove(self, request: RequestId) -> None:
-        """Forget own work."""
-        former = self.own.pop(request, None)
-        if former is not None:
-            self.remove_from_index(former)
+        """Remove a request of this instance."""
+        previous = self.own.pop(request, None)
+        if previous is not None:
+            self.remove_from_index(previous)
 
     def rename(self, request: RequestId, name: RequestId) -> InFlightRequest | None:
-        """Give own work another name, and return it; nothing else of it changes."""
-        former = self.own.pop(request, None)
-        if former is None:
+        """Give a request of this instance another id, and return it."""
+        previous = self.own.pop(request, None)
+        if previous is None:
             return None
-        self.remove_from_index(former)
-        work = self.own[name] = replace(former, request=name)
-        self.add_to_index(work)
-        return work
+        self.remove_from_index(previous)
+        entry = self.own[name] = replace(previous, request=name)
+        self.add_to_index(entry)
+        return entry
 
     def record_first_token(self, request: RequestId, now: timedelta) -> None:
-        """Learn that own work has been read and writes from now on."""
-        work = self.own.get(request)
-        if work is not None and work.first_token_at is None:
-            self.record(replace(work, first_token_at=now))
+        """Record that a request of this instance has its first token."""
+        entry = self.own.get(request)
+        if entry is not None and entry.first_token_at is None:
+            self.record(replace(entry, first_token_at=now))
 
     def replace_peer(
         self,
         instance: InstanceId,
-        works: Iterable[InFlightRequest],
+        entries: Iterable[InFlightRequest],
         received_at: timedelta,
     ) -> None:
-        """Put a peer's whole snapshot in the place of its former one.
+        """Replace all requests of a peer with a snapshot.
 
         Parameters
         ----------
-        works : iterable of Work
-            Their times shifted to this instance's clock by the caller.
+        entries : iterable of InFlightRequest
+            Their times already converted to this instance's clock.
         received_at : timedelta
-            No work of the snapshot can have started after it.
+            Upper bound of the start times.
         """
-        # All works of a peer that is heard for the first time have run for long.
+        # The first report of a new peer includes requests that started long ago.
         is_new = instance not in self.peers
-        former = self.peers.get(instance, {})
-        fresh: dict[RequestId, InFlightRequest] = {}
-        for told in works:
-            if told.ended:
+        previous = self.peers.get(instance, {})
+        current: dict[RequestId, InFlightRequest] = {}
+        for received in entries:
+            if received.ended:
                 continue
-            work = told
-            if told.started_at > received_at:
-                work = replace(told, started_at=received_at)
-            known = former.get(work.request)
+            entry = received
+            if received.started_at > received_at:
+                entry = replace(received, started_at=received_at)
+            known = previous.get(entry.request)
             if known is None:
-                self._record_first_report(work, None if is_new else received_at)
-            fresh[work.request] = known if known == work else work
-        for request, work in former.items():
-            if fresh.get(request) is not work:
-                self.remove_from_index(work)
-        for request, work in fresh.items():
-            if former.get(request) is not work:
-                self.add_to_index(work)
-        self.peers[instance] = fresh
+                self._record_first_report(entry, None if is_new else received_at)
+            current[entry.request] = known if known == entry else entry
+        for request, entry in previous.items():
+            if current.get(request) is not entry:
+                self.remove_from_index(entry)
+        for request, entry in current.items():
+            if previous.get(request) is not entry:
+                self.add_to_index(entry)
+        self.peers[instance] = current
 
     def _record_first_report(
-        self, work: InFlightRequest, received_at: timedelta | None
+        self, entry: InFlightRequest, received_at: timedelta | None
     ) -> None:
-        """Learn from a peer's work that was not known; when, unless it is old news."""
-        self.overloads.count_reported(work.host, work.started_at)
-        if not work.parts:
+        """Update the rates for a peer's new request; an old one has no `received_at`."""
+        self.overloads.count_reported(entry.host, entry.started_at)
+        if not entry.parts:
             return
-        self.start_rate.record(work.started_at)
+        self.start_rate.record(entry.started_at)
         if received_at is not None:
-            self.report_delay.record(received_at - work.started_at)
+            self.report_delay.record(received_at - entry.started_at)
 
     def update_peer(
         self,
         instance: InstanceId,
-        works: Iterable[InFlightRequest],
+        entries: Iterable[InFlightRequest],
         ended: Iterable[RequestId],
         received_at: timedelta,
     ) -> None:
-        """Take in what has changed of a peer's work.
+        """Apply changes of a peer's requests.
 
         Parameters
         ----------
-        works : iterable of Work
-            Begun or changed; their times shifted to this instance's clock.
+        entries : iterable of InFlightRequest
+            Started or changed; their times already converted to this instance's clock.
         received_at : timedelta
-            No work can have started after it.
+            Upper bound of the start times.
         """
         known = self.peers.setdefault(instance, {})
         for request in ended:
-            former = known.pop(request, None)
-            if former is not None:
-                self.remove_from_index(former)
-        for told in works:
-            former = known.get(told.request)
-            work = told
-            if told.started_at > received_at:
-                work = replace(told, started_at=received_at)
-            if former is not None:
-                self.remove_from_index(former)
+            previous = known.pop(request, None)
+            if previous is not None:
+                self.remove_from_index(previous)
+        for received in entries:
+            previous = known.get(received.request)
+            entry = received
+            if received.started_at > received_at:
+                entry = replace(received, started_at=received_at)
+            if previous is not None:
+                self.remove_from_index(previous)
             else:
-                self._record_first_report(work, received_at)
-            known[work.request] = work
-            self.add_to_index(work)
+                self._record_first_report(entry, received_at)
+            known[entry.request] = entry
+            self.add_to_index(entry)
 
     def remove_peer(self, instance: InstanceId) -> None:
-        """Drop all work of a peer that is gone."""
-        for work in self.peers.pop(instance, {}).values():
-            self.remove_from_index(work)
+        """Remove all requests of a peer that has left."""
+        for entry in self.peers.pop(instance, {}).values():
+            self.remove_from_index(entry)
 
     def record_rejection(
-        self, endpoint: EndpointId, slots: int, stay: timedelta, now: timedelta
+        self, endpoint: EndpointId, slots: int, answer_time: timedelta, now: timedelta
     ) -> int:
-        """Learn that an engine is full; return how many it was believed to run.
+        """Record an overloaded engine; return the requests it was estimated to run.
 
-        The call that it turned away has been dropped before.
+        The caller has already removed the rejected request.
 
         Parameters
         ----------
-        stay : timedelta
-            How long a usual answer lasts there.
+        answer_time : timedelta
+            Duration of a typical answer there.
         """
         self.rejection_rate.record(now)
-        believed = self.estimated_running(endpoint, now)
+        estimated = self.estimated_running(endpoint, now)
         known = self.summary_of(endpoint).base_load.running
-        unheard = round(slots * OVERLOAD_FACTOR) - known
-        self.overloads.record(endpoint, OverloadReport(now, max(0, unheard), stay))
-        return believed
+        unreported = round(slots * OVERLOAD_FACTOR) - known
+        self.overloads.record(
+            endpoint, OverloadReport(now, max(0, unreported), answer_time)
+        )
+        return estimated
 
     def estimated_running(self, endpoint: EndpointId, now: timedelta) -> int:
-        """Return how many requests an engine hosts, unheard ones counted."""
+        """Return how many requests an engine hosts, including unreported ones."""
         known = self.summary_of(endpoint).base_load.running
         return known + self.overloads.unreported(endpoint, now)
 
-    def add_to_index(self, work: InFlightRequest) -> None:
-        """Enter work under each of its engines."""
-        for endpoint in engines_of(work):
-            self.by_engine.setdefault(endpoint, {})[id(work)] = work
+    def add_to_index(self, entry: InFlightRequest) -> None:
+        """Index a request under each of its engines."""
+        for endpoint in engines_of(entry):
+            self.by_engine.setdefault(endpoint, {})[id(entry)] = entry
             self.summaries.pop(endpoint, None)
 
-    def remove_from_index(self, work: InFlightRequest) -> None:
-        """Take work out from under each of its engines."""
-        for endpoint in engines_of(work):
+    def remove_from_index(self, entry: InFlightRequest) -> None:
+        """Remove a request from the index of each of its engines."""
+        for endpoint in engines_of(entry):
             self.summaries.pop(endpoint, None)
-            works = self.by_engine.get(endpoint)
-            if works is None:
+            entries = self.by_engine.get(endpoint)
+            if entries is None:
                 continue
-            works.pop(id(work), None)
-            if not works:
+            entries.pop(id(entry), None)
+            if not entries:
                 del self.by_engine[endpoint]
 
     def requests_on(self, endpoint: EndpointId) -> Iterable[InFlightRequest]:
-        """Return all works that lie on an engine, whoever runs them."""
+        """Return all requests on an engine, of all instances."""
         return self.by_engine.get(endpoint, {}).values()
 
     def load(self, endpoint: EndpointId, now: timedelta) -> EngineLoad:
         """Return the load of one engine; an unknown one is idle."""
-        found = self.summary_of(endpoint)
-        reading_ms = found.prefill_backlog_ms(now.total_seconds() * 1e3)
-        if reading_ms == 0.0:
-            return found.base_load
-        return replace(found.base_load, prefill_backlog_ms=reading_ms)
+        summary = self.summary_of(endpoint)
+        prefill_backlog_ms = summary.prefill_backlog_ms(now.total_seconds() * 1e3)
+        if prefill_backlog_ms == 0.0:
+            return summary.base_load
+        return replace(summary.base_load, prefill_backlog_ms=prefill_backlog_ms)
 
     def summary_of(self, endpoint: EndpointId) -> LoadSummary:
-        """Return the load of one engine as it is until its work changes."""
-        found = self.summaries.get(endpoint)
-        if found is not None:
-            return found
-        works = self.by_engine.get(endpoint)
-        if works is None:
+        """Return the load summary of one engine."""
+        summary = self.summaries.get(endpoint)
+        if summary is not None:
+            return summary
+        entries = self.by_engine.get(endpoint)
+        if entries is None:
             return EMPTY_SUMMARY
-        found = summarize(endpoint, works.values())
-        self.summaries[endpoint] = found
-        return found
+        summary = summarize(endpoint, entries.values())
+        self.summaries[endpoint] = summary
+        return summary
 
 
-def engines_of(work: InFlightRequest) -> set[EndpointId]:
-    """Return all engines on which work lies."""
-    engines = {part.endpoint for part in work.parts}
-    engines.update(held.endpoint for held in work.held)
-    engines.add(work.host)
+def engines_of(entry: InFlightRequest) -> set[EndpointId]:
+    """Return all engines that a request uses."""
+    engines = {part.endpoint for part in entry.parts}
+    engines.update(held.endpoint for held in entry.held)
+    engines.add(entry.host)
     return engines
 
 
-def summarize(endpoint: EndpointId, works: Iterable[InFlightRequest]) -> LoadSummary:
-    """Sum up the works on one engine."""
-    running = writers = helping = promised = context = 0
-    paces: list[PauseLimit] = []
-    reads: list[PrefillInterval] = []
-    for work in works:
-        reading = work.first_token_at is None
-        hosted = work.host == endpoint
-        if work.held:
-            promised += held_tokens_on(work, endpoint)
-        if hosted:
+def summarize(endpoint: EndpointId, entries: Iterable[InFlightRequest]) -> LoadSummary:
+    """Summarize the requests on one engine."""
+    running = decoding = helping = committed_tokens = context_tokens = 0
+    pause_limits: list[PauseLimit] = []
+    intervals: list[PrefillInterval] = []
+    for entry in entries:
+        is_prefilling = entry.first_token_at is None
+        is_host = entry.host == endpoint
+        if entry.held:
+            committed_tokens += held_tokens_on(entry, endpoint)
+        if is_host:
             running += 1
-            if not work.held:
-                promised += work.prompt_tokens + work.answer_tokens
-            if not reading:
-                writers += 1
-                context += work.prompt_tokens
-            if work.longest_pause is not None:
-                pause_ms = work.longest_pause.total_seconds() * 1e3
-                paces.append(PauseLimit(pause_ms, work.prompt_tokens))
-        if reading:
-            helping += not hosted
-            reads.append(prefill_of(work, endpoint))
-    standing = EngineLoad(
-        running, writers, helping, 0.0, promised, context, tuple(paces)
+            if not entry.held:
+                committed_tokens += entry.prompt_tokens + entry.answer_tokens
+            if not is_prefilling:
+                decoding += 1
+                context_tokens += entry.prompt_tokens
+            if entry.longest_pause is not None:
+                pause_ms = entry.longest_pause.total_seconds() * 1e3
+                pause_limits.append(PauseLimit(pause_ms, entry.prompt_tokens))
+        if is_prefilling:
+            helping += not is_host
+            intervals.append(prefill_of(entry, endpoint))
+    base_load = EngineLoad(
+        running,
+        decoding,
+        helping,
+        0.0,
+        committed_tokens,
+        context_tokens,
+        tuple(pause_limits),
     )
-    read_until_ms = prefill_end_ms(reads) if reads else -inf
-    alike = group_pause_limits(paces)
-    tightest_ms = alike[0].pause_ms if alike else inf
-    return LoadSummary(standing, read_until_ms, tightest_ms, alike)
+    prefill_until_ms = prefill_end_ms(intervals) if intervals else -inf
+    groups = group_pause_limits(pause_limits)
+    shortest_pause_ms = groups[0].pause_ms if groups else inf
+    return LoadSummary(base_load, prefill_until_ms, shortest_pause_ms, groups)
 
 
-def group_pause_limits(paces: Iterable[PauseLimit]) -> tuple[PauseLimitGroup, ...]:
-    """Sum up requests that bear the same pause; there are few different ones."""
+def group_pause_limits(
+    pause_limits: Iterable[PauseLimit],
+) -> tuple[PauseLimitGroup, ...]:
+    """Group requests by their longest pause; there are few distinct values."""
     tokens: dict[float, list[int]] = {}
-    for pace in paces:
-        tokens.setdefault(pace.pause_ms, []).append(pace.prompt_tokens)
-    alike = [
-        PauseLimitGroup(each, len(found), sum(found)) for each, found in tokens.items()
+    for limit in pause_limits:
+        tokens.setdefault(limit.pause_ms, []).append(limit.prompt_tokens)
+    groups = [
+        PauseLimitGroup(pause_ms, len(prompts), sum(prompts))
+        for pause_ms, prompts in tokens.items()
     ]
-    alike.sort()
-    return tuple(alike)
+    groups.sort()
+    return tuple(groups)
 
 
 class PrefillInterval(NamedTuple):
-    """One engine's reading for one request, in milliseconds; sorts by its start."""
+    """One engine's prefill for one request, in milliseconds; sorts by its start."""
 
     start_ms: float
     length_ms: float
 
 
-def prefill_of(work: InFlightRequest, endpoint: EndpointId) -> PrefillInterval:
-    """Return what an engine reads for a work."""
-    length_ms = sum(part.prefill_ms for part in work.parts if part.endpoint == endpoint)
-    return PrefillInterval(work.started_at.total_seconds() * 1e3, length_ms)
+def prefill_of(entry: InFlightRequest, endpoint: EndpointId) -> PrefillInterval:
+    """Return what an engine prefills for a request."""
+    length_ms = sum(
+        part.prefill_ms for part in entry.parts if part.endpoint == endpoint
+    )
+    return PrefillInterval(entry.started_at.total_seconds() * 1e3, length_ms)
 
 
-def prefill_end_ms(reads: list[PrefillInterval]) -> float:
-    """Return the instant, in ms, at which reads one after the other are done."""
+def prefill_end_ms(intervals: list[PrefillInterval]) -> float:
+    """Return the time in ms at which consecutive prefills are done."""
     free_at = -inf
-    for read in sorted(reads):
-        free_at = max(free_at, read.start_ms) + read.length_ms
+    for interval in sorted(intervals):
+        free_at = max(free_at, interval.start_ms) + interval.length_ms
     return free_at
 
 
-def held_tokens_on(work: InFlightRequest, endpoint: EndpointId) -> int:
-    """Return the tokens that an engine holds of a work that says who holds it."""
-    return sum(held.tokens for held in work.held if held.endpoint == endpoint)
+def held_tokens_on(entry: InFlightRequest, endpoint: EndpointId) -> int:
+    """Return the tokens of a request with reservations that an engine holds."""
+    return sum(held.tokens for held in entry.held if held.endpoint == endpoint)
--- a/src/mimosafork/placement/overload.py
+++ b/src/mimosafork/placement/overload.py
@@ -1,8 +1,8 @@
-"""What an engine's word that it is full says of work that nobody has told of.
+"""Overload rejections as evidence of running requests that no peer has reported.
 
-Words of running work come late, or not at all: from behind a cut, from an instance that
-has just been killed, or to one that has just started. An engine that turns a call away
-as it is full tells in the same moment that more runs there than is known.
+Reports of running requests arrive late or not at all: from behind a network partition,
+from an instance that was just killed, or to one that just started. An engine that
+rejects a call as overloaded shows that it runs more than was reported.
 """
 
 from datetime import timedelta
@@ -15,27 +15,27 @@
 from ..routing.engine import EngineFigures
 
 OVERLOAD_FACTOR = 1.5
-"""An engine that is full has at least so many times its slots to do: it lets a few
-requests wait besides those that run."""
+"""An overloaded engine has at least this many times its slots of requests: it queues a
+few besides those that run."""
 
 MIN_ANSWER_TIME = timedelta(milliseconds=300)
 MAX_ANSWER_TIME = timedelta(seconds=2)
-"""Bounds of what a usual answer is taken to last: one that states a wrong length, or
-none, must neither make a rejection worth nothing nor let an engine stand idle."""
+"""Bounds of the typical answer time. A service that states a wrong answer length, or
+none, must neither make a rejection meaningless nor keep an engine idle."""
 
 MIN_SLOT_RELEASE_TIME = timedelta(milliseconds=100)
-"""Below this two rejections of one call say the same."""
+"""Rejections of one call that are closer together count as one observation."""
 
 
 class OverloadReport(msgspec.Struct, frozen=True):
-    """An engine's word that it was full.
+    """An engine's rejection of a call because it was overloaded.
 
     Attributes
     ----------
-    unheard : int
-        Requests that ran there beyond those that were known.
-    stay : timedelta
-        How long a usual answer lasts: after it, what was there then has ended.
+    unreported : int
+        Requests that ran there beyond the reported ones.
+    answer_time : timedelta
+        Duration of a typical answer; after it, the requests of that moment have ended.
     """
 
     received_at: timedelta
@@ -43,77 +43,84 @@
     answer_time: timedelta
 
     def remaining(self, now: timedelta) -> int:
-        """Return how many of the unheard requests are still taken to run."""
+        """Return how many unreported requests are assumed to be still running."""
         share = 1.0 - (now - self.received_at) / self.answer_time
         return ceil(self.unreported * share) if share > 0.0 else 0
 
 
 class OverloadReports(msgspec.Struct):
-    """The newest word of each engine that was full lately.
-
-    Guard: believed to be the emptiest, an engine would be sent call after call, each
-    learning for itself that it is full and taking a repeat from all instances. What it
-    said counts as running work for all calls of this instance. It is forgotten evenly
-    within the time of a usual answer, as the ends of unheard work aren't heard either,
-    and one by one as old work there is heard of after all.
+    """The latest overload report of each engine that was overloaded recently.
+
+    Guard: an engine that seems the least loaded would get call after call, each finding
+    out for itself that the engine is overloaded and taking a retry from the budget of
+    all instances. A report counts as running requests for all calls of this instance.
+    It decays linearly over a typical answer time, as the ends of unreported requests
+    aren't reported either, and by one with each older request there that is reported
+    after all.
     """
 
     by_endpoint: dict[EndpointId, OverloadReport] = msgspec.field(default_factory=dict)
 
-    def record(self, endpoint: EndpointId, word: OverloadReport) -> None:
-        """Take an engine's word; it replaces a former one.
+    def record(self, endpoint: EndpointId, report: OverloadReport) -> None:
+        """Record an overload report, which replaces an earlier one of the engine.
 
-        One that is full once more, so soon after it had seemed to have room, has more
-        waiting than was thought: that is believed for twice as long.
+        A second report soon after the engine seemed to have capacity means that more is
+        queued there than was estimated, so the report is kept for twice as long.
         """
-        now = word.received_at
+        now = report.received_at
         self.by_endpoint = {
             name: each
             for name, each in self.by_endpoint.items()
             if now - each.received_at < each.answer_time
         }
-        former = self.by_endpoint.get(endpoint)
-        if former is not None:
-            word = replace(
-                word, answer_time=min(MAX_ANSWER_TIME, 2 * former.answer_time)
+        previous = self.by_endpoint.get(endpoint)
+        if previous is not None:
+            report = replace(
+                report, answer_time=min(MAX_ANSWER_TIME, 2 * previous.answer_time)
             )
-        self.by_endpoint[endpoint] = word
+        self.by_endpoint[endpoint] = report
 
     def unreported(self, endpoint: EndpointId, now: timedelta) -> int:
-        """Return how many requests are taken to run beyond those that are known."""
-        word = self.by_endpoint.get(endpoint)
-        if word is None:
+        """Return the estimated running requests beyond the reported ones."""
+        report = self.by_endpoint.get(endpoint)
+        if report is None:
             return 0
-        return word.remaining(now)
+        return report.remaining(now)
 
     def count_reported(self, endpoint: EndpointId, started_at: timedelta) -> None:
-        """Count a work that is heard of now no more among the unheard."""
-        word = self.by_endpoint.get(endpoint)
-        if word is not None and word.unreported and started_at <= word.received_at:
-            self.by_endpoint[endpoint] = replace(word, unreported=word.unreported - 1)
+        """Stop counting a request as unreported once a peer has reported it."""
+        report = self.by_endpoint.get(endpoint)
+        if (
+            report is not None
+            and report.unreported
+            and started_at <= report.received_at
+        ):
+            self.by_endpoint[endpoint] = replace(
+                report, unreported=report.unreported - 1
+            )
 
 
 def typical_answer_time(figures: EngineFigures) -> timedelta:
-    """Return how long a usual answer lasts on an engine whose slots are taken."""
+    """Return the duration of a typical answer on an engine with all slots taken."""
     step_ms = figures.step_ms + figures.per_sequence_ms * figures.slots
-    lasts = timedelta(milliseconds=figures.expected_answer_tokens * step_ms)
-    return min(MAX_ANSWER_TIME, max(MIN_ANSWER_TIME, lasts))
+    answer_time = timedelta(milliseconds=figures.expected_answer_tokens * step_ms)
+    return min(MAX_ANSWER_TIME, max(MIN_ANSWER_TIME, answer_time))
 
 
 def slot_release_time(figures: EngineFigures) -> timedelta:
-    """Return within what time an answer ends on an engine whose slots are taken."""
+    """Return the time until an answer ends on an engine with all slots taken."""
     return max(
         MIN_SLOT_RELEASE_TIME, typical_answer_time(figures) / max(1, figures.slots)
     )
 
 
 class LoadCeiling(msgspec.Struct, frozen=True):
-    """What a call that was turned away knows of engines that seem to have room.
+    """Limit on the load of engines that a rejected call may still be sent to.
 
     Attributes
     ----------
     running : int
-        Of an engine with so many requests, or more, nothing better is to be expected.
+        Engines with this many requests or more are assumed to be overloaded as well.
     until : timedelta
         By then an answer has ended on engines that are full now.
     """
@@ -123,19 +130,19 @@
 
 
 def lower_ceiling(
-    former: LoadCeiling | None, running: int, until: timedelta
+    previous: LoadCeiling | None, running: int, until: timedelta
 ) -> LoadCeiling:
-    """Return what a call knows after a further engine has turned it away.
+    """Return the load ceiling of a call after a further engine has rejected it.
 
-    Guard: what had filled one engine unheard has filled those that seemed as busy. A
-    call that goes from one to the next costs a repeat each time, and has no chance. A
-    first rejection leaves it those that seem to have nothing to do: an engine may also
-    turn calls away without being full.
+    Guard: the unreported requests that filled one engine have filled those that seemed
+    as busy. A call that tries one after the other spends a retry each time without a
+    chance. After a first rejection, engines that seem idle are still tried, as an
+    engine may also reject calls without being overloaded.
 
     Parameters
     ----------
     running : int
-        Requests that the engine was believed to run when it turned the call away.
+        Estimated running requests of the engine when it rejected the call.
     """
-    least = max(1, running) if former is None else min(former.running, running)
-    return LoadCeiling(least, until)
+    ceiling = max(1, running) if previous is None else min(previous.running, running)
+    return LoadCeiling(ceiling, until)
--- a/src/mimosafork/placement/plain.py
+++ b/src/mimosafork/placement/plain.py
@@ -1,4 +1,4 @@
-"""Placement on endpoints that are no engines: the least busy one."""
+"""Placement on plain services: the least busy endpoint."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -16,49 +16,49 @@
 from .load_tracker import LoadTracker
 
 SUSPECT_BUSY = 10.0
-"""A suspect endpoint counts as if each of its slots were taken so many times."""
+"""Added to the load of a suspect endpoint, as a multiple of its slots."""
 
 
 def choose_plain(
-    ask: PlacementRequest,
+    request: PlacementRequest,
     endpoints: Sequence[EngineView],
-    book: LoadTracker,
+    tracker: LoadTracker,
     now: timedelta,
     random: Random,
 ) -> PlacementDecision:
     """Return the endpoint with the smallest share of its slots taken.
 
-    Endpoints queue a few requests, so full ones are still offered work. On ties the
-    asking instance's availability zone goes first, then chance decides.
+    Endpoints queue a few requests, so full ones still get requests. On ties this
+    instance's availability zone is preferred, then the choice is random.
 
     Parameters
     ----------
     now : timedelta
-        Time of the book.
+        Time on the load tracker's clock.
     random : Random
-        Keeps instances that know the same from all taking the same endpoint.
+        Keeps instances with the same information from all choosing the same endpoint.
     """
-    usable = preferred(ask, endpoints)
+    usable = preferred(request, endpoints)
     if not usable:
         return WaitForCapacity(Shortage.ENDPOINTS)
 
     def rank(view: EngineView) -> tuple[float, bool, float]:
-        running = book.estimated_running(view.endpoint, now)
-        busy = (running + 1) * slowdown_of(view) / max(1, view.slots)
+        running = tracker.estimated_running(view.endpoint, now)
+        load = (running + 1) * slowdown_of(view) / max(1, view.slots)
         if view.suspect:
-            busy += SUSPECT_BUSY
-        return busy, view.zone != ask.zone, random.random()
+            load += SUSPECT_BUSY
+        return load, view.zone != request.zone, random.random()
 
     best = min(usable, key=rank)
     return Assignment(best.endpoint, best.address)
 
 
 def preferred(
-    ask: PlacementRequest, endpoints: Sequence[EngineView]
+    request: PlacementRequest, endpoints: Sequence[EngineView]
 ) -> list[EngineView]:
     """Return the usable endpoints, without those to avoid if others are left."""
     usable = [view for view in endpoints if view.usable]
-    if not ask.avoid:
+    if not request.avoid:
         return usable
-    others = [view for view in usable if view.endpoint not in ask.avoid]
+    others = [view for view in usable if view.endpoint not in request.avoid]
     return others or usable
--- a/src/mimosafork/placement/policy.py
+++ b/src/mimosafork/placement/policy.py
@@ -1,4 +1,4 @@
-"""Which engine hosts a request, and which others help to read its prompt."""
+"""Choice of the host of a request and of the helpers that prefill its prompt."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -29,53 +29,53 @@
 __all__ = ["choose", "choose_plain"]
 
 SUSPECT_COST = 50.0
-"""Cost of an engine that failed lately."""
+"""Cost of an engine that failed recently."""
 
 
 def choose(
-    ask: PlacementRequest,
+    request: PlacementRequest,
     engines: Sequence[EngineView],
-    book: LoadTracker,
+    tracker: LoadTracker,
     figures: EngineFigures | None,
     now: timedelta,
     random: Random,
 ) -> PlacementDecision:
-    """Return where a request goes now.
+    """Return the placement decision for a request.
 
     Parameters
     ----------
     engines : sequence of EngineView
         All known endpoints of the service, usable or not.
     figures : EngineFigures or None
-        None where the deployment states none: the endpoints are taken as plain ones.
+        None where the deployment states none: the endpoints are used as plain ones.
     now : timedelta
-        Time of the book.
+        Time on the load tracker's clock.
     """
-    if figures is None or ask.prompt_tokens <= 0:
-        return choose_plain(ask, engines, book, now, random)
-    usable = preferred(ask, engines)
+    if figures is None or request.prompt_tokens <= 0:
+        return choose_plain(request, engines, tracker, now, random)
+    usable = preferred(request, engines)
     if not usable:
         return WaitForCapacity(Shortage.ENDPOINTS)
-    states = engine_states(usable, book, figures, now)
-    per_s = book.start_rate.per_s(now)
+    states = engine_states(usable, tracker, figures, now)
+    per_s = tracker.start_rate.per_s(now)
     races = race_costs(per_s, figures)
-    spread = spread_cost(
-        per_s, book.report_delay.mean_s, book.rejection_rate.per_s(now)
+    spread_by = spread_cost(
+        per_s, tracker.report_delay.mean_s, tracker.rejection_rate.per_s(now)
     )
-    plan = best_plan(ask, states, figures, random, races, spread)
+    plan = best_plan(request, states, figures, random, races, spread_by)
     if plan is None:
-        return decision_without_plan(ask, states, figures)
-    come_back = retry_after_if_late(ask, states, plan.done_ms, plan.host, figures)
-    if come_back is not None:
-        return RejectRequest(come_back, Shortage.TIME)
-    if should_wait_for_older_prefill(ask, plan):
+        return decision_without_plan(request, states, figures)
+    retry_after = retry_after_if_late(request, states, plan.done_ms, plan.host, figures)
+    if retry_after is not None:
+        return RejectRequest(retry_after, Shortage.TIME)
+    if should_wait_for_older_prefill(request, plan):
         return WaitForCapacity(Shortage.TURN)
-    return assignment_of(ask, plan, figures)
+    return assignment_of(request, plan, figures)
 
 
 def engine_states(
     usable: Sequence[EngineView],
-    book: LoadTracker,
+    tracker: LoadTracker,
     figures: EngineFigures,
     now: timedelta,
 ) -> list[EngineState]:
@@ -86,45 +86,45 @@
     return [
         engine_state(
             view,
-            book.summary_of(view.endpoint),
+            tracker.summary_of(view.endpoint),
             figures,
             now_ms,
             index / count,
             SUSPECT_COST if view.suspect else 0.0,
-            book.overloads.unreported(view.endpoint, now),
+            tracker.overloads.unreported(view.endpoint, now),
         )
         for index, view in enumerate(ordered)
     ]
 
 
 def decision_without_plan(
-    ask: PlacementRequest, states: list[EngineState], figures: EngineFigures
+    request: PlacementRequest, states: list[EngineState], figures: EngineFigures
 ) -> PlacementDecision:
-    """Say what a request lacks that has no place."""
-    if total_tokens(ask) > figures.memory_tokens * len(states):
-        return RejectRequest(ask.time_left, Shortage.SIZE)
-    least = finish_ms(ask, 0.0, figures.step_ms, figures)
-    if least > ask.time_left.total_seconds() * 1e3:
+    """Return why a request without a plan has to wait or is rejected."""
+    if total_tokens(request) > figures.memory_tokens * len(states):
+        return RejectRequest(request.time_left, Shortage.SIZE)
+    least = finish_ms(request, 0.0, figures.step_ms, figures)
+    if least > request.time_left.total_seconds() * 1e3:
         return RejectRequest(timedelta(milliseconds=least), Shortage.TIME)
-    if any(can_host(ask, state) for state in states):
+    if any(can_host(request, state) for state in states):
         return WaitForCapacity(Shortage.MEMORY)
     return WaitForCapacity(Shortage.SLOTS)
 
 
 def assignment_of(
-    ask: PlacementRequest, plan: Plan, figures: EngineFigures
+    request: PlacementRequest, plan: Plan, figures: EngineFigures
 ) -> Assignment:
-    """Return a plan as it is carried out."""
+    """Return the assignment that carries out a plan."""
     gang = (plan.host, *plan.helpers)
-    tokens = -(-ask.prompt_tokens // len(gang))
-    read_ms = figures.prefill_ms(tokens, ask.prompt_tokens)
+    tokens = -(-request.prompt_tokens // len(gang))
+    prefill_ms = figures.prefill_ms(tokens, request.prompt_tokens)
     parts = tuple(
-        PrefillPart(state.view.endpoint, tokens, read_ms * state.slowdown)
+        PrefillPart(state.view.endpoint, tokens, prefill_ms * state.slowdown)
         for state in gang
     )
     reservations = (
-        split_reservations(ask, gang, figures)
-        if needs_reservations(ask, figures)
+        split_reservations(request, gang, figures)
+        if needs_reservations(request, figures)
         else ()
     )
     return Assignment(
--- a/src/mimosafork/placement/prefill_time.py
+++ b/src/mimosafork/placement/prefill_time.py
@@ -1,4 +1,4 @@
-"""Until when promised reading explains that an engine is silent."""
+"""How long assigned prefill accounts for the silence of an engine."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -9,17 +9,17 @@
 from .load_tracker import InFlightRequest, prefill_of
 
 OVERRUN_SHARE = 0.3
-"""Share by which reading may take longer than predicted: the steps of writers and a
-slow engine's pace are not in the prediction."""
+"""Share by which prefill may exceed its prediction, which includes neither the steps of
+decoding requests nor the slowdown of the engine."""
 
 
 class PrefillSpan(msgspec.Struct, frozen=True):
-    """A time through which an engine reads without a pause.
+    """A time span in which an engine prefills without a break.
 
     Attributes
     ----------
     start_ms, end_ms : float
-        Monotonic milliseconds, by the predicted lengths of the reads.
+        Monotonic milliseconds, by the predicted prefill times.
     """
 
     start_ms: float
@@ -32,26 +32,30 @@
 
 
 def prefill_span(
-    endpoint: EndpointId, works: Iterable[InFlightRequest]
+    endpoint: EndpointId, requests: Iterable[InFlightRequest]
 ) -> PrefillSpan | None:
-    """Return the last span of an engine's promised reading; None without any."""
-    reads = sorted(
-        prefill_of(work, endpoint) for work in works if work.first_token_at is None
+    """Return the last span of an engine's assigned prefill; None without any."""
+    intervals = sorted(
+        prefill_of(request, endpoint)
+        for request in requests
+        if request.first_token_at is None
     )
     span: PrefillSpan | None = None
-    for read in reads:
-        if span is None or read.start_ms > span.latest_end_ms:
-            span = PrefillSpan(read.start_ms, read.start_ms + read.length_ms)
+    for interval in intervals:
+        if span is None or interval.start_ms > span.latest_end_ms:
+            span = PrefillSpan(
+                interval.start_ms, interval.start_ms + interval.length_ms
+            )
         else:
-            span = PrefillSpan(span.start_ms, span.end_ms + read.length_ms)
+            span = PrefillSpan(span.start_ms, span.end_ms + interval.length_ms)
     return span
 
 
 def prefill_time_left(
-    endpoint: EndpointId, works: Iterable[InFlightRequest], now: timedelta
+    endpoint: EndpointId, requests: Iterable[InFlightRequest], now: timedelta
 ) -> timedelta:
-    """Return for how long yet an engine's reading explains its silence."""
-    span = prefill_span(endpoint, works)
+    """Return how much longer an engine's prefill accounts for its silence."""
+    span = prefill_span(endpoint, requests)
     if span is None:
         return timedelta(0)
     left_ms = span.latest_end_ms - now.total_seconds() * 1e3
--- a/src/mimosafork/placement/spread.py
+++ b/src/mimosafork/placement/spread.py
@@ -1,39 +1,41 @@
-"""How far apart instances choose that don't know of one another's last calls.
+"""Random spread of placements over engines while peers' reports are late.
 
-The engine that costs least is the same one to all instances that know the same. What
-they know is late by the way of a word: so many works as begin meanwhile go to engines
-that they no longer suit. The less is known, the more it is worth to spread.
+All instances with the same information find the same engine cheapest. Their information
+lags by the report delay, so requests that start in the meantime go to engines that are
+no longer the best. The less is known, the more it pays to spread.
 """
 
 from .plan import NOISE_COST
 
 SPREAD_PER_UNREPORTED = 0.16
-"""Cost by which engines differ by chance, for each work that begins before its word
-comes."""
+"""Random cost for each request that starts before its report arrives."""
 UNREPORTED_PER_REJECTION = 1.0
-"""Works of which nothing is known, for each call that a full engine turns away in a
-second: of words that are missing no age tells. More than one would spread calls onto
-engines that turn some away without being full, which can't be told from full ones."""
+"""Assumed unreported requests for each overload rejection per second: the delay of
+reports that do arrive says nothing about missing ones. A higher value would spread
+calls onto engines that reject some without being overloaded, which look the same."""
 MAX_SPREAD_COST = 2.0
-"""Beyond it a choice goes by chance alone."""
+"""With more, placement would be entirely random."""
 
 
-def spread_cost(per_s: float, late_s: float, rejected_per_s: float = 0.0) -> float:
-    """Return the cost by which engines differ by chance.
+def spread_cost(
+    per_s: float, report_delay_s: float, rejected_per_s: float = 0.0
+) -> float:
+    """Return the maximum random cost of an engine.
 
-    Guard: in a flood whose words come a tenth of a second late, or not at all from
-    behind a cut, all instances fill one engine after the other: the works that are to
-    come are unknown to all, and each engine is the emptiest until it turns calls away.
-    Where words come in time and no engine is full, the spread is the usual one.
+    Guard: under high load, with reports a tenth of a second late or missing behind a
+    network partition, all instances fill one engine after the other: the latest
+    requests are unknown to all, and each engine seems the least loaded until it rejects
+    calls. Where reports are on time and no engine is overloaded, the cost is
+    `NOISE_COST`.
 
     Parameters
     ----------
     per_s : float
-        Works that begin in a second.
-    late_s : float
-        How old works are when they are heard of.
+        Request starts per second.
+    report_delay_s : float
+        Mean age of requests when they are first reported.
     rejected_per_s : float
-        Calls of this instance that full engines turn away in a second.
+        Overload rejections per second of calls of this instance.
     """
-    unheard = per_s * late_s + UNREPORTED_PER_REJECTION * rejected_per_s
-    return min(MAX_SPREAD_COST, max(NOISE_COST, SPREAD_PER_UNREPORTED * unheard))
+    unreported = per_s * report_delay_s + UNREPORTED_PER_REJECTION * rejected_per_s
+    return min(MAX_SPREAD_COST, max(NOISE_COST, SPREAD_PER_UNREPORTED * unreported))
--- a/src/mimosafork/quarantine/__init__.py
+++ b/src/mimosafork/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Suspicions kept in the table service."""
+"""Crash suspicions in the table service."""
--- a/src/mimosafork/quarantine/task.py
+++ b/src/mimosafork/quarantine/task.py
@@ -1,4 +1,4 @@
-"""The task that writes and reads suspicions in the table service."""
+"""Task that writes and reads crash suspicions in the table service."""
 
 from collections.abc import Callable, Mapping
 from datetime import UTC, datetime, timedelta
@@ -27,9 +27,9 @@
 TABLE = "suspicions"
 READ_PERIOD = timedelta(minutes=2)
 SUSPICION_TTL = timedelta(hours=1)
-TRIES = 3
-DELETING_SHARE = 0.05
-"""Part of the readers of an old row that delete it: one of them is enough."""
+MAX_ATTEMPTS = 3
+DELETE_PROBABILITY = 0.05
+"""Probability that a reader deletes an expired row: one of all readers is enough."""
 
 
 class _RowBody(msgspec.Struct, frozen=True):
@@ -38,17 +38,18 @@
 
 
 class SuspicionTask(Task[StoreSuspicion | DropSuspicion]):
-    """Carries out `StoreSuspicion` and `DropSuspicion`, and reads all now and then.
+    """Carries out `StoreSuspicion` and `DropSuspicion`, and reads all rows periodically.
 
-    With the store out, suspicions spread by gossip alone; nothing waits for this.
+    While the store is unavailable, suspicions spread by gossip alone; nothing waits for
+    this task.
 
     Parameters
     ----------
     table : Table
     clock : Clock
     random : random.Random
-    tell : callable
-        Takes `SuspicionsRead`; must return at once, as `KernelTask.send` does.
+    send_to_kernel : callable
+        Takes `SuspicionsRead`; must not block, like `KernelTask.send`.
     """
 
     def __init__(
@@ -66,46 +67,46 @@
         self.read_at = clock.monotonic()
 
     def wait_time(self) -> timedelta:
-        """Return the time until the next reading."""
+        """Return the time until the next read."""
         return self.read_at - self.clock.monotonic()
 
     def idle(self) -> None:
-        """Read all suspicions if it is time to."""
+        """Read all suspicions if the read is due."""
         if self.read_at > self.clock.monotonic():
             return
-        pause = READ_PERIOD * (0.5 + self.random.random())
-        self.read_at = self.clock.monotonic() + pause
+        delay = READ_PERIOD * (0.5 + self.random.random())
+        self.read_at = self.clock.monotonic() + delay
         try:
             rows = list(all_rows(self.table, TABLE))
         except PlatformError as error:
-            logger.debug("suspicions were not read: %s", error)
+            logger.debug("cannot read suspicions: %s", error)
             return
         read = [kept for kept in map(self._kept, rows) if kept is not None]
         if read:
             self.send_to_kernel(SuspicionsRead(tuple(read)))
 
     def receive(self, message: StoreSuspicion | DropSuspicion) -> None:
-        """Write, as often as other writers come in between."""
-        for _ in range(TRIES):
+        """Write, retrying on conflicts with other writers."""
+        for _ in range(MAX_ATTEMPTS):
             try:
                 if self._write(message):
                     return
             except PlatformError as error:
-                logger.debug("a suspicion was not written: %s", error)
+                logger.debug("cannot write a suspicion: %s", error)
                 return
 
     def _write(self, message: StoreSuspicion | DropSuspicion) -> bool:
-        """Write on the condition of what was read; return whether it is done.
+        """Write conditionally on the version that was read; return whether it is done.
 
-        A write of unknown result is let be: what it says reaches the peers by
-        gossip, and the same evidence joins to the same row.
+        A write with an unknown result is not retried: the suspicion reaches the peers
+        by gossip, and the same evidence merges into the same row.
         """
         row = self.table.get(TABLE, message.digest)
         value: Mapping[str, Any] | None = None
         if isinstance(message, StoreSuspicion):
             known = () if row is None else _evidence_of(row)
-            joined = _joined(known, message.evidence)
-            body = _RowBody(joined, self.clock.now())
+            merged = _merged(known, message.evidence)
+            body = _RowBody(merged, self.clock.now())
             value = msgspec.to_builtins(body)
         elif row is None:
             return True
@@ -114,7 +115,7 @@
         return self.table.transact((condition,), (write,)).committed
 
     def _kept(self, row: Row) -> StoredSuspicion | None:
-        """Return what a row says; None if it is too old or can't be read."""
+        """Return the suspicion in a row; None if it has expired or is invalid."""
         try:
             body = msgspec.convert(row.value, _RowBody)
         except msgspec.ValidationError:
@@ -122,7 +123,7 @@
         age = max(timedelta(0), self.clock.now() - body.written.astimezone(UTC))
         if age <= SUSPICION_TTL:
             return StoredSuspicion(Digest(row.key), body.evidence, age)
-        if self.random.random() < DELETING_SHARE:
+        if self.random.random() < DELETE_PROBABILITY:
             self._delete(row)
         return None
 
@@ -131,7 +132,7 @@
         try:
             self.table.transact((condition,), (Write(TABLE, row.key, None),))
         except PlatformError as error:
-            logger.debug("an old suspicion was not deleted: %s", error)
+            logger.debug("cannot delete an expired suspicion: %s", error)
 
 
 def _evidence_of(row: Row) -> tuple[CrashEvidence, ...]:
@@ -141,9 +142,11 @@
         return ()
 
 
-def _joined(
+def _merged(
     known: tuple[CrashEvidence, ...], new: tuple[CrashEvidence, ...]
 ) -> tuple[CrashEvidence, ...]:
-    """Return all evidence, of each life once; the newer word wins."""
-    by_life = {(each.endpoint, each.incarnation): each for each in (*known, *new)}
-    return tuple(by_life.values())
+    """Merge evidence, one entry per incarnation; the new entry wins."""
+    by_incarnation = {
+        (each.endpoint, each.incarnation): each for each in (*known, *new)
+    }
+    return tuple(by_incarnation.values())
--- a/src/mimosafork/recovery/__init__.py
+++ b/src/mimosafork/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Listing and freeing what is held on engines."""
+"""Listing and freeing of holdings on engines."""
--- a/src/mimosafork/recovery/task.py
+++ b/src/mimosafork/recovery/task.py
@@ -1,4 +1,4 @@
-"""The task that lists and frees holdings over HTTP."""
+"""Task that lists and frees holdings over HTTP."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -50,13 +50,13 @@
 class CleaningTask(Task[ListHoldings | FreeHolding]):
     """Carries out `ListHoldings` and `FreeHolding`, one call at a time.
 
-    A call that fails is not repeated: the next listing shows what is left.
+    A failed call is not retried: the next listing shows what is left.
 
     Parameters
     ----------
     http : Http
-    tell : callable
-        Takes `HoldingsListed`; must return at once, as `KernelTask.send` does.
+    send_to_kernel : callable
+        Takes `HoldingsListed`; must not block, like `KernelTask.send`.
     """
 
     def __init__(self, http: Http, send_to_kernel: Callable[[Message], None]) -> None:
@@ -65,7 +65,7 @@
         self.send_to_kernel = send_to_kernel
 
     def receive(self, message: ListHoldings | FreeHolding) -> None:
-        """Make the call and tell or log what came of it."""
+        """Make the call and report or log its result."""
         try:
             if isinstance(message, ListHoldings):
                 self._list(message)
@@ -84,7 +84,9 @@
         try:
             body = msgspec.json.decode(answer.body, type=_ListBody)
         except msgspec.MsgspecError as error:
-            logger.debug("engine %s listed nonsense: %s", command.endpoint, error)
+            logger.debug(
+                "engine %s returned invalid holdings: %s", command.endpoint, error
+            )
             return
         holdings = tuple(_holding(each) for each in body.holdings)
         self.send_to_kernel(HoldingsListed(command.endpoint, holdings))
--- a/src/mimosafork/routing/__init__.py
+++ b/src/mimosafork/routing/__init__.py
@@ -1,1 +1,1 @@
-"""What a deployment routes: its routes, services, endpoints and client accounts."""
+"""Routing configuration of a deployment: routes, services, endpoints and accounts."""
--- a/src/mimosafork/routing/changes.py
+++ b/src/mimosafork/routing/changes.py
@@ -1,4 +1,4 @@
-"""What a version of the configuration changed, as counts that a log line can bear."""
+"""Summary of what changed between two configuration versions, for a log line."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,15 +12,15 @@
 
 @dataclass(frozen=True)
 class TableChanges:
-    """Counts what differs between two configurations, once it is written.
+    """Counts of differences between two configurations, formatted on demand.
 
-    No key and no name is told, so that the text is short and holds no secret. The
-    work is done where the line is formatted, and only if it is.
+    Contains no keys or names, so that the text is short and has no secrets. The counts
+    are computed only if the log line is formatted.
 
     Parameters
     ----------
     before : RoutingTable or None
-        None if there was none: then all is new.
+        None if there was none: then everything is new.
     after : RoutingTable
     """
 
@@ -33,21 +33,23 @@
 
     @cached_property
     def text(self) -> str:
-        """The counts of all parts that differ."""
+        """The counts of all sections that differ."""
         before, after = self.before, self.after
-        parts = []
-        for name, part_of in PARTS.items():
-            counts = counted({} if before is None else part_of(before), part_of(after))
+        sections = []
+        for name, entries_of in SECTIONS.items():
+            counts = format_counts(
+                {} if before is None else entries_of(before), entries_of(after)
+            )
             if counts:
-                parts.append(f"{name} {counts}")
+                sections.append(f"{name} {counts}")
         if before is not None and before.limits != after.limits:
-            parts.append("limits")
+            sections.append("limits")
         if before is not None and before.has_accounts != after.has_accounts:
-            parts.append("keys needed" if after.has_accounts else "no keys needed")
-        return ", ".join(parts) or NO_CHANGES
+            sections.append("keys needed" if after.has_accounts else "no keys needed")
+        return ", ".join(sections) or NO_CHANGES
 
 
-def counted(before: Mapping[Any, object], after: Mapping[Any, object]) -> str:
+def format_counts(before: Mapping[Any, object], after: Mapping[Any, object]) -> str:
     """Return how many entries are new, removed and changed; empty if none is."""
     added = len(after.keys() - before.keys())
     removed = len(before.keys() - after.keys())
@@ -68,16 +70,16 @@
 
 
 def accounts_of(table: RoutingTable) -> Mapping[Any, object]:
-    """Return the accounts by name, without their keys, which count apart."""
+    """Return the accounts by name, without their keys, which are counted separately."""
     return {account.name: account.priority for account in table.accounts}
 
 
 def keys_of(table: RoutingTable) -> Mapping[Any, object]:
-    """Return the account of each key; one that another account has is changed."""
+    """Return the account of each key; a key that changes accounts counts as changed."""
     return {key: account.name for key, account in table.by_key.items()}
 
 
-PARTS = {
+SECTIONS = {
     "routes": routes_of,
     "services": services_of,
     "accounts": accounts_of,
--- a/src/mimosafork/routing/engine.py
+++ b/src/mimosafork/routing/engine.py
@@ -1,18 +1,18 @@
-"""Figures of a service's engines, as the deployment states them."""
+"""Performance figures of a service's engines, as the deployment states them."""
 
 from datetime import timedelta
 
 import msgspec
 
 DEFAULT_ANSWER_TOKENS = 600
-"""Tokens of a usual answer where the deployment states none."""
+"""Expected length of an answer where the deployment states none."""
 
 
 class EngineFigures(msgspec.Struct, frozen=True):
-    """How an engine reads and writes, in passes over all its requests.
+    """Performance of an engine, which works in passes over all its requests.
 
-    A pass with writers runs `stride` steps; in each, up to `chunk` prompt tokens are
-    read beside them.
+    A pass with decoding requests runs `stride` steps; in each, up to
+    `prefill_chunk_tokens` prompt tokens are prefilled beside them.
 
     Attributes
     ----------
@@ -21,23 +21,23 @@
     memory_tokens : int
         Tokens that fit into one engine.
     stride : int
-        Steps of a pass that has writers.
+        Steps of a pass that has decoding requests.
     step_ms, per_sequence_ms : float
-        A step costs the first, and the second for each request that writes.
+        Cost of a step, and its additional cost for each decoding request.
     context_ms_per_k : float
-        And this for each thousand tokens of context of each of those requests.
-    read_tokens_per_ms : float
-        Prompt tokens read in a millisecond.
-    pairs_ms_per_m : float
-        Cost of a million pairs of a token and any earlier one.
-    chunk : int
-        Most prompt tokens read in one step.
+        Additional cost of a step for each thousand context tokens of those requests.
+    prefill_tokens_per_ms : float
+        Prompt tokens prefilled in a millisecond.
+    attention_ms_per_m_pairs : float
+        Prefill cost of a million pairs of a token and an earlier one.
+    prefill_chunk_tokens : int
+        Most prompt tokens prefilled in one step.
     hop_ms : float
-        Added to each step of a writer whose prompt lies on several engines.
+        Added to each step of a decoding request whose prompt is on several engines.
     report_lag : timedelta
-        Age of what an engine reports of itself.
-    usual_prompt, usual_answer : int
-        Mean lengths in tokens.
+        Age of an engine's load reports.
+    mean_prompt_tokens, mean_answer_tokens : int
+        0 if the deployment states none.
     """
 
     slots: int
@@ -56,18 +56,18 @@
 
     @property
     def expected_answer_tokens(self) -> int:
-        """Tokens of an answer of which the caller says nothing."""
+        """Expected length of an answer for which the caller gives no hint."""
         return self.mean_answer_tokens or DEFAULT_ANSWER_TOKENS
 
     def prefill_ms(self, tokens: int, prompt_tokens: int) -> float:
-        """Return how long an engine reads its even part of a prompt.
+        """Return the prefill time of a part of a prompt that is split evenly.
 
         Parameters
         ----------
         tokens : int
             Length of the part.
         prompt_tokens : int
-            Length of the whole prompt; each part has its share of the whole's pairs.
+            Length of the whole prompt; each part has its share of the attention cost.
         """
         if tokens <= 0 or prompt_tokens <= 0:
             return 0.0
--- a/src/mimosafork/routing/listing.py
+++ b/src/mimosafork/routing/listing.py
@@ -1,4 +1,4 @@
-"""What the list of endpoints says about one of them."""
+"""Entries of the endpoint list."""
 
 from datetime import timedelta
 from enum import Enum
@@ -9,21 +9,21 @@
 
 
 class ListedState(Enum):
-    """Whether a listed endpoint takes new work."""
+    """Whether a listed endpoint accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
-    """One life of an endpoint.
+    """One incarnation of an endpoint.
 
     Attributes
     ----------
     endpoint : EndpointId
-        New with most starts. One that starts again under its id tells by `born_ms`.
+        New with most starts; one that restarts under its id has a later `started_ms`.
     address : str
-        ``IP:PORT``; used again by others after the endpoint is gone.
+        ``IP:PORT``; reused by others after the endpoint is gone.
     slots : int
         Requests that it runs at once.
     software : str
@@ -31,10 +31,10 @@
     cold_remaining : timedelta
         How much longer it stays slow after its start.
     sequence : int
-        Grows with each report of this life.
-    born_ms : int or None
-        When this life began, in Unix milliseconds of the endpoint's clock; None where
-        it doesn't say. Of two lives under one id the later one counts.
+        Grows with each report of this incarnation.
+    started_ms : int or None
+        Start of this incarnation, in Unix milliseconds of the endpoint's clock; None if
+        not stated. Of two incarnations with one id the later one is valid.
     """
 
     endpoint: EndpointId
@@ -49,13 +49,13 @@
     started_ms: int | None = None
 
     def started_after(self, born_ms: int | None) -> bool:
-        """Whether this is surely a later life than one that began then."""
+        """Whether this is certainly a later incarnation than one started then."""
         if self.started_ms is None or born_ms is None:
             return False
         return self.started_ms > born_ms
 
     def started_before(self, born_ms: int | None) -> bool:
-        """Whether this is surely an earlier life than one that began then."""
+        """Whether this is certainly an earlier incarnation than one started then."""
         if self.started_ms is None or born_ms is None:
             return False
         return self.started_ms < born_ms
--- a/src/mimosafork/routing/table.py
+++ b/src/mimosafork/routing/table.py
@@ -1,4 +1,4 @@
-"""The routing table: what a version of the configuration says about traffic."""
+"""The routing table of one configuration version."""
 
 from datetime import timedelta
 from enum import Enum
@@ -15,12 +15,12 @@
 
 
 class CallKind(Enum):
-    """What may be repeated of a route's calls."""
+    """Whether calls of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
     STREAM = "stream"
-    """A series of events; repeatable only where the route is resumable."""
+    """A series of events; retried only where the route is resumable."""
 
 
 class TrafficSplit(msgspec.Struct, frozen=True):
@@ -31,14 +31,14 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where calls of one host and path prefix go, and how they are treated.
+    """Destination and policy of calls to one host and path prefix.
 
     Attributes
     ----------
     timeout : timedelta
         Longest time that a call is kept waiting.
     objective : timedelta
-        Within it an answer (a stream's first event) is on time.
+        Time within which an answer, or the first event of a stream, is on time.
     longest_pause : timedelta or None
         Between two events of a stream that is on time.
     priority : int
@@ -46,7 +46,7 @@
     public : bool
         Calls need no API key.
     sized : bool
-        Calls say how many tokens their prompt has.
+        Calls state the number of their prompt tokens.
     """
 
     name: RouteName
@@ -72,7 +72,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A set of like endpoints."""
+    """A set of equivalent endpoints."""
 
     name: ServiceId
     health_path: str
@@ -81,7 +81,7 @@
 
 
 class ClientLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size limits and timeouts of client connections."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -90,7 +90,7 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account and its API keys; `priority` goes before a route's."""
+    """A client account and its API keys; its `priority` overrides that of a route."""
 
     name: AccountId
     keys: tuple[ApiKey, ...]
@@ -116,25 +116,25 @@
     by_key: dict[ApiKey, Account] = msgspec.field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Build the indexes: a host's routes, longest prefix first, and the keys."""
+        """Index routes by host, the longest prefix first, and accounts by key."""
         hosts: dict[str, list[Route]] = {}
         for route in self.routes:
             hosts.setdefault(route.host, []).append(route)
-        ranked = {
+        by_length = {
             host: tuple(sorted(routes, key=lambda route: -len(route.prefix)))
             for host, routes in hosts.items()
         }
         keys = {key: account for account in self.accounts for key in account.keys}
-        force_setattr(self, "by_host", ranked)
+        force_setattr(self, "by_host", by_length)
         force_setattr(self, "by_key", keys)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest matching prefix.
 
         Parameters
         ----------
         host : str
-            As the caller gave it, without a port, in lower case.
+            As the caller sent it, without a port, in lower case.
         path : str
             Without its query.
         """
