--- a/src/mimosafork/placement/load_tracker.py
+++ b/src/mimosafork/placement/load_tracker.py
@@ -268,7 +268,13 @@
     def _record_first_report(
         self, entry: InFlightRequest, received_at: timedelta | None
     ) -> None:
-        """Update the rates for a peer's new request; an old one has no `received_at`."""
+        """Update the rates for a peer's new request.
+
+        Parameters
+        ----------
+        received_at : timedelta or None
+            None for a request of a new peer, whose report delay is unknown.
+        """
         self.overloads.count_reported(entry.host, entry.started_at)
         if not entry.parts:
             return
--- a/tests/support/plain_search.py
+++ b/tests/support/plain_search.py
@@ -1,7 +1,7 @@
-"""The search for a place written out plainly, as what `placement.policy` is held to.
+"""Plain implementation of the plan search, which `placement.policy` must agree with.
 
-Every load is summed anew, every number of engines is tried, and each engine is weighed
-with each size of part. It is slow, and says what the quick search must decide.
+It sums each load anew, tries all gang sizes and evaluates each engine with each part
+size. It is slow, and defines what the fast search must decide.
 """
 
 from collections.abc import Iterable, Sequence
@@ -49,15 +49,15 @@
 
     view: EngineView
     load: EngineLoad
-    pace: float
+    slowdown: float
     pass_ms: float
     order: float
     penalty: float
 
 
 @dataclass(frozen=True)
-class PlainSeat:
-    """One engine with the part that it would read."""
+class PlainCandidate:
+    """One engine with a part to prefill."""
 
     state: PlainState
     done_ms: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class PlainPlan:
-    """A host and its helpers, and what that costs."""
+    """A host, its helpers and their cost."""
 
     host: EndpointId
     helpers: tuple[EndpointId, ...]
@@ -76,50 +76,64 @@
 
 
 def plain_load(
-    endpoint: EndpointId, works: Iterable[InFlightRequest], now: timedelta
+    endpoint: EndpointId, requests: Iterable[InFlightRequest], now: timedelta
 ) -> EngineLoad:
-    """Sum up the works on one engine."""
-    running = writers = helping = promised = context = 0
-    paces: list[PauseLimit] = []
-    reads: list[tuple[float, float]] = []
-    for work in works:
-        promised += plainly_held(work, endpoint)
-        reading = work.first_token_at is None
-        if work.host == endpoint:
+    """Summarize the requests on one engine."""
+    running = decoding = helping = committed_tokens = context_tokens = 0
+    pause_limits: list[PauseLimit] = []
+    prefills: list[tuple[float, float]] = []
+    for in_flight in requests:
+        committed_tokens += plain_held_tokens(in_flight, endpoint)
+        is_prefilling = in_flight.first_token_at is None
+        if in_flight.host == endpoint:
             running += 1
-            writers += not reading
-            context += 0 if reading else work.prompt_tokens
-            if work.longest_pause is not None:
-                pause_ms = work.longest_pause.total_seconds() * 1e3
-                paces.append(PauseLimit(pause_ms, work.prompt_tokens))
-        if reading:
-            helping += work.host != endpoint
-            mine = [part.prefill_ms for part in work.parts if part.endpoint == endpoint]
-            reads.append((work.started_at.total_seconds() * 1e3, sum(mine)))
-    left_ms = plainly_left(reads, now.total_seconds() * 1e3)
+            decoding += not is_prefilling
+            context_tokens += 0 if is_prefilling else in_flight.prompt_tokens
+            if in_flight.longest_pause is not None:
+                pause_ms = in_flight.longest_pause.total_seconds() * 1e3
+                pause_limits.append(PauseLimit(pause_ms, in_flight.prompt_tokens))
+        if is_prefilling:
+            helping += in_flight.host != endpoint
+            own_prefill_ms = [
+                part.prefill_ms for part in in_flight.parts if part.endpoint == endpoint
+            ]
+            prefills.append(
+                (in_flight.started_at.total_seconds() * 1e3, sum(own_prefill_ms))
+            )
+    left_ms = plain_backlog_ms(prefills, now.total_seconds() * 1e3)
     return EngineLoad(
-        running, writers, helping, left_ms, promised, context, tuple(paces)
+        running,
+        decoding,
+        helping,
+        left_ms,
+        committed_tokens,
+        context_tokens,
+        tuple(pause_limits),
     )
 
 
-def plainly_held(work: InFlightRequest, endpoint: EndpointId) -> int:
-    """Return the tokens of a work that an engine holds."""
-    if not work.held:
-        return work.prompt_tokens + work.answer_tokens if work.host == endpoint else 0
-    return sum(held.tokens for held in work.held if held.endpoint == endpoint)
+def plain_held_tokens(in_flight: InFlightRequest, endpoint: EndpointId) -> int:
+    """Return the tokens of a request that an engine holds."""
+    if not in_flight.held:
+        return (
+            in_flight.prompt_tokens + in_flight.answer_tokens
+            if in_flight.host == endpoint
+            else 0
+        )
+    return sum(held.tokens for held in in_flight.held if held.endpoint == endpoint)
 
 
-def plainly_left(reads: list[tuple[float, float]], now_ms: float) -> float:
-    """Return the milliseconds left of reads that are done one after the other."""
+def plain_backlog_ms(prefills: list[tuple[float, float]], now_ms: float) -> float:
+    """Return the milliseconds left of prefills that run one after the other."""
     free_at = -inf
-    for start_ms, length_ms in sorted(reads):
+    for start_ms, length_ms in sorted(prefills):
         free_at = max(free_at, start_ms) + length_ms
     return max(0.0, free_at - now_ms)
 
 
 def plain_states(
     usable: Sequence[EngineView],
-    book: LoadTracker,
+    tracker: LoadTracker,
     figures: EngineFigures,
     now: timedelta,
 ) -> list[PlainState]:
@@ -127,9 +141,9 @@
     ordered = sorted(usable, key=lambda view: crc32(view.endpoint.encode()))
     states = []
     for index, view in enumerate(ordered):
-        works = book.by_engine.get(view.endpoint, {})
-        load = plain_load(view.endpoint, works.values(), now)
-        pace = max(1.0, view.slowdown) * (COLD_SLOWDOWN if view.cold else 1.0)
+        requests = tracker.by_engine.get(view.endpoint, {})
+        load = plain_load(view.endpoint, requests.values(), now)
+        slowdown = max(1.0, view.slowdown) * (COLD_SLOWDOWN if view.cold else 1.0)
         step = figures.step_ms
         if load.running:
             step += figures.per_sequence_ms * load.running
@@ -137,51 +151,51 @@
             step *= max(1, figures.stride)
         order = index / len(ordered)
         penalty = SUSPECT_COST if view.suspect else 0.0
-        states.append(PlainState(view, load, pace, step * pace, order, penalty))
+        states.append(PlainState(view, load, slowdown, step * slowdown, order, penalty))
     return states
 
 
-def plain_worth(prompt_tokens: int) -> float:
-    """Return what an answer that is on time is worth."""
+def plain_value(prompt_tokens: int) -> float:
+    """Return the value of an answer that is on time."""
     return 1.0 + prompt_tokens / TOKENS_PER_REQUEST_VALUE
 
 
-def plain_risk(value_ms: float, limit_ms: float, slack_ms: float) -> float:
-    """Return the chance that a limit is broken."""
+def plain_miss_probability(value_ms: float, limit_ms: float, slack_ms: float) -> float:
+    """Return the probability that a limit is exceeded."""
     if slack_ms <= 0.0:
         return 1.0 if value_ms > limit_ms else 0.0
     return min(1.0, max(0.0, (value_ms - limit_ms + slack_ms) / slack_ms))
 
 
-def plain_harm(state: PlainState, read_ms: float) -> float:
-    """Return what a part costs the engine's own requests."""
+def plain_interference_cost(state: PlainState, prefill_ms: float) -> float:
+    """Return the added expected loss of the engine's own requests from a part."""
     before = state.pass_ms + state.load.prefill_backlog_ms
-    after = before + read_ms * state.pace
+    after = before + prefill_ms * state.slowdown
     losses = []
-    for pace in state.load.pause_limits:
-        more = plain_risk(after, pace.pause_ms, PAUSE_SLACK_MS)
-        more -= plain_risk(before, pace.pause_ms, PAUSE_SLACK_MS)
-        losses.append(more * LATE_LOSS * plain_worth(pace.prompt_tokens))
+    for limit in state.load.pause_limits:
+        more = plain_miss_probability(after, limit.pause_ms, PAUSE_SLACK_MS)
+        more -= plain_miss_probability(before, limit.pause_ms, PAUSE_SLACK_MS)
+        losses.append(more * LATE_LOSS * plain_value(limit.prompt_tokens))
     return sum(losses)
 
 
-def plain_opening(ask: PlacementRequest, state: PlainState) -> float:
-    """Return the cost of shortening the pause that an engine's requests bear."""
-    if ask.longest_pause is None:
+def plain_pause_cost(request: PlacementRequest, state: PlainState) -> float:
+    """Return the cost of shortening the longest pause of an engine's requests."""
+    if request.longest_pause is None:
         return 0.0
-    own = ask.longest_pause.total_seconds() * 1e3
-    borne = min(
-        (pace.pause_ms for pace in state.load.pause_limits),
+    own = request.longest_pause.total_seconds() * 1e3
+    tolerated = min(
+        (limit.pause_ms for limit in state.load.pause_limits),
         default=IDLE_ENGINE_PAUSE_MS,
     )
-    return PAUSE_LOSS_COST_PER_S * max(0.0, borne - own) / 1e3
+    return PAUSE_LOSS_COST_PER_S * max(0.0, tolerated - own) / 1e3
 
 
 @dataclass(frozen=True)
 class PlainSearch:
     """One request and the engines that it may use."""
 
-    ask: PlacementRequest
+    request: PlacementRequest
     states: Sequence[PlainState]
     figures: EngineFigures
     noise: Sequence[float]
@@ -189,96 +203,101 @@
     @property
     def total(self) -> int:
         """Tokens that the request holds at its end."""
-        return self.ask.prompt_tokens + self.ask.answer_tokens
+        return self.request.prompt_tokens + self.request.answer_tokens
 
     @property
-    def split(self) -> bool:
+    def is_split(self) -> bool:
         """Whether it is larger than one engine's memory."""
         return self.total > int(self.figures.memory_tokens * USABLE_MEMORY_SHARE)
 
     def free(self, state: PlainState) -> int:
-        """Return the tokens of an engine's memory that are promised to nobody."""
+        """Return the tokens of an engine's memory that aren't committed."""
         given_out = int(self.figures.memory_tokens * USABLE_MEMORY_SHARE)
         return given_out - state.load.committed_tokens
 
     def own_loss(self, done_ms: float) -> float:
-        """Return what the request loses by a time until its first token."""
-        objective_ms = self.ask.objective.total_seconds() * 1e3
-        worth = plain_worth(self.ask.prompt_tokens)
+        """Return the request's own loss for a given time to its first token."""
+        objective_ms = self.request.objective.total_seconds() * 1e3
+        value = plain_value(self.request.prompt_tokens)
         slack_ms = FIRST_EVENT_SLACK * max(0.0, objective_ms)
-        late = plain_risk(done_ms, objective_ms, slack_ms) * LATE_LOSS * worth
-        return late + DELAY_COST_PER_MS * done_ms * worth
+        late = (
+            plain_miss_probability(done_ms, objective_ms, slack_ms) * LATE_LOSS * value
+        )
+        return late + DELAY_COST_PER_MS * done_ms * value
 
-    def seats(self, size: int) -> list[PlainSeat]:
+    def candidates(self, size: int) -> list[PlainCandidate]:
         """Return each engine with one of `size` even parts."""
-        prompt = self.ask.prompt_tokens
-        read_ms = self.figures.prefill_ms(-(-prompt // size), prompt)
-        small = self.figures.prefill_ms(prompt, prompt) < SHORT_PREFILL_MS
-        seats = []
+        prompt = self.request.prompt_tokens
+        prefill_ms = self.figures.prefill_ms(-(-prompt // size), prompt)
+        is_short = self.figures.prefill_ms(prompt, prompt) < SHORT_PREFILL_MS
+        candidates = []
         for state, extra in zip(self.states, self.noise, strict=True):
             done_ms = 1.5 * state.pass_ms + state.load.prefill_backlog_ms
-            done_ms += read_ms * state.pace
-            cost = plain_harm(state, read_ms) + extra + state.penalty
-            cost += ORDER_COST * (state.order if small else 1.0 - state.order)
+            done_ms += prefill_ms * state.slowdown
+            cost = plain_interference_cost(state, prefill_ms) + extra + state.penalty
+            cost += ORDER_COST * (state.order if is_short else 1.0 - state.order)
             rank = cost + self.own_loss(done_ms)
-            seats.append(PlainSeat(state, done_ms, cost, rank))
-        return seats
+            candidates.append(PlainCandidate(state, done_ms, cost, rank))
+        return candidates
 
-    def host(self, seats: Sequence[PlainSeat]) -> PlainSeat | None:
+    def host(self, candidates: Sequence[PlainCandidate]) -> PlainCandidate | None:
         """Return the cheapest engine with a free slot and memory, or None."""
-        needed = 0 if self.split else self.total
+        needed = 0 if self.is_split else self.total
         fitting = [
-            seat
-            for seat in seats
-            if seat.state.load.running < seat.state.view.slots
-            and self.free(seat.state) >= needed
+            candidate
+            for candidate in candidates
+            if candidate.state.load.running < candidate.state.view.slots
+            and self.free(candidate.state) >= needed
         ]
 
-        def price(seat: PlainSeat) -> float:
-            return seat.rank + plain_opening(self.ask, seat.state)
+        def price(candidate: PlainCandidate) -> float:
+            return candidate.rank + plain_pause_cost(self.request, candidate.state)
 
         return min(fitting, key=price, default=None)
 
     def plan(self, size: int) -> PlainPlan | None:
-        """Return the cheapest plan with some number of engines, or None."""
-        seats = self.seats(size)
-        host = self.host(seats)
+        """Return the cheapest plan for a given number of engines, or None."""
+        candidates = self.candidates(size)
+        host = self.host(candidates)
         if host is None:
             return None
-        able = [
-            seat
-            for seat in seats
-            if seat is not host and seat.state.load.helping < seat.state.view.slots
+        helper_candidates = [
+            candidate
+            for candidate in candidates
+            if candidate is not host
+            and candidate.state.load.helping < candidate.state.view.slots
+        ]
+        helpers = sorted(helper_candidates, key=lambda candidate: candidate.rank)[
+            : size - 1
         ]
-        helpers = sorted(able, key=lambda seat: seat.rank)[: size - 1]
         gang = [host, *helpers]
         if len(gang) < size or not self.fits(gang):
             return None
-        done_ms = max(seat.done_ms for seat in gang)
-        cost = self.own_loss(done_ms) + plain_opening(self.ask, host.state)
-        cost += sum(seat.cost for seat in gang) + HELPER_COST * len(helpers)
-        names = tuple(seat.state.view.endpoint for seat in helpers)
+        done_ms = max(candidate.done_ms for candidate in gang)
+        cost = self.own_loss(done_ms) + plain_pause_cost(self.request, host.state)
+        cost += sum(candidate.cost for candidate in gang) + HELPER_COST * len(helpers)
+        names = tuple(candidate.state.view.endpoint for candidate in helpers)
         return PlainPlan(host.state.view.endpoint, names, done_ms, cost)
 
-    def fits(self, gang: Sequence[PlainSeat]) -> bool:
-        """Return whether a prompt larger than one engine's memory fits into all."""
-        free = sum(max(0, self.free(seat.state)) for seat in gang)
-        return not self.split or free >= self.total
+    def fits(self, gang: Sequence[PlainCandidate]) -> bool:
+        """Return whether a prompt larger than one engine's memory fits into a gang."""
+        free = sum(max(0, self.free(candidate.state)) for candidate in gang)
+        return not self.is_split or free >= self.total
 
 
 def plain_plan(
-    ask: PlacementRequest,
+    request: PlacementRequest,
     engines: Sequence[EngineView],
-    book: LoadTracker,
+    tracker: LoadTracker,
     figures: EngineFigures,
     now: timedelta,
     random: Random,
 ) -> PlainPlan | None:
-    """Return the plan that costs least, or None if no engine has room."""
-    states = plain_states(preferred(ask, engines), book, figures, now)
+    """Return the cheapest plan, or None if no engine has room."""
+    states = plain_states(preferred(request, engines), tracker, figures, now)
     noise = [random.random() * NOISE_COST for _ in states]
-    search = PlainSearch(ask, states, figures, noise)
-    most = MAX_GANG_WITH_RESERVATIONS if search.split else GANG_SIZES[-1]
-    sizes = sorted({min(size, len(states), most) for size in GANG_SIZES})
+    search = PlainSearch(request, states, figures, noise)
+    max_size = MAX_GANG_WITH_RESERVATIONS if search.is_split else GANG_SIZES[-1]
+    sizes = sorted({min(size, len(states), max_size) for size in GANG_SIZES})
     plans = [plan for size in sizes if (plan := search.plan(size)) is not None]
     return min(plans, key=lambda plan: plan.cost, default=None)
--- a/tests/support/recovery_engine.py
+++ b/tests/support/recovery_engine.py
@@ -1,4 +1,7 @@
-"""An engine in virtual time that runs streams, holds memory and takes orders."""
+"""A simulated engine that runs streams, holds memory and takes orders.
+
+Its time is virtual.
+"""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -20,14 +23,14 @@
 
 from .kernels import MODEL, ZONE
 
-PREFILL = timedelta(milliseconds=500)
-RUN = timedelta(seconds=6)
+PREFILL_TIME = timedelta(milliseconds=500)
+RUN_TIME = timedelta(seconds=6)
 LOAD_TIME = timedelta(seconds=8)
 
 
 @dataclass(slots=True)
 class Stream:
-    """A run, which goes on whoever reads it."""
+    """A stream, which runs on whether or not it is read."""
 
     dispatch: Dispatch
     owner: InstanceId
@@ -36,7 +39,7 @@
     started_at: timedelta
 
     def holding(self, now: timedelta) -> dict[str, Any]:
-        """Return the stream as the engine lists its holdings."""
+        """Return the stream as an entry of the engine's holdings."""
         return {
             "kind": "stream",
             "id": self.dispatch.stream_id,
@@ -48,18 +51,18 @@
 
 @dataclass(slots=True)
 class WorldEngine:
-    """Runs, holds and obeys as docs/PLATFORM.md says.
+    """Simulated engine with the API of docs/PLATFORM.md.
 
     Attributes
     ----------
     models : dict of str to timedelta
-        Version by the instant from which it answers.
+        Time from which each version is ready.
     freed : list of Stream
-        What others than the engine itself and the caller's instance have freed.
-    noticed : list of set
-        By crash, the bodies in progress whose instance was awake.
+        Streams that others than the engine or their owner have freed.
+    observed_crashes : list of set
+        For each crash, the bodies in progress whose instance observed it.
     late_orders : int
-        Orders taken with an older fencing number than one before.
+        Accepted orders with an older fencing number than an earlier one.
     """
 
     name: str
@@ -74,12 +77,12 @@
     streams: dict[str, Stream] = field(default_factory=dict)
     started: set[str] = field(default_factory=set)
     freed: list[Stream] = field(default_factory=list)
-    noticed: list[set[Digest]] = field(default_factory=list)
+    observed_crashes: list[set[Digest]] = field(default_factory=list)
     loads: list[timedelta] = field(default_factory=list)
 
     @property
     def entry(self) -> EndpointEntry:
-        """The engine as the platform lists it, which knows its first life only."""
+        """The entry in the platform's list, which shows the first incarnation only."""
         return EndpointEntry(
             EndpointId(self.name),
             EndpointKind.MODEL_ENGINE,
@@ -94,7 +97,7 @@
         return now >= self.up_at and now >= self.cut_until
 
     def ready_versions(self, now: timedelta) -> set[str]:
-        """Return the versions that answer requests."""
+        """Return the versions that are ready."""
         return {version for version, at in self.models.items() if at <= now}
 
     def report(self) -> LoadReport:
@@ -117,7 +120,7 @@
         )
 
     def crash(self, now: timedelta, down: timedelta) -> list[Stream]:
-        """End this life; return the streams that are lost."""
+        """Crash and start a new incarnation; return the streams that are lost."""
         lost = list(self.streams.values())
         self.streams.clear()
         self.incarnation += 1
@@ -126,7 +129,7 @@
         return lost
 
     def call(self, method: str, path: str, body: Any, now: timedelta) -> Answer:
-        """Take a short call."""
+        """Handle a short call."""
         if path == "/v1/orders":
             return self._order(msgspec.to_builtins(body), now)
         if path == "/v1/state":
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -1,4 +1,4 @@
-"""Instances, engines, a store and gossip in virtual time, all of which can fail."""
+"""Simulated instances, engines, store and gossip in virtual time, with faults."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -53,10 +53,10 @@
 
 from .fake_table import FakeTable
 from .kernels import MODEL, ZONE, configuration
-from .recovery_engine import PREFILL, RUN, Stream, WorldEngine
+from .recovery_engine import PREFILL_TIME, RUN_TIME, Stream, WorldEngine
 
 STEP = timedelta(milliseconds=250)
-DOWN = timedelta(seconds=2)
+RESTART_TIME = timedelta(seconds=2)
 LOAD_INTERVAL = timedelta(seconds=20)
 GOSSIP_STEPS = 2
 PLUGINS = (
@@ -73,7 +73,7 @@
 
 
 class Node:
-    """One life of an entry instance."""
+    """One incarnation of an entry instance."""
 
     def __init__(self, world: "World", name: str, incarnation: int) -> None:
         self.world = world
@@ -87,49 +87,49 @@
         keepers = [
             LeaseKeeper(self.identity, duty, world.table, clock, seed) for duty in Duty
         ]
-        self.leases = LeaseTask(keepers, clock, self.view, self.tell)
+        self.leases = LeaseTask(keepers, clock, self.view, self.deliver)
         self.budget = WeightBudget(
             self.identity.instance, world.table, clock, seed, LOAD_INTERVAL
         )
         sender = OrderSender(self, clock, self.view)
-        self.orders = OrderTask(sender, self.budget, clock, self.tell)
-        self.cleaning = CleaningTask(self, self.tell)
-        self.suspicions = SuspicionTask(world.table, clock, seed, self.tell)
-        self.is_asleep = False
+        self.orders = OrderTask(sender, self.budget, clock, self.deliver)
+        self.cleaning = CleaningTask(self, self.deliver)
+        self.suspicions = SuspicionTask(world.table, clock, seed, self.deliver)
+        self.is_frozen = False
         self.is_dead = False
-        self.inbox: deque[Message] = deque()
+        self.pending: deque[Message] = deque()
         self.timers: list[WakeAt] = []
 
-    def tell(self, message: Message) -> None:
-        """Hand the kernel a message, now or when the process wakes up."""
+    def deliver(self, message: Message) -> None:
+        """Send the kernel a message, now or when the process resumes."""
         if self.is_dead:
             return
-        if self.is_asleep:
-            self.inbox.append(message)
+        if self.is_frozen:
+            self.pending.append(message)
             return
         for effect in self.kernel.handle(message):
             self._carry_out(effect)
 
-    def wake(self) -> None:
-        """Go on after a freeze, with all that has come meanwhile."""
-        self.is_asleep = False
-        while self.inbox:
-            self.tell(self.inbox.popleft())
+    def resume(self) -> None:
+        """Resume after a freeze, with all messages that have arrived meanwhile."""
+        self.is_frozen = False
+        while self.pending:
+            self.deliver(self.pending.popleft())
 
     def step(self) -> None:
-        """Do what is due."""
+        """Run what is due."""
         now = self.world.clock.monotonic()
         due = [timer for timer in self.timers if timer.at <= now]
         self.timers = [timer for timer in self.timers if timer.at > now]
         for timer in due:
-            self.tell(timer.message)
+            self.deliver(timer.message)
         self.leases.idle()
-        self.tell(Tick())
+        self.deliver(Tick())
         self.orders.idle()
         self.suspicions.idle()
 
     def holds(self, duty: Duty) -> bool:
-        """Return whether it may act under a lease now."""
+        """Return whether it holds a valid lease now."""
         lease = self.view.current(duty)
         return lease is not None and lease.covers(self.world.clock.monotonic())
 
@@ -142,11 +142,11 @@
         headers: dict[str, str] | None = None,
         timeout: timedelta | None = None,
     ) -> Answer:
-        """Call an engine; fills the ports of the order and the cleaning tasks."""
+        """Call an engine, as the HTTP port of the order and the cleaning tasks."""
         now = self.world.clock.monotonic()
         engine = self.world.engines[address]
         if path == "/v1/orders" and not self.holds(Duty.ORDERS):
-            self.world.unheld_orders += 1
+            self.world.orders_without_lease += 1
         if not engine.answers(now):
             raise NeverSentError("it can't be reached")
         return engine.call(method, path, body, now)
@@ -161,7 +161,7 @@
         elif isinstance(effect, StoreSuspicion | DropSuspicion):
             self.suspicions.receive(effect)
         elif isinstance(effect, Publish):
-            self.world.spread(self, effect)
+            self.world.publish(self, effect)
         elif isinstance(effect, Dispatch):
             self.world.dispatch(self, effect)
         elif isinstance(effect, CancelAttempt):
@@ -171,8 +171,8 @@
 
 
 @dataclass(slots=True)
-class Rumour:
-    """A word on its way to one instance."""
+class InTransitMessage:
+    """A message on its way to one instance."""
 
     steps_left: int
     node: Node
@@ -181,19 +181,19 @@
 
 @dataclass
 class World:
-    """All that there is, stepped by hand.
+    """Simulation of instances, engines, the store and the platform, stepped by hand.
 
     Attributes
     ----------
-    poison : set of Digest
+    crashing_bodies : set of Digest
         Bodies that crash an engine at the end of their prefill.
-    retired : list of Node
-        Lives that have ended.
-    is_silent, was_silent : bool
-        Nobody hears of anybody; so it was some time.
-    poison_width : int
-        Most engines that ran a poisoned body at one time.
-    unheld_orders : int
+    replaced_nodes : list of Node
+        Incarnations that have ended.
+    is_partitioned, was_partitioned : bool
+        Whether instances are, or ever were, partitioned from each other.
+    max_crashing_engines : int
+        Most engines that ran a crashing body at one time.
+    orders_without_lease : int
         Orders that were sent without a valid lease.
     """
 
@@ -201,33 +201,35 @@
     engine_count: int = 4
     clock: ManualClock = field(default_factory=ManualClock)
     table: FakeTable = field(default_factory=FakeTable)
-    poison: set[Digest] = field(default_factory=set)
+    crashing_bodies: set[Digest] = field(default_factory=set)
     requests: dict[RequestId, Request] = field(default_factory=dict)
-    homes: dict[RequestId, Node] = field(default_factory=dict)
+    home_nodes: dict[RequestId, Node] = field(default_factory=dict)
     conclusions: dict[RequestId, Conclude] = field(default_factory=dict)
     concluded_at: dict[RequestId, timedelta] = field(default_factory=dict)
-    rumours: list[Rumour] = field(default_factory=list)
-    words: dict[tuple[InstanceId, int, str], Message] = field(default_factory=dict)
-    retired: list[Node] = field(default_factory=list)
-    is_silent: bool = False
-    was_silent: bool = False
-    poison_width: int = 0
-    unheld_orders: int = 0
+    in_transit: list[InTransitMessage] = field(default_factory=list)
+    latest_messages: dict[tuple[InstanceId, int, str], Message] = field(
+        default_factory=dict
+    )
+    replaced_nodes: list[Node] = field(default_factory=list)
+    is_partitioned: bool = False
+    was_partitioned: bool = False
+    max_crashing_engines: int = 0
+    orders_without_lease: int = 0
     revision: int = 0
-    wanted: str = "1"
+    model_version: str = "1"
 
     def __post_init__(self) -> None:
         modes = list(FencingMode)
-        made = [
+        engines = [
             WorldEngine(f"e{number}", modes[number % len(modes)])
             for number in range(self.engine_count)
         ]
-        self.engines = {engine.name: engine for engine in made}
-        for engine in made:
-            engine.models[self.wanted] = timedelta(0)
+        self.engines = {engine.name: engine for engine in engines}
+        for engine in engines:
+            engine.models[self.model_version] = timedelta(0)
         self.nodes = {name: Node(self, name, 1) for name in self.names}
-        self.want(self.wanted)
-        self.list_all()
+        self.set_model_version(self.model_version)
+        self.publish_instance_list()
 
     @property
     def now(self) -> timedelta:
@@ -240,20 +242,20 @@
             self.clock.advance(STEP)
             self._run_engines()
             self._probe()
-            self._pass_rumours()
+            self._deliver_messages()
             for node in list(self.nodes.values()):
-                if not node.is_asleep:
+                if not node.is_frozen:
                     node.step()
 
-    def want(self, version: str) -> None:
-        """Have a configuration with a model version accepted everywhere."""
+    def set_model_version(self, version: str) -> None:
+        """Apply a configuration with a model version everywhere."""
         self.revision += 1
-        self.wanted = version
+        self.model_version = version
         for node in self.nodes.values():
-            node.tell(ConfigurationReceived(self._configuration()))
+            node.deliver(ConfigurationReceived(self._configuration()))
 
-    def list_all(self) -> None:
-        """Have everybody read the platform's list."""
+    def publish_instance_list(self) -> None:
+        """Have all instances read the platform's list."""
         engines = tuple(engine.entry for engine in self.engines.values())
         instances = tuple(
             EntryInstance(
@@ -267,30 +269,32 @@
             for node in self.nodes.values()
         )
         for node in self.nodes.values():
-            node.tell(InstancesListed(engines, instances))
+            node.deliver(InstancesListed(engines, instances))
 
     def replace(self, name: str) -> None:
-        """Kill an instance and start it again under its name."""
+        """Kill an instance and start it again under its id."""
         old = self.nodes[name]
         old.is_dead = True
-        self.retired.append(old)
-        fresh = Node(self, name, old.identity.incarnation + 1)
-        self.nodes[name] = fresh
-        fresh.tell(ConfigurationReceived(self._configuration()))
-        self.list_all()
-        self._catch_up(fresh)
+        self.replaced_nodes.append(old)
+        new_node = Node(self, name, old.identity.incarnation + 1)
+        self.nodes[name] = new_node
+        new_node.deliver(ConfigurationReceived(self._configuration()))
+        self.publish_instance_list()
+        self._catch_up(new_node)
 
     def submit(self, name: str, request: Request) -> None:
-        """Have a caller send a request to an instance."""
+        """Have a client send a request to an instance."""
         self.requests[request.request_id] = request
-        self.homes[request.request_id] = self.nodes[name]
-        self.nodes[name].tell(Submit(request))
+        self.home_nodes[request.request_id] = self.nodes[name]
+        self.nodes[name].deliver(Submit(request))
 
     def crash(self, name: str) -> None:
-        """End an engine's life."""
+        """Crash an engine."""
         engine = self.engines[name]
-        lost = engine.crash(self.now, DOWN)
-        engine.noticed.append({each.body for each in lost if self._is_read(each)})
+        lost = engine.crash(self.now, RESTART_TIME)
+        engine.observed_crashes.append(
+            {each.body for each in lost if self._is_observed(each)}
+        )
         for stream in lost:
             self._fail(stream, FailureKind.BROKEN, Exposure.POSSIBLE)
 
@@ -302,7 +306,7 @@
             self._fail(stream, FailureKind.BROKEN, Exposure.POSSIBLE)
 
     def dispatch(self, node: Node, dispatch: Dispatch) -> None:
-        """Take an attempt to its engine."""
+        """Send an attempt to its engine."""
         engine = self.engines[dispatch.endpoint]
         stream = Stream(
             dispatch,
@@ -316,21 +320,21 @@
         elif not dispatch.attach:
             engine.started.add(dispatch.request_id)
             engine.streams[dispatch.stream_id] = stream
-            self._measure_width()
+            self._count_crashing_engines()
         elif dispatch.stream_id in engine.streams:
             engine.streams[dispatch.stream_id].dispatch = dispatch
         else:
             self._fail(stream, FailureKind.REFUSED, Exposure.REFUSED)
 
     def conclude(self, conclusion: Conclude) -> None:
-        """Keep a request's final answer, of which there is one."""
+        """Store a request's final answer, of which there is one."""
         assert conclusion.request_id not in self.conclusions
         self.conclusions[conclusion.request_id] = conclusion
         self.concluded_at[conclusion.request_id] = self.now
 
-    def spread(self, writer: Node, published: Publish) -> None:
-        """Send a word to all other instances."""
-        if self.is_silent or writer.is_dead:
+    def publish(self, writer: Node, published: Publish) -> None:
+        """Send a published value to all other instances."""
+        if self.is_partitioned or writer.is_dead:
             return
         kind = kind_of(published.value)
         value = kind.decode(kind.encode(published.value))
@@ -338,46 +342,54 @@
         age = GOSSIP_STEPS * STEP
         origin = Origin(own.instance, own.incarnation, own.availability_zone, age)
         message = kind.message(published.key, value, origin)
-        self.words[own.instance, kind.number, published.key] = message
+        self.latest_messages[own.instance, kind.number, published.key] = message
         for node in self.nodes.values():
             if node is not writer:
-                self.rumours.append(Rumour(GOSSIP_STEPS, node, message))
+                self.in_transit.append(InTransitMessage(GOSSIP_STEPS, node, message))
 
-    def _is_read(self, stream: Stream) -> bool:
-        """Return whether somebody notices when a stream is lost."""
-        home = self.homes[stream.dispatch.request_id]
-        return not home.is_dead and not home.is_asleep
+    def _is_observed(self, stream: Stream) -> bool:
+        """Return whether a running instance observes the loss of a stream."""
+        node = self.home_nodes[stream.dispatch.request_id]
+        return not node.is_dead and not node.is_frozen
 
-    def _measure_width(self) -> None:
+    def _count_crashing_engines(self) -> None:
         running = [
             engine
             for engine in self.engines.values()
-            if any(stream.body in self.poison for stream in engine.streams.values())
+            if any(
+                stream.body in self.crashing_bodies
+                for stream in engine.streams.values()
+            )
         ]
-        self.poison_width = max(self.poison_width, len(running))
-
-    def _catch_up(self, fresh: Node) -> None:
-        """Tell a new life what peers' feeds hold; its own former one is gone."""
-        own = fresh.identity.instance
-        self.words = {key: each for key, each in self.words.items() if key[0] != own}
-        if self.is_silent:
+        self.max_crashing_engines = max(self.max_crashing_engines, len(running))
+
+    def _catch_up(self, new_node: Node) -> None:
+        """Send a new incarnation the values of its peers, but not its own."""
+        own = new_node.identity.instance
+        self.latest_messages = {
+            key: each for key, each in self.latest_messages.items() if key[0] != own
+        }
+        if self.is_partitioned:
             return
-        for message in self.words.values():
-            self.rumours.append(Rumour(GOSSIP_STEPS, fresh, message))
+        for message in self.latest_messages.values():
+            self.in_transit.append(InTransitMessage(GOSSIP_STEPS, new_node, message))
 
-    def _pass_rumours(self) -> None:
-        for rumour in self.rumours:
-            rumour.steps_left -= 1
-        arrived = [each for each in self.rumours if each.steps_left <= 0]
-        self.rumours = [each for each in self.rumours if each.steps_left > 0]
-        for rumour in arrived:
-            rumour.node.tell(rumour.message)
+    def _deliver_messages(self) -> None:
+        for message_in_transit in self.in_transit:
+            message_in_transit.steps_left -= 1
+        arrived = [each for each in self.in_transit if each.steps_left <= 0]
+        self.in_transit = [each for each in self.in_transit if each.steps_left > 0]
+        for message_in_transit in arrived:
+            message_in_transit.node.deliver(message_in_transit.message)
 
     def _configuration(self) -> Configuration:
         plain = configuration(revision=self.revision)
-        model = ModelPolicy(MODEL, self.wanted, 1_100_000, 8_192)
+        model = ModelPolicy(MODEL, self.model_version, 1_100_000, 8_192)
         return Configuration(
-            plain.revision, Digest(self.wanted), plain.fleet, models={MODEL: model}
+            plain.revision,
+            Digest(self.model_version),
+            plain.fleet,
+            models={MODEL: model},
         )
 
     def _probe(self) -> None:
@@ -386,8 +398,8 @@
             if engine.answers(self.now):
                 message = LoadReported(engine.report())
             for node in self.nodes.values():
-                if not node.is_asleep:
-                    node.tell(message)
+                if not node.is_frozen:
+                    node.deliver(message)
 
     def _run_engines(self) -> None:
         for engine in self.engines.values():
@@ -397,23 +409,25 @@
 
     def _run_stream(self, engine: WorldEngine, stream: Stream) -> None:
         dispatch = stream.dispatch
-        spent = self.now - stream.started_at
+        elapsed = self.now - stream.started_at
         if dispatch.deadline <= self.now:
             del engine.streams[dispatch.stream_id]
-        elif spent >= PREFILL and stream.body in self.poison:
+        elif elapsed >= PREFILL_TIME and stream.body in self.crashing_bodies:
             self.crash(engine.name)
-        elif spent >= RUN and engine.answers(self.now):
+        elif elapsed >= RUN_TIME and engine.answers(self.now):
             del engine.streams[dispatch.stream_id]
-            self._tell_owner(
+            self._deliver_to_owner(
                 stream, AttemptFinished(dispatch.request_id, dispatch.attempt)
             )
-        elif PREFILL <= spent < PREFILL + STEP:
-            self._tell_owner(stream, FirstToken(dispatch.request_id, dispatch.attempt))
+        elif PREFILL_TIME <= elapsed < PREFILL_TIME + STEP:
+            self._deliver_to_owner(
+                stream, FirstToken(dispatch.request_id, dispatch.attempt)
+            )
 
     def _fail(self, stream: Stream, kind: FailureKind, exposure: Exposure) -> None:
         dispatch = stream.dispatch
         failed = AttemptFailed(dispatch.request_id, dispatch.attempt, kind, exposure)
-        self._tell_owner(stream, failed)
+        self._deliver_to_owner(stream, failed)
 
-    def _tell_owner(self, stream: Stream, message: Message) -> None:
-        self.homes[stream.dispatch.request_id].tell(message)
+    def _deliver_to_owner(self, stream: Stream, message: Message) -> None:
+        self.home_nodes[stream.dispatch.request_id].deliver(message)
--- a/tests/support/reserving_engines.py
+++ b/tests/support/reserving_engines.py
@@ -1,4 +1,4 @@
-"""Model engines that keep reservations, under a gateway's kernel."""
+"""Simulated model engines with memory reservations, and a gateway's kernel."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class HeldMemory:
-    """Memory that a model engine has set aside."""
+    """Memory that a model engine has reserved."""
 
     tokens: int
     until: timedelta
@@ -71,14 +71,14 @@
 
 @dataclass(slots=True)
 class FakeModelEngine:
-    """An engine's memory: it reserves, renews, releases and lets run out.
+    """Memory of an engine, with reservations that are renewed, freed and expire.
 
     Attributes
     ----------
     taken : int
         Tokens that others hold.
     silent : bool
-        Its orders get no answer and are not carried out.
+        Orders to it are lost.
     """
 
     name: str
@@ -89,18 +89,18 @@
 
     @property
     def free(self) -> int:
-        """Tokens that nobody holds."""
+        """Tokens that aren't held."""
         return MEMORY - self.taken - sum(t.tokens for t in self.reservations.values())
 
     def reserve(
         self, order: ReserveMemory, now: timedelta, late: timedelta = timedelta(0)
     ) -> GangStepFailure | None:
-        """Set memory aside, or renew what is.
+        """Reserve memory, or renew a reservation.
 
         Parameters
         ----------
         late : timedelta
-            Since the order arrived, from which its time counts.
+            Time since the order arrived, from which its time to live counts.
         """
         self.seen.add(order.reservation)
         until = now - late + order.time_to_live
@@ -115,26 +115,26 @@
         return None
 
     def expire(self, now: timedelta) -> None:
-        """Free what has run out."""
+        """Free expired reservations."""
         held = self.reservations.items()
         self.reservations = {name: each for name, each in held if now < each.until}
 
 
 class ReservingBench(Bench):
-    """A kernel whose orders are carried out by model engines.
+    """A kernel whose orders are carried out by simulated engines.
 
     Attributes
     ----------
-    unanswered : list of ReserveMemory or FreeOwnHolding
-        Orders that silent engines got.
-    order : list of str
-        Engines in the order in which they were asked, renewals too.
+    unanswered_orders : list of ReserveMemory or FreeOwnHolding
+        Orders to silent engines.
+    reserve_order : list of str
+        Engines in the order of their requests, including renewals.
     """
 
     engines: dict[str, FakeModelEngine]
 
     def set_up_engines(self, names: Iterable[str]) -> None:
-        """Set up the engines and tell the kernel of them."""
+        """Create the engines and make them known to the kernel."""
         self.engines = {name: FakeModelEngine(name) for name in names}
         self.unanswered_orders: list[ReserveMemory | FreeOwnHolding] = []
         self.reserve_order: list[str] = []
@@ -180,20 +180,20 @@
         return None
 
     def deliver_delayed_answers(self) -> None:
-        """Deliver the answers that were held back, and those that follow."""
+        """Deliver the delayed answers, and those that follow."""
         waiting, self.delayed_answers = self.delayed_answers or [], None
         for message in waiting:
             self.serve(message)
 
     def lose_orders(self, failure: GangStepFailure = GangStepFailure.LOST) -> None:
-        """Tell the kernel that the open orders of silent engines got no answer."""
+        """Report to the kernel that the open orders of silent engines got no answer."""
         lost = [o for o in self.unanswered_orders if isinstance(o, ReserveMemory)]
         self.unanswered_orders = [o for o in self.unanswered_orders if o not in lost]
         for order in lost:
             self.serve(ReservationFailed(order.request_id, order.reservation, failure))
 
     def run(self, time: timedelta, ticking: bool = True) -> None:
-        """Let time pass in ticks; engines free what runs out.
+        """Let time pass in ticks; engines free what expires.
 
         Parameters
         ----------
@@ -216,9 +216,9 @@
     def held(self) -> dict[str, str]:
         """Return all reservations by id, with the engine that holds them."""
         return {
-            ticket: engine.name
+            reservation: engine.name
             for engine in self.engines.values()
-            for ticket in engine.reservations
+            for reservation in engine.reservations
         }
 
     def last_dispatch(self, request_id: str) -> Dispatch:
@@ -242,7 +242,7 @@
 
 
 def reserving_bench(engines: int = 6, seed: int = 1) -> ReservingBench:
-    """Return a kernel that knows some engines that keep reservations."""
+    """Return a kernel that knows some engines with reservations."""
     clock = ManualClock(start=START)
     identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(seed), create(PLUGINS))
@@ -252,7 +252,7 @@
 
 
 def listed_engine(name: str) -> ListedEndpoint:
-    """Return the entry of an engine in the list of endpoints."""
+    """Return the entry of an engine in the endpoint list."""
     address = address_of(name)
     ready = ListedState.READY
     return ListedEndpoint(EndpointId(name), POOL, address, ZONE, 8, ready)
@@ -264,7 +264,7 @@
 
 
 def table_of_pool() -> RoutingTable:
-    """Return a table with the engines' service."""
+    """Return a routing table with the engines' service."""
     services = {POOL: Service(POOL, "/healthz", 200, FIGURES)}
     return RoutingTable(Revision(1), (), services, ClientLimits(), ())
 
@@ -275,7 +275,7 @@
     prompt: int = HUGE,
     time: timedelta = timedelta(seconds=15),
 ) -> Request:
-    """Return a request whose prompt no engine can hold alone."""
+    """Return a request whose prompt fits into no single engine."""
     terms = CallTerms(
         max_attempts=3,
         objective=timedelta(seconds=3),
--- a/tests/unit/endpoints/test_connector.py
+++ b/tests/unit/endpoints/test_connector.py
@@ -1,4 +1,4 @@
-"""Opening calls: what is told of those that do not go out."""
+"""Tests of opening calls, and of the reported failures of calls that aren't sent."""
 
 import socket
 from collections.abc import Iterator
@@ -40,7 +40,7 @@
 
 @dataclass
 class ConnectorBench:
-    """A connector, and a listener that accepts nothing by itself."""
+    """A connector, and a listener that accepts connections only on request."""
 
     connector: Connector
     listener: socket.socket
@@ -48,7 +48,7 @@
     delivered: SimpleQueue[RelayMessage] = field(default_factory=SimpleQueue)
 
     def open(self, call: Any = CALL, **members: Any) -> None:
-        """Have a call opened."""
+        """Queue a call."""
         values: dict[str, Any] = {
             "request_id": RequestId("r1"),
             "attempt": AttemptNumber(1),
@@ -61,13 +61,13 @@
         }
         self.connector.open(OpenCall(Dispatch(**values), call))
 
-    def told(self) -> RelayMessage:
-        """Return what the relay is told next."""
+    def next_message(self) -> RelayMessage:
+        """Return the next message to the relay."""
         return self.delivered.get(timeout=WAIT_S)
 
-    def failed(self) -> OpenFailed:
-        """Return the failure that the relay is told next."""
-        message = self.told()
+    def next_failure(self) -> OpenFailed:
+        """Return the next message to the relay, which must be a failure."""
+        message = self.next_message()
         assert isinstance(message, OpenFailed), message
         return message
 
@@ -76,14 +76,14 @@
         accepted, _ = self.listener.accept()
         accepted.settimeout(WAIT_S)
         data = b""
-        while not is_whole(data):
+        while not is_complete(data):
             data += accepted.recv(65536)
         accepted.close()
         return data
 
 
-def is_whole(data: bytes) -> bool:
-    """Return whether a request has come whole."""
+def is_complete(data: bytes) -> bool:
+    """Return whether a request has arrived completely."""
     head, found, body = data.partition(b"\r\n\r\n")
     if not found:
         return False
@@ -117,7 +117,7 @@
         listener.close()
 
 
-def test_a_stream_is_started_as_the_protocol_says() -> None:
+def test_a_stream_is_started_by_the_protocol() -> None:
     with connector_bench() as bench:
         bench.open(offset=5, priority=3)
         head, _, body = bench.received().partition(b"\r\n\r\n")
@@ -126,7 +126,7 @@
         assert member["owner"] == {"instance": "i1", "incarnation": 4}
         assert member["prompt"] == "a letter" and member["offset"] == 5
         assert 29_000 < member["deadline_ms"] <= 30_000
-        opened = bench.told()
+        opened = bench.next_message()
         assert isinstance(opened, Opened)
         assert not opened.sock.getblocking()
         opened.sock.close()
@@ -141,7 +141,7 @@
         assert b"a letter" not in request
 
 
-def test_a_plain_service_is_told_the_request_and_the_time_left() -> None:
+def test_a_plain_service_gets_the_request_id_and_the_time_left() -> None:
     call = ServiceCall(
         ServiceId("f"), "POST", "/x%20y?q=1", (("Content-Type", "text/x"),), b"body"
     )
@@ -153,45 +153,46 @@
         assert b"X-Deadline-Ms: " in request and request.endswith(b"body")
 
 
-def test_a_connection_that_was_never_made_is_never_sent() -> None:
+def test_a_refused_connection_is_reported_as_never_sent() -> None:
     with connector_bench() as bench:
         bench.listener.close()
         bench.open()
-        failed = bench.failed()
-        assert failed.kind is FailureKind.UNREACHED
-        assert failed.exposure is Exposure.NEVER_SENT
+        next_failure = bench.next_failure()
+        assert next_failure.kind is FailureKind.UNREACHED
+        assert next_failure.exposure is Exposure.NEVER_SENT
 
 
-def test_a_call_whose_time_is_over_is_never_sent() -> None:
-    """A call waits in its lane until its deadline has passed.
+def test_a_call_past_its_deadline_is_never_sent() -> None:
+    """Guards against running a call after its caller's deadline.
 
-    Sending it then would run a request whose caller has been told that it was not.
+    The call waits in its queue until its deadline has passed; the caller may already
+    have the answer that it was not run.
     """
     with connector_bench() as bench:
         bench.open(deadline=SystemClock().monotonic() - timedelta(milliseconds=1))
-        failed = bench.failed()
-        assert failed.kind is FailureKind.DEADLINE
-        assert failed.exposure is Exposure.NEVER_SENT
+        next_failure = bench.next_failure()
+        assert next_failure.kind is FailureKind.DEADLINE
+        assert next_failure.exposure is Exposure.NEVER_SENT
 
 
-def test_a_long_call_to_an_engine_that_stopped_reading_holds_no_short_one_up() -> None:
-    """An engine freezes while a dossier is on its way to it.
+def test_a_blocked_long_call_does_not_delay_a_short_one() -> None:
+    """Guards against short calls that wait behind a long one to a frozen engine.
 
-    The sending thread blocks. A clerk's short letter to another engine must go out
-    meanwhile, and what is told of the dossier is that it may have arrived.
+    The sending thread blocks. A short call to another engine must be sent meanwhile,
+    and the long one is reported as possibly received.
     """
-    dossier = ModelCall(ModelId("demo"), None, "x" * (32 << 20), 10)
-    assert dossier.size > LONG_CALL_BYTES
+    long_call = ModelCall(ModelId("demo"), None, "x" * (32 << 20), 10)
+    assert long_call.size > LONG_CALL_BYTES
     with connector_bench() as bench:
-        bench.open(dossier)
+        bench.open(long_call)
         bench.open(request_id=RequestId("r2"))
-        first = bench.told()
+        first = bench.next_message()
         assert isinstance(first, Opened)
         assert first.job.dispatch.request_id == "r2"
         first.sock.close()
-        failed = bench.failed()
-        assert failed.kind is FailureKind.BROKEN
-        assert failed.exposure is Exposure.POSSIBLE
+        next_failure = bench.next_failure()
+        assert next_failure.kind is FailureKind.BROKEN
+        assert next_failure.exposure is Exposure.POSSIBLE
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/endpoints/test_reservations.py
+++ b/tests/unit/endpoints/test_reservations.py
@@ -1,4 +1,4 @@
-"""Gangs on engine stand-ins, over HTTP."""
+"""Tests of gangs on engine stand-ins, over HTTP."""
 
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
@@ -52,16 +52,16 @@
     bench: Bench
     callers: dict[str, Caller]
     adapter: ReservationAdapter
-    told: list[Message] = field(default_factory=list)
+    messages: list[Message] = field(default_factory=list)
     dispatch: Dispatch | None = None
     stop_before: type[Effect] | None = None
 
     def call(self) -> ModelCall:
-        """Return the caller's call."""
+        """Return the call of the client."""
         return ModelCall(ModelId("demo"), None, PROMPT, 20)
 
     def serve(self, effects: list[Effect]) -> None:
-        """Carry out effects and tell the kernel what came of them."""
+        """Execute effects and send their results to the kernel."""
         waiting = list(effects)
         while waiting:
             effect = waiting.pop(0)
@@ -75,11 +75,11 @@
                 self.adapter.execute(effect)
             elif isinstance(effect, Dispatch):
                 self.dispatch = effect
-            while self.told:
-                waiting += self.bench.handle(self.told.pop(0))
+            while self.messages:
+                waiting += self.bench.handle(self.messages.pop(0))
 
     def holdings(self) -> dict[str, list[str]]:
-        """Return what each engine holds."""
+        """Return the holdings of each engine."""
         return {
             name: [each["id"] for each in caller.get("/v1/holdings")["holdings"]]
             for name, caller in self.callers.items()
@@ -103,7 +103,7 @@
             bench.report(name, kv_capacity=CAPACITY)
         http = HttpClient(IDENTITY.instance)
         zone = GangZone(bench, callers, None)  # type: ignore[arg-type]
-        zone.adapter = ReservationAdapter(IDENTITY, http, clock, zone.told.append)
+        zone.adapter = ReservationAdapter(IDENTITY, http, clock, zone.messages.append)
         yield zone
 
 
@@ -114,11 +114,11 @@
     zone.serve(zone.bench.submit(long))
 
 
-def test_prompt_in_parts_gets_the_answer_of_the_whole_one() -> None:
-    """A reading of a large dossier answers another question than was asked.
+def test_a_split_prompt_gets_the_answer_of_the_whole_one() -> None:
+    """Guards against an answer to another prompt than was sent.
 
-    Its parts were cut inside a character, or joined in the wrong order. An engine
-    that holds the whole prompt gives the answer to compare with.
+    The parts could be cut inside a character, or joined in the wrong order. An engine
+    that holds the whole prompt gives the expected answer.
     """
     with gang_zone() as zone:
         request(zone)
@@ -148,7 +148,7 @@
         assert not any(zone.holdings().values()), zone.holdings()
 
 
-def test_caller_gone_in_the_middle_leaves_nothing_on_any_engine() -> None:
+def test_a_client_disconnect_leaves_no_holdings() -> None:
     with gang_zone() as zone:
         zone.stop_before = ImportKv
         request(zone)
@@ -158,7 +158,7 @@
         assert not any(zone.holdings().values()), zone.holdings()
 
 
-def test_full_engine_refuses_and_nothing_stays_reserved() -> None:
+def test_a_refused_reservation_frees_the_others() -> None:
     with gang_zone() as zone:
         reservation = {"id": "x", "owner": {"instance": "i2", "incarnation": 1}}
         body = {**reservation, "tokens": CAPACITY - 10, "ttl_s": 60}
@@ -171,7 +171,7 @@
         assert zone.bench.conclusion("r") is None
 
 
-def test_dead_engine_is_told_apart_from_one_that_did_not_answer() -> None:
+def test_an_unreachable_engine_is_distinguished_from_a_lost_answer() -> None:
     with gang_zone() as zone:
         reserve = ReserveMemory(
             RequestId("r"),
@@ -184,15 +184,15 @@
         zone.callers["e1"].fault(kind="outage", reset=True)
         zone.adapter.execute(reserve)
         zone.adapter.execute(replace(reserve, address="127.0.0.1:1"))
-        lost, unreached = zone.told
+        lost, unreached = zone.messages
         assert isinstance(lost, ReservationFailed)
         assert lost.failure is GangStepFailure.LOST
         assert isinstance(unreached, ReservationFailed)
         assert unreached.failure is GangStepFailure.UNREACHED
 
 
-def test_prefill_without_its_reservation_is_refused() -> None:
-    """The reservation has expired at the engine; the part was surely not run."""
+def test_a_prefill_without_its_reservation_is_refused() -> None:
+    """The reservation has expired at the engine, so the part has certainly not run."""
     with gang_zone() as zone:
         zone.stop_before = PrefillSegment
         request(zone)
@@ -210,10 +210,10 @@
         assert message.exposure is Exposure.REFUSED
 
 
-def test_prefill_whose_connection_breaks_is_found_again() -> None:
-    """An export stays on an engine as nobody heard its handle.
+def test_a_prefill_with_a_broken_connection_is_reattached() -> None:
+    """Guards against an export that stays on an engine because its handle was lost.
 
-    The engine computes the part; only the connection is gone.
+    The engine finishes the part; only the connection is broken.
     """
     with gang_zone() as zone:
         zone.stop_before = PrefillSegment
@@ -225,7 +225,7 @@
         assert found == done
 
 
-def test_parts_join_to_the_prompt_wherever_they_are_cut() -> None:
+def test_slices_join_to_the_prompt_wherever_it_is_cut() -> None:
     text = "añó€𝄞 " * 50
     tokens = -(-len(text.encode()) // 4)
     for cut in range(tokens + 2):
@@ -234,7 +234,7 @@
     assert "".join(thirds) == text
 
 
-def test_late_prefill_is_not_sent() -> None:
+def test_a_prefill_past_its_deadline_is_not_sent() -> None:
     with gang_zone() as zone:
         zone.stop_before = PrefillSegment
         request(zone)
--- a/tests/unit/placement/test_race.py
+++ b/tests/unit/placement/test_race.py
@@ -1,10 +1,10 @@
 """Tests of placement while several instances choose the last slots of engines at once.
 
-The load is that of 64 instances before 45 engines of six slots: a flood of long
-prompts, then one of short prompts at two and a half times their usual rate, as the
-users' grown deployments have it for ten seconds at a time. Calls come to the instances
-at random, and what one begins is known to the others 6 ms later; the figures are those
-of `benchmarks.passes`, which is held against played days.
+The load is that of 64 instances and 45 engines of six slots: a burst of long prompts,
+then one of short prompts at two and a half times their usual rate, as in large
+deployments for ten seconds at a time. Calls arrive at the instances at random, and the
+others know of a started call 6 ms later; the figures are those of `benchmarks.passes`,
+which is checked against whole runs.
 """
 
 from datetime import timedelta
@@ -25,7 +25,7 @@
 
 case = TestCase()
 
-FLOODS_S = 24.0
+BURST_S = 24.0
 SEEDS = (20_260_101, 20_260_102)
 SECOND = timedelta(seconds=1)
 FIGURES = GROWN.figures
@@ -34,22 +34,22 @@
 
 
 def late_share() -> float:
-    """Return the share of short prompts that are not on time in a flood."""
+    """Return the share of short prompts that are not on time in a burst."""
     outcomes = [
         outcome
         for seed in SEEDS
-        for outcome in play(Run(GROWN, "mimosafork", seed, FLOODS_S)).outcomes
+        for outcome in play(Run(GROWN, "mimosafork", seed, BURST_S)).outcomes
         if outcome.call.kind.name == "short"
     ]
     return sum(not outcome.on_time for outcome in outcomes) / len(outcomes)
 
 
-def test_short_prompts_do_not_race_for_the_last_slots_in_a_flood() -> None:
-    """Clerks wait a second for a first token while engines beside theirs are free.
+def test_short_prompts_do_not_race_for_the_last_slots_under_high_load() -> None:
+    """Guards against late first tokens while other engines are free.
 
-    Eight calls went to one engine of six slots within 80 ms: each instance saw a slot
-    free there and did not yet know of the others' calls. The last ones waited in the
-    engine until an answer ended.
+    Eight calls went to one engine of six slots within 80 ms: each instance saw a free
+    slot there and did not yet know of the others' calls. The last ones were queued in
+    the engine until an answer ended, a second later.
     """
     with patch.object(race, "REPORT_DELAY_S", 0.0):
         without = late_share()
@@ -57,15 +57,15 @@
     case.assertLess(late_share(), without / 2)
 
 
-def book_with(running: int, per_s: int) -> LoadTracker:
-    """Return a book with works on the first engine, and with a rate of begins."""
-    book = LoadTracker()
+def tracker_with(running: int, per_s: int) -> LoadTracker:
+    """Return a tracker with requests on the first engine and a rate of starts."""
+    tracker = LoadTracker()
     for number in range(per_s * 5):
-        book.start_rate.record(SECOND * (number / per_s))
+        tracker.start_rate.record(SECOND * (number / per_s))
     for number in range(running):
         part = PrefillPart(ENGINES[0], 100, 1.0)
-        began = SECOND * 4.0
-        book.record(
+        started_at = SECOND * 4.0
+        tracker.record(
             InFlightRequest(
                 RequestId(str(number)),
                 ENGINES[0],
@@ -73,38 +73,38 @@
                 prompt_tokens=100,
                 answer_tokens=300,
                 longest_pause=SECOND / 4,
-                started_at=began,
-                first_token_at=began + SECOND / 10,
+                started_at=started_at,
+                first_token_at=started_at + SECOND / 10,
             )
         )
-    return book
+    return tracker
 
 
-def chosen(book: LoadTracker) -> EndpointId:
-    """Return where a short prompt goes."""
+def chosen_host(tracker: LoadTracker) -> EndpointId:
+    """Return the host of a short prompt."""
     views = [EngineView(name, "10.0.0.1:80", ZONE, FIGURES.slots) for name in ENGINES]
-    ask = PlacementRequest(
+    request = PlacementRequest(
         RequestId("x"), 2_000, 0, 600, SECOND * 10, SECOND / 3, longest_pause=SECOND / 4
     )
-    choice = choose(ask, views, book, FIGURES, SECOND * 5, Random(1))
+    choice = choose(request, views, tracker, FIGURES, SECOND * 5, Random(1))
     assert isinstance(choice, Assignment)
     return choice.host
 
 
-def test_the_last_slot_is_taken_in_calm_and_left_in_a_flood() -> None:
-    case.assertEqual(ENGINES[0], chosen(book_with(running=5, per_s=2)))
-    case.assertEqual(ENGINES[1], chosen(book_with(running=5, per_s=80)))
-    case.assertEqual(ENGINES[0], chosen(book_with(running=2, per_s=80)))
+def test_the_last_slot_is_used_only_at_a_low_request_rate() -> None:
+    case.assertEqual(ENGINES[0], chosen_host(tracker_with(running=5, per_s=2)))
+    case.assertEqual(ENGINES[1], chosen_host(tracker_with(running=5, per_s=80)))
+    case.assertEqual(ENGINES[0], chosen_host(tracker_with(running=2, per_s=80)))
 
 
-def test_costs_fall_with_free_slots_and_grow_with_the_rate() -> None:
+def test_race_costs_fall_with_free_slots_and_grow_with_the_rate() -> None:
     calm, busy = (race.race_costs(rate, FIGURES) for rate in (1.0, 80.0))
     case.assertEqual(sorted(busy, reverse=True), list(busy))
     case.assertTrue(all(low < high for low, high in zip(calm, busy, strict=True)))
     case.assertEqual((0.0,) * race.MAX_CONTESTED_SLOTS, race.race_costs(0.0, FIGURES))
 
 
-def test_the_rate_follows_what_begins_and_forgets_it() -> None:
+def test_the_rate_follows_request_starts_and_decays() -> None:
     rate = DecayingRate()
     for number in range(400):
         rate.record(SECOND * (number / 40))
@@ -112,12 +112,12 @@
     case.assertLess(rate.per_s(SECOND * 15), 1.0)
 
 
-def test_a_work_counts_once_for_the_rate_whatever_is_told_of_it() -> None:
-    book = book_with(running=3, per_s=1)
-    before = book.start_rate.per_s(SECOND * 5)
-    for request in list(book.own):
-        book.record_first_token(request, SECOND * 5)
-    case.assertEqual(before, book.start_rate.per_s(SECOND * 5))
+def test_a_request_counts_once_for_the_rate_whatever_is_recorded_later() -> None:
+    tracker = tracker_with(running=3, per_s=1)
+    before = tracker.start_rate.per_s(SECOND * 5)
+    for request in list(tracker.own):
+        tracker.record_first_token(request, SECOND * 5)
+    case.assertEqual(before, tracker.start_rate.per_s(SECOND * 5))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/placement/test_search.py
+++ b/tests/unit/placement/test_search.py
@@ -1,4 +1,4 @@
-"""Tests that the quick search for a place decides as the plain one does."""
+"""Tests that the fast search for a plan decides like the plain one."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -28,10 +28,10 @@
 case = TestCase()
 
 CASES = 600
-"""Fleets that are drawn; each has its own seed."""
+"""Number of random fleets; each has its own seed."""
 
 CHANGES = 4
-"""Changes of the book between which a call is placed, for each fleet."""
+"""Changes of the load between placements, for each fleet."""
 
 FIGURES = EngineFigures(
     slots=8,
@@ -55,16 +55,16 @@
 
 @dataclass
 class Fleet:
-    """A drawn fleet with its running work."""
+    """A random fleet with its in-flight requests."""
 
     draw: Random
     views: list[EngineView]
-    book: LoadTracker
+    tracker: LoadTracker
     now: timedelta
-    begun: int = 0
+    started: int = 0
 
-    def ask(self) -> PlacementRequest:
-        """Draw a call."""
+    def placement_request(self) -> PlacementRequest:
+        """Draw a request to place."""
         draw = self.draw
         pause = draw.choice(PAUSES)
         names = [view.endpoint for view in self.views]
@@ -72,8 +72,8 @@
         prompt = int(draw.choice(PROMPTS) * draw.uniform(1.0, 1.5))
         answer = draw.randrange(1, 3_000)
         if draw.random() < 0.1:
-            # As much as one engine has room for, to the last token.
-            load = self.book.load(draw.choice(names), self.now)
+            # Exactly as much as one engine has free, to the last token.
+            load = self.tracker.load(draw.choice(names), self.now)
             room = (
                 int(FIGURES.memory_tokens * USABLE_MEMORY_SHARE) - load.committed_tokens
             )
@@ -89,20 +89,22 @@
             avoid=frozenset(avoid),
         )
 
-    def work(self) -> InFlightRequest:
-        """Draw a running call."""
+    def in_flight_request(self) -> InFlightRequest:
+        """Draw a running request."""
         draw = self.draw
-        self.begun += 1
+        self.started += 1
         gang = draw.sample(self.views, min(len(self.views), draw.choice((1, 1, 1, 4))))
         tokens = draw.choice(PROMPTS) // len(gang)
-        read_ms = FIGURES.prefill_ms(tokens, tokens * len(gang))
+        prefill_ms = FIGURES.prefill_ms(tokens, tokens * len(gang))
         started = self.now - ms(draw.uniform(0.0, 900.0))
         pause = draw.choice(PAUSES)
         held = [HeldTokens(view.endpoint, tokens) for view in gang]
         return InFlightRequest(
-            request=RequestId(f"r{self.begun}"),
+            request=RequestId(f"r{self.started}"),
             host=gang[0].endpoint,
-            parts=tuple(PrefillPart(view.endpoint, tokens, read_ms) for view in gang),
+            parts=tuple(
+                PrefillPart(view.endpoint, tokens, prefill_ms) for view in gang
+            ),
             held=tuple(held) if draw.random() < 0.2 else (),
             prompt_tokens=tokens * len(gang),
             answer_tokens=draw.randrange(1, 3_000),
@@ -112,83 +114,89 @@
         )
 
     def change(self) -> None:
-        """Let work begin, get its first token, end, or be told by a peer."""
-        draw, book = self.draw, self.book
+        """Start a request, record its first token, end it, or apply a peer's report."""
+        draw, tracker = self.draw, self.tracker
         self.now += ms(draw.uniform(0.0, 300.0))
-        own = list(book.own)
+        own = list(tracker.own)
         kind = draw.randrange(5)
         if kind == 0 or not own:
-            book.record(self.work())
+            tracker.record(self.in_flight_request())
         elif kind == 1:
-            book.record_first_token(draw.choice(own), self.now)
+            tracker.record_first_token(draw.choice(own), self.now)
         elif kind == 2:
-            book.remove(draw.choice(own))
+            tracker.remove(draw.choice(own))
         elif kind == 3:
-            told = list(book.peers.get(PEER, {}).values())
-            kept = draw.sample(told, draw.randrange(len(told) + 1))
-            works = (*kept, *(self.work() for _ in range(draw.randrange(4))))
-            book.replace_peer(PEER, works, self.now)
+            reported = list(tracker.peers.get(PEER, {}).values())
+            kept = draw.sample(reported, draw.randrange(len(reported) + 1))
+            requests = (
+                *kept,
+                *(self.in_flight_request() for _ in range(draw.randrange(4))),
+            )
+            tracker.replace_peer(PEER, requests, self.now)
         else:
-            book.remove_peer(PEER)
+            tracker.remove_peer(PEER)
 
 
 def drawn_views(draw: Random) -> list[EngineView]:
-    """Return up to 24 engines of a drawn kind of fleet."""
-    troubled = draw.choice((0.0, 0.0, 0.2, 0.6))
+    """Return up to 24 engines of a random kind of fleet."""
+    trouble = draw.choice((0.0, 0.0, 0.2, 0.6))
     views = [
         EngineView(
             EndpointId(f"i-{draw.getrandbits(40):010x}"),
             f"10.0.0.{n}:80",
             AvailabilityZoneId(f"z{n % 3}"),
             slots=draw.choice((1, 4, 8)),
-            usable=draw.random() > troubled / 4,
-            suspect=draw.random() < troubled,
-            slowdown=1.0 + draw.random() * troubled,
-            cold=draw.random() < troubled / 4,
+            usable=draw.random() > trouble / 4,
+            suspect=draw.random() < trouble,
+            slowdown=1.0 + draw.random() * trouble,
+            cold=draw.random() < trouble / 4,
         )
         for n in range(draw.choice((1, 2, 3, 7, 16, 24)))
     ]
-    # Without a usable engine there is nothing to search.
+    # The search needs at least one usable engine.
     views[0] = replace(views[0], usable=True)
     return views
 
 
 def drawn_fleet(seed: int) -> Fleet:
-    """Return a fleet whose engines have nothing, little or too much to do."""
+    """Return a fleet whose engines are idle, lightly loaded or overloaded."""
     draw = Random(seed)
     views = drawn_views(draw)
     fleet = Fleet(draw, views, LoadTracker(), timedelta(seconds=100))
     for _ in range(int(len(views) * draw.choice((0, 0.5, 1, 3, 6)))):
-        fleet.book.record(fleet.work())
+        fleet.tracker.record(fleet.in_flight_request())
     return fleet
 
 
 def compare(fleet: Fleet, figures: EngineFigures = FIGURES) -> int:
-    """Check one placement; return its number of engines, 0 without a place."""
-    ask = fleet.ask()
+    """Check one placement; return its number of engines, 0 without a plan."""
+    placement_request = fleet.placement_request()
     seed = fleet.draw.getrandbits(32)
-    quick_random, plain_random = Random(seed), Random(seed)
-    plain = plain_plan(ask, fleet.views, fleet.book, figures, fleet.now, plain_random)
-    usable = preferred(ask, fleet.views)
-    states = engine_states(usable, fleet.book, figures, fleet.now)
-    quick = best_plan(ask, states, figures, quick_random)
-    case.assertEqual(plain_random.getstate(), quick_random.getstate())
-    if plain is None or quick is None:
-        case.assertIs(plain, quick)
+    fast_random, plain_random = Random(seed), Random(seed)
+    plain = plain_plan(
+        placement_request, fleet.views, fleet.tracker, figures, fleet.now, plain_random
+    )
+    usable = preferred(placement_request, fleet.views)
+    states = engine_states(usable, fleet.tracker, figures, fleet.now)
+    fast = best_plan(placement_request, states, figures, fast_random)
+    case.assertEqual(plain_random.getstate(), fast_random.getstate())
+    if plain is None or fast is None:
+        case.assertIs(plain, fast)
         return 0
-    case.assertEqual(plain.host, quick.host.view.endpoint)
-    helpers = tuple(state.view.endpoint for state in quick.helpers)
+    case.assertEqual(plain.host, fast.host.view.endpoint)
+    helpers = tuple(state.view.endpoint for state in fast.helpers)
     case.assertEqual(plain.helpers, helpers)
-    case.assertAlmostEqual(plain.done_ms, quick.done_ms, delta=1e-9)
-    case.assertAlmostEqual(plain.cost, quick.cost, delta=1e-9)
+    case.assertAlmostEqual(plain.done_ms, fast.done_ms, delta=1e-9)
+    case.assertAlmostEqual(plain.cost, fast.cost, delta=1e-9)
     return 1 + len(helpers)
 
 
-def test_the_quick_search_decides_as_the_plain_one() -> None:
-    """A fleet serves less than it could, or one engine gets all the work.
+def test_the_fast_search_decides_like_the_plain_one() -> None:
+    """Guards against a fast search that misses the best plan.
 
-    The search leaves out what can't win; where a bound is drawn too tight it leaves
-    out the best place, which no call and no log line would ever show.
+    It skips what can't be the cheapest. With a bound that is too tight it would skip
+    the best plan, and the fleet would serve less than it could, or one engine would get
+    all requests; no call and no log line would show it.
     """
     sizes: Counter[int] = Counter()
     for seed in range(CASES):
@@ -202,7 +210,7 @@
     case.assertTrue(set(GANG_SIZES) <= set(sizes))
 
 
-def test_the_figures_of_another_deployment_decide_alike() -> None:
+def test_both_searches_agree_on_other_engine_figures() -> None:
     """Bounds that hold for one kind of engine may fail for a slow or a small one."""
     slow = replace(FIGURES, prefill_tokens_per_ms=9.0, step_ms=12.0, stride=1)
     small = replace(FIGURES, memory_tokens=150_000, per_sequence_ms=0.2)
@@ -212,20 +220,20 @@
                 compare(drawn_fleet(seed), figures)
 
 
-def test_the_load_of_each_engine_is_the_sum_of_its_work() -> None:
-    """An engine seems busy for good, or idle while it is full.
+def test_the_load_of_each_engine_is_the_sum_of_its_requests() -> None:
+    """Guards against an engine that seems busy for good, or idle while it is full.
 
-    Sums that are kept between two placements must follow each change of the work
-    and the passing of time.
+    Cached load summaries must follow each change of the requests and the passing of
+    time.
     """
     for seed in range(CASES // 5):
         fleet = drawn_fleet(seed)
         for _ in range(3 * CHANGES):
             fleet.change()
             for view in fleet.views:
-                works = fleet.book.by_engine.get(view.endpoint, {})
-                plain = plain_load(view.endpoint, works.values(), fleet.now)
-                kept = fleet.book.load(view.endpoint, fleet.now)
+                requests = fleet.tracker.by_engine.get(view.endpoint, {})
+                plain = plain_load(view.endpoint, requests.values(), fleet.now)
+                kept = fleet.tracker.load(view.endpoint, fleet.now)
                 case.assertEqual(plain, kept)
 
 
--- a/tests/unit/placement/test_subset.py
+++ b/tests/unit/placement/test_subset.py
@@ -1,4 +1,4 @@
-"""Tests of which engines an instance of a large fleet uses, and who shares them."""
+"""Tests of the engine subsets of the instances of a large fleet."""
 
 from collections import Counter
 from random import Random
@@ -32,26 +32,28 @@
     ]
 
 
-def test_every_engine_is_used_by_as_many_instances() -> None:
+def test_engines_have_equally_many_users() -> None:
     order = InstanceOrder.of(INSTANCES)
-    used = Counter(
+    users_by_engine = Counter(
         view.endpoint
         for each in INSTANCES
         for view in own_engines(order, each, views())
     )
-    case.assertEqual(ENGINES, len(used))
-    case.assertLessEqual(max(used.values()) - min(used.values()), 2)
-    case.assertEqual(len(INSTANCES) * SUBSET_SIZE, sum(used.values()))
+    case.assertEqual(ENGINES, len(users_by_engine))
+    case.assertLessEqual(
+        max(users_by_engine.values()) - min(users_by_engine.values()), 2
+    )
+    case.assertEqual(len(INSTANCES) * SUBSET_SIZE, sum(users_by_engine.values()))
 
 
-def test_all_agree_whoever_hears_of_instances_in_whatever_order() -> None:
+def test_the_order_does_not_depend_on_the_order_of_discovery() -> None:
     shuffled = list(INSTANCES)
     Random(3).shuffle(shuffled)
     case.assertEqual(InstanceOrder.of(INSTANCES), InstanceOrder.of(shuffled))
 
 
-def test_those_who_use_an_engine_are_those_who_are_told() -> None:
-    """A work on an engine is told to those who may choose it, and to nobody else."""
+def test_reports_go_to_the_users_of_an_engine() -> None:
+    """A request is reported to the instances that may choose its engine only."""
     order = InstanceOrder.of(INSTANCES)
     ranked = sorted(subset_rank(view.endpoint) for view in views())
     subsets = {
@@ -63,27 +65,27 @@
         case.assertEqual(users, set(order.users(place, ENGINES)))
 
 
-def test_an_engine_takes_prompts_of_one_kind_from_all_who_use_it() -> None:
-    """Answers to short prompts pause for as long as their engine reads a long one.
+def test_all_users_send_prompts_of_similar_length_to_an_engine() -> None:
+    """Guards against short answers that pause during the prefill of long prompts.
 
-    Each instance sends short prompts to the front of its engines. Where an engine at
-    the front for one is at the back for the next, it has both. By one order for subsets
-    and kinds the places of an engine were spread over the whole of the order (mean
-    deviation 0.26 of it); half as much keeps most engines to one kind.
+    Each instance sends short prompts to the front of its engines. An engine at the
+    front for one instance and at the back for the next has both. With one order for
+    subsets and prompt lengths the positions of an engine were spread over the whole
+    order (mean deviation 0.26 of it); half as much keeps most engines to one kind.
     """
     order = InstanceOrder.of(INSTANCES)
-    places: dict[EndpointId, list[float]] = {}
+    positions: dict[EndpointId, list[float]] = {}
     for each in INSTANCES:
         subset = own_engines(order, each, views())
         ranked = sorted(subset, key=lambda view: engine_rank(view.endpoint))
         for index, view in enumerate(ranked):
-            places.setdefault(view.endpoint, []).append(index / SUBSET_SIZE)
-    spread = sum(pstdev(each) for each in places.values()) / len(places)
+            positions.setdefault(view.endpoint, []).append(index / SUBSET_SIZE)
+    spread = sum(pstdev(each) for each in positions.values()) / len(positions)
     case.assertLess(spread, 0.14)
 
 
-def test_one_instance_more_moves_few_subsets_by_much() -> None:
-    """An instance comes, and works that run are known only to those told before."""
+def test_a_new_instance_shifts_subsets_only_slightly() -> None:
+    """Running requests are known only to the instances that already got reports."""
     before = InstanceOrder.of(INSTANCES[1:])
     after = InstanceOrder.of(INSTANCES)
     kept = [
@@ -96,8 +98,8 @@
     case.assertGreaterEqual(min(kept), SUBSET_SIZE - 1)
 
 
-def test_the_next_engines_stand_in_for_those_that_are_down() -> None:
-    """A cut takes a fifth of the engines, and with them most of some subsets."""
+def test_the_next_engines_replace_those_that_are_down() -> None:
+    """A network partition takes a fifth of the engines, and most of some subsets."""
     order = InstanceOrder.of(INSTANCES)
     down = frozenset(range(0, ENGINES, 5))
     for each in INSTANCES:
@@ -106,7 +108,7 @@
         case.assertTrue(all(view.usable for view in subset))
 
 
-def test_all_are_used_where_too_few_are_sound() -> None:
+def test_all_engines_are_used_if_too_few_are_healthy() -> None:
     order = InstanceOrder.of(INSTANCES)
     down = frozenset(range(SUBSET_SIZE - 1, ENGINES))
     subset = own_engines(order, INSTANCES[0], views(down))
--- a/tests/unit/recovery/test_cleaning_engine.py
+++ b/tests/unit/recovery/test_cleaning_engine.py
@@ -1,4 +1,4 @@
-"""An engine's memory returns to its former level when its users were killed."""
+"""Tests that an engine's memory is freed after its users were killed."""
 
 from contextlib import ExitStack
 from datetime import timedelta
@@ -24,8 +24,8 @@
 LONG_MS = 600_000
 
 
-def take_memory(engine: Caller, owner: dict[str, Any], name: str) -> None:
-    """Leave a running stream, a reservation and an export behind."""
+def create_holdings(engine: Caller, owner: dict[str, Any], name: str) -> None:
+    """Create a running stream, a reservation and an export."""
     common = {"owner": owner, "deadline_ms": LONG_MS}
     exported = engine.start(f"{name}-x", "letter " * 200, export_kv=True, **common)
     assert whole(exported)[1]["kv_handle"] is not None
@@ -35,29 +35,29 @@
     assert engine.call("POST", "/v1/reservations", json=body).status == 201
 
 
-def held_by(engine: Caller, owner: dict[str, Any]) -> set[str]:
+def kinds_held_by(engine: Caller, owner: dict[str, Any]) -> set[str]:
     answer = engine.get(f"/v1/holdings?owner={owner['instance']}")
     return {each["kind"] for each in answer["holdings"]}
 
 
-def test_memory_of_a_killed_instance_comes_back() -> None:
-    """An instance dies with a stream, a reservation and exported KV on an engine.
+def test_memory_of_a_killed_instance_is_freed() -> None:
+    """Guards against memory that stays in use until the deadlines of a killed instance.
 
-    All three live for ten more minutes by their deadlines. The zone's cleaner frees
-    them, and nothing of the instance that lives.
+    It leaves a stream, a reservation and an export with ten more minutes to their
+    deadlines. The cleaning task frees them, and no holding of a live instance.
     """
     settings = EngineSettings(token_interval=timedelta(milliseconds=2))
     with ExitStack() as stack:
         _, engine = stack.enter_context(running_engine(settings))
         http = HttpClient(InstanceId("cleaner"))
-        told: list[Message] = []
-        task = CleaningTask(http, told.append)
-        everything = {"stream", "reservation", "export"}
+        messages: list[Message] = []
+        task = CleaningTask(http, messages.append)
+        all_kinds = {"stream", "reservation", "export"}
         for owner, name in ((DEAD, "d"), (ALIVE, "a")):
-            take_memory(engine, owner, name)
-            assert held_by(engine, owner) == everything
+            create_holdings(engine, owner, name)
+            assert kinds_held_by(engine, owner) == all_kinds
         task.receive(ListHoldings(EndpointId("e"), engine.address, InstanceId("i2")))
-        (listing,) = told
+        (listing,) = messages
         assert isinstance(listing, HoldingsListed)
         assert {each.owner for each in listing.holdings} == {"i2"}
         assert all(each.time_left > timedelta(minutes=5) for each in listing.holdings)
@@ -66,16 +66,16 @@
                 reason = FreeReason.OWNER_REPLACED
                 free = FreeHolding(listing.endpoint, engine.address, holding, reason)
                 task.receive(free)
-        assert len(logs.records) == len(everything), "operators see what was freed"
-        assert held_by(engine, DEAD) == set()
-        assert held_by(engine, ALIVE) == everything
+        assert len(logs.records) == len(all_kinds), "operators see what was freed"
+        assert kinds_held_by(engine, DEAD) == set()
+        assert kinds_held_by(engine, ALIVE) == all_kinds
 
 
 def test_engine_that_does_not_answer_lists_nothing() -> None:
-    told: list[Message] = []
-    task = CleaningTask(HttpClient(InstanceId("cleaner")), told.append)
+    messages: list[Message] = []
+    task = CleaningTask(HttpClient(InstanceId("cleaner")), messages.append)
     task.receive(ListHoldings(EndpointId("e"), "127.0.0.1:1"))
-    assert told == []
+    assert messages == []
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/recovery/test_judgement.py
+++ b/tests/unit/recovery/test_judgement.py
@@ -1,4 +1,4 @@
-"""Which holdings are freed, and which are left alone."""
+"""Tests of which holdings are freed and which are kept."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -53,8 +53,8 @@
 
 
 @contextmanager
-def cleaner() -> Iterator[Bench]:
-    """Give a kernel that holds the lease for cleaning for a day."""
+def lease_holder() -> Iterator[Bench]:
+    """Run a kernel that holds the cleaning lease for a day."""
     plugins = [Recovery(), BoundedRetry(), FirstCome()]
     with running_kernel(plugins, [*ENGINES, FOREIGN_ENGINE]) as bench:
         bench.handle(lease(timedelta(days=1)))
@@ -72,7 +72,7 @@
     )
 
 
-def listed(bench: Bench, *instances: EntryInstance) -> None:
+def receive_list(bench: Bench, *instances: EntryInstance) -> None:
     engines: tuple[EndpointEntry, ...] = (*ENGINES, FOREIGN_ENGINE)
     bench.handle(InstancesListed(engines, instances))
 
@@ -87,32 +87,34 @@
     return Holding(kind, name, InstanceId(owner), Incarnation(incarnation), 10, left)
 
 
-def freed(bench: Bench, *holdings: Holding) -> list[FreeReason]:
+def free_reasons(bench: Bench, *holdings: Holding) -> list[FreeReason]:
     effects = bench.handle(HoldingsListed(EndpointId("e1"), holdings))
     return [each.reason for each in effects if isinstance(each, FreeHolding)]
 
 
-def pass_with_lists(bench: Bench, span: timedelta, *present: EntryInstance) -> None:
+def pass_time_with_lists(
+    bench: Bench, span: timedelta, *present: EntryInstance
+) -> None:
     for _ in range(span // SECOND):
         bench.clock.advance(SECOND)
-        listed(bench, *present)
+        receive_list(bench, *present)
 
 
 def test_everything_of_a_replaced_owner_is_freed() -> None:
-    """An entry instance is killed with streams, reservations and exports open.
+    """Guards against memory that stays in use after an entry instance was killed.
 
-    It comes back under its name. Nobody remembers what its former life held; the
-    engine's memory would be smaller until every deadline has passed.
+    It restarts under its id, and nothing remembers the streams, reservations and
+    exports of its earlier incarnation; they would stay until their deadlines.
     """
-    with cleaner() as bench:
-        listed(bench, instance("i2", incarnation=2))
+    with lease_holder() as bench:
+        receive_list(bench, instance("i2", incarnation=2))
         held = [holding(kind=kind) for kind in HoldingKind]
-        assert freed(bench, *held) == [FreeReason.OWNER_REPLACED] * 3
-        assert freed(bench, holding(incarnation=2)) == []
+        assert free_reasons(bench, *held) == [FreeReason.OWNER_REPLACED] * 3
+        assert free_reasons(bench, holding(incarnation=2)) == []
 
 
-def test_replacement_is_also_heard_from_peers() -> None:
-    with cleaner() as bench:
+def test_a_replacement_is_also_learned_from_peers() -> None:
+    with lease_holder() as bench:
         member = Member(
             InstanceId("i2"),
             Incarnation(2),
@@ -122,16 +124,17 @@
             Revision(1),
         )
         bench.handle(MembersChanged((member,), ()))
-        assert freed(bench, holding()) == [FreeReason.OWNER_REPLACED]
+        assert free_reasons(bench, holding()) == [FreeReason.OWNER_REPLACED]
 
 
-def test_cut_off_owner_keeps_its_streams() -> None:
-    """An owner is cut off from its peers and from the platform, and serves on.
+def test_a_partitioned_owner_keeps_its_streams() -> None:
+    """Guards against freeing streams of an owner that still serves them.
 
-    From here it looks dead: peers do not hear it, and the list that it can't renew
-    shows it for as long as the platform keeps it. Its clerks read their answers.
+    It is partitioned from its peers and the platform, so it looks dead from here: peers
+    get no messages, and the instance list shows it only for as long as the platform
+    keeps an entry that isn't renewed.
     """
-    with cleaner() as bench:
+    with lease_holder() as bench:
         suspect = Member(
             InstanceId("i2"),
             Incarnation(1),
@@ -141,108 +144,113 @@
             Revision(1),
         )
         bench.handle(MembersChanged((suspect,), ()))
-        pass_with_lists(bench, 2 * REMOVED_FOR, instance("i2"))
-        assert freed(bench, holding()) == []
+        pass_time_with_lists(bench, 2 * REMOVED_FOR, instance("i2"))
+        assert free_reasons(bench, holding()) == []
 
 
-def test_owner_that_drops_from_the_list_for_a_while_keeps_its_streams() -> None:
-    with cleaner() as bench:
-        pass_with_lists(bench, SECOND, instance("i2"))
-        pass_with_lists(bench, REMOVED_FOR - 2 * SECOND)
-        assert freed(bench, holding()) == []
-        pass_with_lists(bench, SECOND, instance("i2"))
-        pass_with_lists(bench, REMOVED_FOR - 2 * SECOND)
-        assert freed(bench, holding()) == []
+def test_an_owner_missing_from_the_list_for_a_short_time_keeps_its_streams() -> None:
+    with lease_holder() as bench:
+        pass_time_with_lists(bench, SECOND, instance("i2"))
+        pass_time_with_lists(bench, REMOVED_FOR - 2 * SECOND)
+        assert free_reasons(bench, holding()) == []
+        pass_time_with_lists(bench, SECOND, instance("i2"))
+        pass_time_with_lists(bench, REMOVED_FOR - 2 * SECOND)
+        assert free_reasons(bench, holding()) == []
 
 
-def test_owner_removed_from_the_list_for_long_is_cleaned_up_after() -> None:
-    """An instance is killed and never replaced under its name."""
-    with cleaner() as bench:
-        pass_with_lists(bench, SECOND, instance("i2"))
-        pass_with_lists(bench, REMOVED_FOR + SECOND)
-        assert freed(bench, holding()) == [FreeReason.OWNER_REMOVED]
+def test_holdings_of_an_owner_that_left_the_list_are_freed() -> None:
+    """An instance is killed and never replaced under its id."""
+    with lease_holder() as bench:
+        pass_time_with_lists(bench, SECOND, instance("i2"))
+        pass_time_with_lists(bench, REMOVED_FOR + SECOND)
+        assert free_reasons(bench, holding()) == [FreeReason.OWNER_REMOVED]
 
 
-def test_time_without_a_list_is_no_evidence() -> None:
+def test_time_without_a_list_does_not_count_as_absence() -> None:
     """The platform is out for an hour between two lists, the second one partial."""
-    with cleaner() as bench:
-        listed(bench, instance("i2"))
+    with lease_holder() as bench:
+        receive_list(bench, instance("i2"))
         bench.clock.advance(timedelta(hours=1))
-        listed(bench)
-        assert freed(bench, holding()) == []
+        receive_list(bench)
+        assert free_reasons(bench, holding()) == []
 
 
-def test_owner_that_peers_hear_is_not_removed() -> None:
-    with cleaner() as bench:
+def test_an_owner_that_is_live_to_its_peers_keeps_its_streams() -> None:
+    with lease_holder() as bench:
         member = Member(
             InstanceId("i2"), Incarnation(1), ZONE, "a:2", MemberState.LIVE, Revision(1)
         )
         bench.handle(MembersChanged((member,), ()))
         bench.kernel.state.fleet.members = {member.instance: member}
-        pass_with_lists(bench, 2 * REMOVED_FOR)
-        assert freed(bench, holding()) == []
+        pass_time_with_lists(bench, 2 * REMOVED_FOR)
+        assert free_reasons(bench, holding()) == []
 
 
-def test_holding_past_its_deadline_is_freed_whoever_owns_it() -> None:
+def test_a_holding_past_its_deadline_is_freed_for_any_owner() -> None:
     """An engine that lost its timer would keep the memory for good."""
-    with cleaner() as bench:
-        listed(bench, instance("i2"))
-        assert freed(bench, holding(left=-SECOND)) == []
+    with lease_holder() as bench:
+        receive_list(bench, instance("i2"))
+        assert free_reasons(bench, holding(left=-SECOND)) == []
         overdue = holding(left=-10 * SECOND)
-        assert freed(bench, overdue) == [FreeReason.PAST_DEADLINE]
+        assert free_reasons(bench, overdue) == [FreeReason.PAST_DEADLINE]
 
 
-def test_stream_that_a_returning_caller_may_read_is_left_to_its_deadline() -> None:
-    """An entry instance dies in mid-answer; its caller comes back through another.
+def test_a_resumable_stream_is_kept_until_its_deadline() -> None:
+    """Guards against freeing a stream that a reconnecting client may resume.
 
-    The other one reads the same stream on. It still carries the dead owner's name.
+    An entry instance dies in the middle of an answer, and the client reconnects through
+    another one, which attaches to the same stream. The stream still has the dead owner.
     """
-    with cleaner() as bench:
-        listed(bench, instance("i2", incarnation=2))
+    with lease_holder() as bench:
+        receive_list(bench, instance("i2", incarnation=2))
         request = model_request("r1", idempotency_key="k")
         (name,) = stream_ids(stream_base_of(request, 3), 1)
-        assert freed(bench, holding(name=name)) == []
-        assert freed(bench, holding(name="r1.1")) == [FreeReason.OWNER_REPLACED]
+        assert free_reasons(bench, holding(name=name)) == []
+        assert free_reasons(bench, holding(name="r1.1")) == [FreeReason.OWNER_REPLACED]
         overdue = holding(name=name, left=-10 * SECOND)
-        assert freed(bench, overdue) == [FreeReason.PAST_DEADLINE]
+        assert free_reasons(bench, overdue) == [FreeReason.PAST_DEADLINE]
 
 
-def test_only_the_lease_holder_looks_and_frees() -> None:
-    with cleaner() as bench:
-        listed(bench, instance("i2", incarnation=2))
+def test_only_the_lease_holder_lists_and_frees() -> None:
+    with lease_holder() as bench:
+        receive_list(bench, instance("i2", incarnation=2))
         bench.handle(lease(bench.clock.monotonic()))
         bench.clock.advance(2 * LIST_PERIOD)
         bench.effects.clear()
         bench.handle(Tick())
-        assert freed(bench, holding()) == []
+        assert free_reasons(bench, holding()) == []
         assert not bench.effects
 
 
 def test_own_zone_s_engines_are_listed_once_a_period() -> None:
-    with cleaner() as bench:
+    with lease_holder() as bench:
         for _ in range(4 * LIST_PERIOD // SECOND):
             bench.handle_after(SECOND, Tick())
-        asked = [each.endpoint for each in bench.emitted(ListHoldings)]
-        assert set(asked) == {"e1", "e2"}
-        assert 6 <= len(asked) <= 8
+        requested = [each.endpoint for each in bench.emitted(ListHoldings)]
+        assert set(requested) == {"e1", "e2"}
+        assert 6 <= len(requested) <= 8
 
 
-def test_replaced_owner_is_looked_after_at_once() -> None:
-    """Memory of a killed instance comes back in seconds, not at the next round."""
-    with cleaner() as bench:
-        listed(bench, instance("i2"))
+def test_holdings_of_a_replaced_owner_are_listed_at_once() -> None:
+    """Memory of a killed instance is freed in seconds, not in the next period."""
+    with lease_holder() as bench:
+        receive_list(bench, instance("i2"))
         bench.effects.clear()
-        listed(bench, instance("i2", incarnation=2))
-        asked = {(each.endpoint, each.owner) for each in bench.emitted(ListHoldings)}
-        assert asked == {("e1", "i2"), ("e2", "i2")}
-
-
-def test_old_list_does_not_bring_a_former_life_back() -> None:
-    with cleaner() as bench:
-        listed(bench, instance("i2", incarnation=2))
-        listed(bench, instance("i2", incarnation=1))
-        assert freed(bench, holding(incarnation=2)) == []
-        assert freed(bench, holding(incarnation=1)) == [FreeReason.OWNER_REPLACED]
+        receive_list(bench, instance("i2", incarnation=2))
+        requested = {
+            (each.endpoint, each.owner) for each in bench.emitted(ListHoldings)
+        }
+        assert requested == {("e1", "i2"), ("e2", "i2")}
+
+
+def test_an_old_list_does_not_restore_an_earlier_incarnation() -> None:
+    with lease_holder() as bench:
+        receive_list(bench, instance("i2", incarnation=2))
+        receive_list(bench, instance("i2", incarnation=1))
+        assert free_reasons(bench, holding(incarnation=2)) == []
+        assert free_reasons(bench, holding(incarnation=1)) == [
+            FreeReason.OWNER_REPLACED
+        ]
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/recovery/test_recovery_machine.py
+++ b/tests/unit/recovery/test_recovery_machine.py
@@ -1,4 +1,4 @@
-"""Leases, orders, cleaning, quarantine and retries, with failures in any order."""
+"""Tests of leases, orders, cleaning, quarantine and retries, with random failures."""
 
 from datetime import timedelta
 
@@ -26,8 +26,8 @@
 EXAMPLES = 40
 STEPS = 30
 SECOND = timedelta(seconds=1)
-PATIENCE = 40 * SECOND
-POISON = Digest("poison")
+REQUEST_TIMEOUT = 40 * SECOND
+CRASHING_BODY = Digest("poison")
 
 LIST_PERIOD = 5 * SECOND
 SPANS = st.sampled_from([SECOND / 4, SECOND, 4 * SECOND, 12 * SECOND, 30 * SECOND])
@@ -37,26 +37,26 @@
 
 
 class RecoveryMachine(RuleBasedStateMachine):
-    """Everything that fails, twice and together; see the invariants."""
+    """Random combinations of failures; see the invariants."""
 
     def __init__(self) -> None:
         super().__init__()
         self.world = World()
-        self.world.poison.add(POISON)
+        self.world.crashing_bodies.add(CRASHING_BODY)
         self.fencing: dict[Duty, int] = dict.fromkeys(Duty, 0)
         self.sent = 0
-        self.may_fall_silent = False
+        self.may_partition = False
         self.world.run(SECOND)
 
-    @initialize(may_fall_silent=st.booleans())
-    def peers(self, may_fall_silent: bool) -> None:
-        """Decide whether instances may ever stop hearing each other."""
-        self.may_fall_silent = may_fall_silent
+    @initialize(may_partition=st.booleans())
+    def peers(self, may_partition: bool) -> None:
+        """Decide whether this example has partitions between instances."""
+        self.may_partition = may_partition
 
     def pass_time(self, span: timedelta) -> None:
-        """Let time pass, with the platform's list read now and then."""
+        """Let time pass, and publish the instance list periodically."""
         while span > timedelta(0):
-            self.world.list_all()
+            self.world.publish_instance_list()
             self.world.run(min(span, LIST_PERIOD))
             span -= LIST_PERIOD
 
@@ -66,50 +66,52 @@
         self.pass_time(then)
 
     def send(self, name: str, body: str = "") -> None:
-        """Have a caller send a letter of its own, or one with a known body."""
+        """Submit a request with a body of its own, or with a given one."""
         self.sent += 1
-        deadline = self.world.now + PATIENCE
+        deadline = self.world.now + REQUEST_TIMEOUT
         self.world.submit(name, request(f"r{self.sent}", MODEL, deadline, body))
 
     @rule(names=st.lists(INSTANCES, min_size=1, max_size=12), then=SPANS)
-    def letters_come(self, names: list[str], then: timedelta) -> None:
-        """Have callers send innocent letters."""
+    def requests_arrive(self, names: list[str], then: timedelta) -> None:
+        """Submit requests that crash no engine."""
         for name in names:
             self.send(name)
         self.pass_time(then)
 
     @rule(names=st.lists(INSTANCES, min_size=1, max_size=3), then=SPANS)
-    def poison_comes(self, names: list[str], then: timedelta) -> None:
-        """Have the poisoned letter sent, and sent again and again.
+    def crashing_requests_arrive(self, names: list[str], then: timedelta) -> None:
+        """Submit the request that crashes engines, repeatedly.
 
-        Not faster than the news of a crash travels: nothing can stop that.
+        Not faster than a crash is reported to the peers, as nothing could prevent that.
         """
         for name in names:
-            self.send(name, POISON)
+            self.send(name, CRASHING_BODY)
             self.pass_time(max(then, 2 * SECOND))
 
     @rule(duty=st.sampled_from(list(Duty)), then=SPANS)
-    def holder_freezes(self, duty: Duty, then: timedelta) -> None:
-        """Stop the process that holds a lease; it does not know."""
+    def lease_holder_freezes(self, duty: Duty, then: timedelta) -> None:
+        """Freeze the process that holds a lease, without its knowledge."""
         for node in self.world.nodes.values():
-            node.is_asleep |= node.holds(duty)
+            node.is_frozen |= node.holds(duty)
         self.pass_time(then)
 
     @rule(version=st.sampled_from(["1", "2", "3"]), then=SPANS)
-    def holder_freezes_with_orders(self, version: str, then: timedelta) -> None:
-        """Stop the holder when it has just begun to roll out a version."""
-        self.operator_wants(version, 12 * SECOND)
-        self.holder_freezes(Duty.ORDERS, 30 * SECOND)
-        self.sleepers_wake(then)
+    def lease_holder_freezes_during_rollout(
+        self, version: str, then: timedelta
+    ) -> None:
+        """Freeze the lease holder when it has just begun to roll out a version."""
+        self.operator_changes_version(version, 12 * SECOND)
+        self.lease_holder_freezes(Duty.ORDERS, 30 * SECOND)
+        self.frozen_instances_resume(then)
 
     @rule(then=SPANS)
-    def sleepers_wake(self, then: timedelta) -> None:
-        """Let frozen processes go on, first of all with an order in hand."""
+    def frozen_instances_resume(self, then: timedelta) -> None:
+        """Resume frozen processes, which first send an order prepared before."""
         for node in self.world.nodes.values():
-            if node.is_asleep:
-                node.is_asleep = False
+            if node.is_frozen:
+                node.is_frozen = False
                 node.orders.idle()
-                node.wake()
+                node.resume()
         self.pass_time(then)
 
     @rule(name=INSTANCES, then=SPANS)
@@ -120,7 +122,7 @@
 
     @rule(name=ENGINES, then=SPANS)
     def engine_crashes(self, name: str, then: timedelta) -> None:
-        """End an engine's life for reasons of its own."""
+        """Crash an engine for another reason than its requests."""
         self.world.crash(name)
         self.pass_time(then)
 
@@ -131,27 +133,27 @@
         self.pass_time(then)
 
     @rule(version=st.sampled_from(["1", "2", "3"]), then=SPANS)
-    def operator_wants(self, version: str, then: timedelta) -> None:
-        """Have another version of the model accepted."""
-        self.world.want(version)
+    def operator_changes_version(self, version: str, then: timedelta) -> None:
+        """Apply a configuration with another version of the model."""
+        self.world.set_model_version(version)
         self.pass_time(then)
 
     @rule(is_down=st.booleans(), then=SPANS)
     def store_changes(self, is_down: bool, then: timedelta) -> None:
-        """Let the store go down, or come back."""
+        """Take the store down, or bring it back."""
         self.world.table.down = is_down
         self.pass_time(then)
 
     @rule(faults=FAULTS, then=SPANS)
     def store_loses(self, faults: list[Fault], then: timedelta) -> None:
-        """Have the next transactions go wrong, and hung ones land later."""
+        """Inject faults into the next transactions, and apply delayed ones later."""
         self.world.table.faults = list(faults)
         self.pass_time(then)
         self.world.table.deliver()
 
     @rule(is_stale=st.booleans(), then=SPANS)
     def reads_change(self, is_stale: bool, then: timedelta) -> None:
-        """Have reads stand still, or be true again."""
+        """Make reads stale, or current again."""
         if is_stale:
             self.world.table.freeze_reads()
         else:
@@ -160,17 +162,17 @@
 
     @rule(is_silent=st.booleans(), then=SPANS)
     def gossip_changes(self, is_silent: bool, then: timedelta) -> None:
-        """Cut all instances off from each other, or join them."""
-        self.world.is_silent = is_silent and self.may_fall_silent
-        self.world.was_silent |= self.world.is_silent
+        """Partition all instances from each other, or reconnect them."""
+        self.world.is_partitioned = is_silent and self.may_partition
+        self.world.was_partitioned |= self.world.is_partitioned
         self.pass_time(then)
 
     @invariant()
     def one_holder(self) -> None:
-        """Check that no two hold a lease at once, and that numbers only grow."""
-        lives = [*self.world.nodes.values(), *self.world.retired]
+        """Check that a lease has at most one holder, and fencing numbers only grow."""
+        nodes = [*self.world.nodes.values(), *self.world.replaced_nodes]
         for duty in Duty:
-            holding = [node for node in lives if node.holds(duty)]
+            holding = [node for node in nodes if node.holds(duty)]
             assert len(holding) <= 1, (duty, holding)
             for node in holding:
                 lease = node.view.current(duty)
@@ -180,28 +182,28 @@
 
     @invariant()
     def no_late_order(self) -> None:
-        """Check that no order went out without a lease, or after a newer one."""
-        assert self.world.unheld_orders == 0
+        """Check that no order was sent without a lease, or after a newer one."""
+        assert self.world.orders_without_lease == 0
         for engine in self.world.engines.values():
             assert engine.mode is not FencingMode.IGNORED or engine.late_orders == 0
 
     @invariant()
     def loads_are_spaced(self) -> None:
-        """Check that the weight store is asked no more often than it bears."""
+        """Check that the weight store isn't used more often than its limit."""
         loads = sorted(at for e in self.world.engines.values() for at in e.loads)
         for earlier, later in zip(loads, loads[1:], strict=False):
             assert later - earlier >= LOAD_INTERVAL
 
     @invariant()
     def every_engine_has_a_version(self) -> None:
-        """Check that no engine is without a version that answers."""
+        """Check that each engine has a version that is ready."""
         now = self.world.now
         for engine in self.world.engines.values():
             assert engine.ready_versions(now), engine
 
     @invariant()
-    def only_what_is_nobody_s_is_freed(self) -> None:
-        """Check that nothing of a living owner was freed before its deadline."""
+    def only_orphaned_holdings_are_freed(self) -> None:
+        """Check that no holding of a live owner was freed before its deadline."""
         living = {
             (node.identity.instance, node.identity.incarnation)
             for node in self.world.nodes.values()
@@ -213,36 +215,36 @@
                 assert overdue or owner not in living, stream
 
     @invariant()
-    def poison_costs_two(self) -> None:
-        """Check that the poisoned body has cost two engines at most.
+    def crashing_body_costs_two_engines(self) -> None:
+        """Check that the crashing body has crashed two engines at most.
 
-        It costs more if it runs on more before the first one crashes. What nobody
-        notices can't be held against it, and while instances can't hear each other
-        each one finds out for itself.
+        There are more if it runs on more before the first crash. Crashes that no
+        instance observed don't count, and during a partition each instance finds out
+        for itself.
         """
         cost = [
             engine.name
             for engine in self.world.engines.values()
-            if any(POISON in bodies for bodies in engine.noticed)
+            if any(CRASHING_BODY in bodies for bodies in engine.observed_crashes)
         ]
-        if not self.world.was_silent:
-            assert len(cost) <= max(2, self.world.poison_width), cost
+        if not self.world.was_partitioned:
+            assert len(cost) <= max(2, self.world.max_crashing_engines), cost
 
     @invariant()
-    def outcomes_are_honest(self) -> None:
-        """Check that not run means not run, and that only the poison is condemned."""
+    def outcomes_are_correct(self) -> None:
+        """Check that "not run" is true, and only the crashing body is quarantined."""
         for name, conclusion in self.world.conclusions.items():
             if conclusion.outcome is Outcome.NOT_RUN:
                 assert not self._was_started(name), conclusion
             problem = conclusion.problem
             if problem is not None and problem.code is ProblemCode.QUARANTINED:
-                assert self.world.requests[name].body_digest == POISON
+                assert self.world.requests[name].body_digest == CRASHING_BODY
 
     @invariant()
     def all_end_in_time(self) -> None:
-        """Check that each request of a waking instance has ended by its deadline."""
-        for name, home in self.world.homes.items():
-            if home.is_dead or home.is_asleep or name in self.world.conclusions:
+        """Check that each request of a running instance has ended by its deadline."""
+        for name, home in self.world.home_nodes.items():
+            if home.is_dead or home.is_frozen or name in self.world.conclusions:
                 continue
             deadline = self.world.requests[name].deadline
             assert self.world.now <= deadline + STEP, name
@@ -251,30 +253,30 @@
         return any(name in engine.started for engine in self.world.engines.values())
 
     def teardown(self) -> None:
-        """Heal everything; all must come to rest, and nothing be left behind."""
+        """End all faults; the system must become idle and leave no holdings behind."""
         world = self.world
         world.table.down = False
         world.table.faults = []
         world.table.thaw_reads()
-        world.is_silent = False
+        world.is_partitioned = False
         for node in world.nodes.values():
-            node.wake()
+            node.resume()
         for _ in range(36):
             self.pass_time(LIST_PERIOD)
         versions = [
             engine.ready_versions(world.now) for engine in world.engines.values()
         ]
-        assert versions == [{world.wanted}] * len(world.engines), versions
+        assert versions == [{world.model_version}] * len(world.engines), versions
         assert not any(engine.streams for engine in world.engines.values())
-        living = [name for name, home in world.homes.items() if not home.is_dead]
+        living = [name for name, home in world.home_nodes.items() if not home.is_dead]
         assert all(name in world.conclusions for name in living)
 
 
 def test_promises_hold_whatever_fails_in_whatever_order() -> None:
-    """Instances freeze, die and come back, engines crash and are cut off.
+    """Instances freeze, die and restart, engines crash and are cut off.
 
-    The store is down, stale, loses answers or does writes late; peers fall silent;
-    operators change their minds; a poisoned letter is sent again and again.
+    The store is down, stale, loses answers or applies writes late; instances are
+    partitioned; operators change versions; a request that crashes engines is repeated.
     """
     explore(RecoveryMachine, EXAMPLES, STEPS)
 
