--- a/src/mimosafork/gateway/attempt_diagnostics.py
+++ b/src/mimosafork/gateway/attempt_diagnostics.py
@@ -1,4 +1,4 @@
-"""What the log tells of an attempt beside its outcome: zones, connection, forecast."""
+"""Diagnostics of an attempt for the log: zones, connection and prediction."""
 
 from datetime import timedelta
 
@@ -7,31 +7,31 @@
 from ..ids import AvailabilityZoneId
 from .upstream import ConnectionLoss
 
-UNNAMED = "?"
-"""Stands in a list of zones for an endpoint that is no longer known."""
+UNKNOWN_NAME = "?"
+"""Placeholder in a list of zones for an endpoint that is no longer known."""
 
 
 class NameList(msgspec.Struct, frozen=True):
-    """Names that become one text where a line is written, and only there."""
+    """Names that are joined lazily, when the log line is formatted."""
 
     names: tuple[str | None, ...]
 
     def __str__(self) -> str:
-        """Return them joined by commas."""
-        return ",".join(name or UNNAMED for name in self.names)
+        """Return the names joined by commas."""
+        return ",".join(name or UNKNOWN_NAME for name in self.names)
 
 
 class AttemptPlacement(msgspec.Struct, frozen=True):
-    """Where an attempt goes, and what placement expects of it.
+    """Zones of an attempt and its predicted first token.
 
     Attributes
     ----------
     zone : AvailabilityZoneId or None
-        Of the endpoint; None if it is not known.
+        Zone of the endpoint; None if unknown.
     helper_zones : tuple of AvailabilityZoneId or None
-        Of the helpers, in their order.
+        Zones of the helpers, in the order of the helpers.
     first_token_at : timedelta or None
-        Monotonic instant of the predicted first token; None without a forecast.
+        Monotonic time of the predicted first token; None without a prediction.
     """
 
     zone: AvailabilityZoneId | None = None
@@ -40,18 +40,18 @@
 
 
 class AttemptDiagnostics(msgspec.Struct):
-    """What is noted of a call's latest attempt.
+    """Diagnostics of a call's latest attempt.
 
     Attributes
     ----------
-    spread : Spread
+    placement : AttemptPlacement
     connecting_since : timedelta or None
-        Monotonic instant at which a connection was wanted for it; None if a kept one
-        was taken.
+        Monotonic time at which a new connection was requested; None if a pooled one
+        was used.
     connect_time : timedelta or None
-        Until it was open, or could not be opened.
-    ending : ConnectionLoss or None
-        How its connection ended; None if it was not, or goes on.
+        How long the connect took until it succeeded or failed.
+    connection_loss : ConnectionLoss or None
+        How the connection was lost; None if it wasn't.
     """
 
     placement: AttemptPlacement = AttemptPlacement()
@@ -60,6 +60,6 @@
     connection_loss: ConnectionLoss | None = None
 
     def note_connected(self, now: timedelta) -> None:
-        """Note that a connection that was wanted is open, or never will be."""
+        """Record that connecting has succeeded or failed."""
         if self.connecting_since is not None and self.connect_time is None:
             self.connect_time = now - self.connecting_since
--- a/src/mimosafork/gateway/call.py
+++ b/src/mimosafork/gateway/call.py
@@ -1,4 +1,4 @@
-"""A caller's call while it is open: what has been sent to the caller of it."""
+"""State of an open call and of its response to the caller."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -19,31 +19,31 @@
 
 
 class CompleteResponse(msgspec.Struct, frozen=True):
-    """An endpoint's answer, read to its end."""
+    """A response of an endpoint with its complete body."""
 
     head: ResponseHead
     body: bytes
 
 
 class Responder(Protocol):
-    """The caller's connection, as a call sees it."""
+    """Interface of a call to the caller's connection."""
 
     def send_response(
         self, status: int, reason: bytes, headers: list[Header], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
     def begin_response(self, status: int, reason: bytes, headers: list[Header]) -> None:
-        """Send the head of an answer whose body comes in parts."""
+        """Send the head of a response whose body follows in parts."""
 
     def send_body(self, data: bytes) -> None:
-        """Send a part of a body that was begun."""
+        """Send a part of the body."""
 
     def end_response(self) -> None:
-        """End a body that was begun; it is whole."""
+        """Complete the body."""
 
     def abort_response(self) -> None:
-        """Close the connection so that the answer can't look whole."""
+        """Abort the connection so that the response can't look complete."""
 
 
 class Call(msgspec.Struct):
@@ -52,43 +52,43 @@
     Attributes
     ----------
     request_id : RequestId
-        This instance's own; the caller's stands in `marks`.
+        Id that this instance assigned; the caller's own id is in `metadata`.
     arrived_at : timedelta
-        Monotonic instant of the first byte.
+        Monotonic time of the first byte.
     head_sent : bool
-        The caller has got the head of its answer.
-    last_event : int or None
-        Number of the last event that the caller has: sent to it, or named by it.
-    events : int
-        Events sent to the caller.
+        Whether the response head was sent to the caller.
+    last_event_id : int or None
+        Last event that the caller has: sent to it, or named in its request.
+    events_sent : int
+        Number of events sent to the caller.
     endpoint_failure : CompleteResponse or None
-        An endpoint's own answer that tells of a failure, for the caller if nothing
-        better follows.
+        Error response of an endpoint; sent to the caller if no later attempt
+        succeeds.
     first_sent_at, last_sent_at : timedelta or None
-        When the first event, or the answer, and the latest event went out.
+        When the first event or the complete response, and the latest event, were sent.
     cut : bool
-        The connection was closed in the middle of the answer, which had begun.
+        Whether the connection was closed in the middle of the response.
     longest_pause : timedelta or None
-        Between two events in turn; None before the second.
-    version : int or None
-        Of the configuration by which it was taken.
+        Longest time between consecutive events; None before the second event.
+    table_version : int or None
+        Version of the routing table that admitted the call.
     endpoints : list of EndpointId
-        To which it was sent, in order.
+        Endpoints of all attempts, in order.
     helpers : tuple of PrefillHelper
-        Of the latest attempt.
+        Helpers of the latest attempt.
     placed_at : timedelta or None
-        When it was first given a place.
-    inputs : Inputs or None
-        By which it was last given one.
-    behind : bool
-        The caller doesn't keep up: nothing more should be read for it.
+        When the call was first placed.
+    inputs : DecisionInputs or None
+        Inputs of the latest placement.
+    caller_stalled : bool
+        Whether the caller reads too slowly, so that reading for it is paused.
     diagnostics : AttemptDiagnostics
-        Of the latest attempt.
+        Diagnostics of the latest attempt.
     zones : list of AvailabilityZoneId or None
-        Of `endpoints`, in their order.
+        Zones of `endpoints`, in their order.
     first_token_at : timedelta or None
-        Monotonic instant at which placement expected the first event, by the attempt
-        that was to bring it.
+        Monotonic time of the first event as predicted at the latest placement before
+        the first event.
     """
 
     request_id: RequestId
@@ -121,14 +121,14 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has got a part of its answer."""
+        """Whether part of the response was sent to the caller."""
         return self.head_sent
 
     def begin_stream(self, head: ResponseHead, headers: list[Header]) -> None:
-        """Send the head of a stream, unless an earlier attempt has.
+        """Send the head of a stream, unless an earlier attempt has sent it.
 
-        The caller keeps the head and the signature of the first endpoint when
-        another one goes on with the stream.
+        When another endpoint resumes the stream, the head and the signature of the
+        first one remain valid for the caller.
         """
         if self.head_sent:
             return
@@ -137,10 +137,10 @@
         self.responder.begin_response(head.status, head.reason, headers)
 
     def forward_event(self, event: RawStreamEvent, now: timedelta) -> None:
-        """Send an event, unless the caller has it already.
+        """Send an event, unless the caller already has it.
 
-        An endpoint that goes on with a stream may begin too early; an event that
-        came twice would double its text.
+        An endpoint that resumes a stream may start too early; a repeated event would
+        duplicate its text.
         """
         if event.number is not None:
             if self.last_event_id is not None and event.number <= self.last_event_id:
--- a/src/mimosafork/gateway/call_log.py
+++ b/src/mimosafork/gateway/call_log.py
@@ -1,4 +1,4 @@
-"""Tells log and metrics of calls: how each ended, who decided it, and by what."""
+"""Log lines and metrics of calls: outcome, deciding rule and its inputs."""
 
 import logging
 from collections.abc import Iterable
@@ -37,9 +37,9 @@
 logger = logging.getLogger(__name__)
 
 ROUTING = "routing"
-"""The rule that refuses what no route or key of the configuration fits."""
+"""Rule name for calls without a matching route or key in the configuration."""
 
-RULES = {
+RULE_BY_PROBLEM = {
     ProblemCode.QUARANTINED: CrashQuarantine.name,
     ProblemCode.OVERLOADED: WorkPlacer.name,
     ProblemCode.NO_ENDPOINT: BudgetedRetry.name,
@@ -48,25 +48,25 @@
     ProblemCode.CALLER_GONE: "caller",
     ProblemCode.SHUTTING_DOWN: "stop",
 }
-"""Who decides that a call ends with a problem: a plug-in, or what happened."""
+"""Plug-in or event that decides that a call ends with a problem."""
 
-LIST_MARK = ","
+LIST_SEPARATOR = ","
 
 
 class CallLog:
-    """Writes one line for each attempt that failed and for each call's end.
+    """Writes a log line for each failed attempt and for the end of each call.
 
     Parameters
     ----------
     clock : Clock
-        The kernel's.
+        The kernel's clock.
 
     Attributes
     ----------
-    look : Look
-        Tells what decisions go by.
-    meter : CallMeter or None
-        Counts what is told here, where there is a metrics page.
+    instance_view : InstanceView
+        Provides the inputs of decisions.
+    meter : CallMetrics or None
+        Updates the metrics; None without a metrics page.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -75,16 +75,16 @@
         self.meter: CallMetrics | None = None
 
     def placed(self, call: Call, dispatch: Dispatch) -> None:
-        """Note where a call goes, and by what; its end tells it."""
+        """Record the placement of an attempt and its inputs for later log lines."""
         if call.placed_at is None:
             call.placed_at = self.clock.monotonic()
         call.endpoints.append(dispatch.endpoint)
         call.helpers = dispatch.helpers
-        spread = self.instance_view.attempt_placement(dispatch)
-        call.diagnostics = AttemptDiagnostics(spread)
-        call.zones.append(spread.zone)
+        placement = self.instance_view.attempt_placement(dispatch)
+        call.diagnostics = AttemptDiagnostics(placement)
+        call.zones.append(placement.zone)
         if call.first_sent_at is None:
-            call.first_token_at = spread.first_token_at
+            call.first_token_at = placement.first_token_at
         call.inputs = self.instance_view.inputs(ServiceId(call.request.target))
         if self.meter is not None:
             self.meter.count_attempt(call)
@@ -92,18 +92,18 @@
     def refused(
         self,
         message: RequestMessage,
-        marks: CallMetadata,
+        metadata: CallMetadata,
         refusal: CallRefusal,
         table: RoutingTable | None,
     ) -> None:
-        """Tell of a call that no route or key fits."""
+        """Log a call that matches no route or key."""
         if self.meter is not None:
             self.meter.count_rejected_call(refusal.reason)
         inputs = self.instance_view.inputs(ServiceId(""))
         log_event(
             logger,
             CALL_REFUSED,
-            call=marks.call_id,
+            call=metadata.call_id,
             reason=refusal.reason,
             status=int(refusal.status),
             host=message.head.host,
@@ -117,32 +117,32 @@
     def attempt_failed(
         self, call: Call, failure: AttemptFailed, reused: bool, then: Iterable[Effect]
     ) -> None:
-        """Tell of an attempt without a whole answer, and of what was decided.
+        """Log an attempt without a complete response, and the decision on it.
 
         Parameters
         ----------
         reused : bool
-            Its connection had served another call.
+            Whether its connection had served another call.
         then : iterable of Effect
-            What the kernel decided on it.
+            The effects that the kernel decided.
         """
         now = self.clock.monotonic()
-        left = call.request.deadline - now
-        word = failure_label(failure, left)
+        time_left = call.request.deadline - now
+        label = failure_label(failure, time_left)
         if self.meter is not None:
-            self.meter.count_failed_attempt(call, word)
+            self.meter.count_failed_attempt(call, label)
         log_event(
             logger,
-            ATTEMPT_OUT_OF_TIME if word == OUT_OF_TIME else ATTEMPT_FAILED,
+            ATTEMPT_OUT_OF_TIME if label == OUT_OF_TIME else ATTEMPT_FAILED,
             call=call.metadata.call_id,
-            **self._whose(call),
+            **self._call_fields(call),
             endpoint=failure.endpoint,
             zone=call.diagnostics.placement.zone,
             own_zone=self.instance_view.own_zone,
             helpers=helpers_of(call),
             helper_zones=helper_zones_of(call),
             attempt=failure.attempt,
-            kind=word,
+            kind=label,
             exposure=failure.exposure.value,
             repeatability=call.request.repeatability.value,
             content=call.request.body_digest,
@@ -156,19 +156,19 @@
             since_event_ms=since_event(call, now),
             expected_ms=since_arrival(call, call.first_token_at),
             first_ms=since_arrival(call, call.first_sent_at),
-            left_ms=milliseconds(left),
+            left_ms=milliseconds(time_left),
             rule=BudgetedRetry.name,
-            then=decided(then),
+            then=describe_decision(then),
             **self.instance_view.inputs(ServiceId(call.request.target)).fields(),
         )
 
     def restored(self, call: Call, dispatch: Dispatch) -> None:
-        """Tell that a silent attempt goes on, as no other has answered before."""
+        """Log that a silent attempt is continued, as no other one answered first."""
         log_event(
             logger,
             ATTEMPT_RESTORED,
             call=call.metadata.call_id,
-            **self._whose(call),
+            **self._call_fields(call),
             endpoint=dispatch.endpoint,
             attempt=dispatch.attempt,
             events=call.events_sent,
@@ -177,7 +177,7 @@
         )
 
     def ended(self, call: Call, conclusion: Conclude) -> None:
-        """Tell how a call ended: shortly where it was served."""
+        """Log the end of a call; the line of a served call is shorter."""
         if self.meter is not None:
             self.meter.count_ended_call(call, conclusion)
         if conclusion.problem is None:
@@ -191,10 +191,10 @@
             logger,
             CALL_ENDED,
             call=call.metadata.call_id,
-            **self._whose(call),
+            **self._call_fields(call),
             status=call.status,
             attempts=conclusion.attempts,
-            **self._course(call),
+            **self._progress_fields(call),
             **inputs,
         )
 
@@ -205,11 +205,11 @@
             logger,
             CALL_NOT_SERVED,
             call=call.metadata.call_id,
-            **self._whose(call),
+            **self._call_fields(call),
             outcome=conclusion.outcome.value,
             status=call.status,
             cut=call.cut,
-            rule=RULES.get(problem.code, "kernel"),
+            rule=RULE_BY_PROBLEM.get(problem.code, "kernel"),
             why=problem.code.value,
             detail=problem.detail,
             repeatability=call.request.repeatability.value,
@@ -217,13 +217,13 @@
             allowed_ms=milliseconds(call.request.deadline - call.arrived_at),
             attempts=conclusion.attempts,
             own_zone=self.instance_view.own_zone,
-            **self._course(call),
+            **self._progress_fields(call),
             since_event_ms=since_event(call, self.clock.monotonic()),
             load_age_ms=milliseconds(self.instance_view.load_age()),
             **self.instance_view.inputs(ServiceId(call.request.target)).fields(),
         )
 
-    def _whose(self, call: Call) -> LogFields:
+    def _call_fields(self, call: Call) -> LogFields:
         return {
             "route": call.route.name,
             "account": call.account,
@@ -231,14 +231,14 @@
             "version": call.table_version,
         }
 
-    def _course(self, call: Call) -> LogFields:
+    def _progress_fields(self, call: Call) -> LogFields:
         terms = call.request.terms
         return {
             "objective_ms": None if terms is None else milliseconds(terms.objective),
             "longest_gap_ms": None
             if terms is None
             else milliseconds(terms.longest_pause),
-            "endpoints": LIST_MARK.join(call.endpoints),
+            "endpoints": LIST_SEPARATOR.join(call.endpoints),
             "zones": NameList(tuple(call.zones)) if any(call.zones) else None,
             "helpers": helpers_of(call),
             "helper_zones": helper_zones_of(call),
@@ -254,18 +254,18 @@
 
 
 def helpers_of(call: Call) -> str | None:
-    """Return the helpers of a call's last attempt; None if it had none."""
-    return LIST_MARK.join(each.endpoint for each in call.helpers) or None
+    """Return the helpers of a call's latest attempt; None if it had none."""
+    return LIST_SEPARATOR.join(each.endpoint for each in call.helpers) or None
 
 
 def helper_zones_of(call: Call) -> NameList | None:
-    """Return the zones of a call's last helpers, in their order; None without any."""
+    """Return the zones of a call's latest helpers, in order; None without any."""
     zones = call.diagnostics.placement.helper_zones
     return NameList(zones) if any(zones) else None
 
 
 def connection_fields(call: Call) -> LogFields:
-    """Return how the last attempt's connection came to be, and how it ended."""
+    """Return the connect time of the latest attempt and how its connection was lost."""
     notes = call.diagnostics
     return {
         "connect_ms": milliseconds(notes.connect_time),
@@ -274,17 +274,17 @@
 
 
 def since_event(call: Call, now: timedelta) -> int | None:
-    """Return milliseconds since the last event; None if there was none."""
+    """Return the milliseconds since the last event; None if there was none."""
     return None if call.last_sent_at is None else milliseconds(now - call.last_sent_at)
 
 
 def since_arrival(call: Call, instant: timedelta | None) -> int | None:
-    """Return milliseconds from a call's first byte; None if it never came to it."""
+    """Return the milliseconds since a call's first byte; None if the time is None."""
     return None if instant is None else milliseconds(instant - call.arrived_at)
 
 
-def decided(effects: Iterable[Effect]) -> str:
-    """Return what becomes of a call after a failed attempt."""
+def describe_decision(effects: Iterable[Effect]) -> str:
+    """Return a description of what follows a failed attempt."""
     kinds = {type(effect) for effect in effects}
     if Conclude in kinds:
         return "given up"
--- a/src/mimosafork/gateway/dialect.py
+++ b/src/mimosafork/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""What the gateway needs to know of a deployment's manner of speaking."""
+"""Interface to the HTTP headers and orders of a deployment."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -15,20 +15,20 @@
 
 
 class CallMetadata(msgspec.Struct, frozen=True):
-    """What a caller says about its call.
+    """Metadata of a call from the caller's headers.
 
     Attributes
     ----------
     call_id : str
-        The caller's own id of this attempt; empty if it gave none.
+        Id that the caller gave to the request; empty if none.
     time_left : timedelta or None
         How long the caller waits.
-    last_event : int or None
-        The stream goes on behind this event.
+    last_event_id : int or None
+        Event after which the stream resumes.
     key : ApiKey or None
-    prompt_tokens, most_tokens, expected_tokens : int
-        Of the prompt, and of the answer at most and by the caller's estimate; 0 if
-        it doesn't say.
+    prompt_tokens, max_tokens, expected_tokens : int
+        Length of the prompt, and the maximum and the expected length of the output; 0
+        if not given.
     """
 
     call_id: str
@@ -41,7 +41,7 @@
 
 
 class AttemptMetadata(msgspec.Struct, frozen=True):
-    """What this instance tells an endpoint about an attempt."""
+    """Metadata of an attempt that is sent to the endpoint."""
 
     endpoint: EndpointId
     time_left: timedelta
@@ -52,20 +52,20 @@
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True):
-    """What an endpoint says about its answer.
+    """Metadata of a response from the endpoint's headers.
 
     Attributes
     ----------
     call_id : str or None
-        The caller's id of the call that it answers.
+        The caller's id of the answered call.
     signed : bool
-        It bears the endpoint's signature.
+        Whether the response carries the endpoint's signature.
     not_run : bool
-        The endpoint states that it did not run the call.
-    elsewhere : bool
-        The endpoint that was expected isn't at this address.
+        Whether the endpoint states that it did not run the call.
+    endpoint_moved : bool
+        Whether another endpoint than the expected one answers at this address.
     fault_at : str or None
-        Address of the endpoint at fault, if it is another one.
+        Address of the failed endpoint, if it is a different one.
     """
 
     call_id: str | None
@@ -76,39 +76,39 @@
 
 
 class OrderMessage(msgspec.Struct, frozen=True):
-    """An order to an endpoint, with a body in JSON."""
+    """An order to an endpoint, with a JSON body."""
 
     path: str
     body: bytes
 
 
 class Dialect(Protocol):
-    """Reads and writes the headers of calls, and orders to endpoints."""
+    """Parses and builds headers of calls, and builds orders to endpoints."""
 
     def parse_call_metadata(self, head: RequestHead) -> CallMetadata:
-        """Return what a caller's headers say.
+        """Parse the headers of a caller's request.
 
         Raises
         ------
         BadRequestError
-            If a header can't be read.
+            If a header is malformed.
         """
 
     def endpoint_headers(
         self, head: RequestHead, metadata: AttemptMetadata
     ) -> list[Header]:
-        """Return the headers of an attempt, but those that frame its body."""
+        """Return the headers of an attempt, without those that frame the body."""
 
     def parse_response_metadata(self, head: ResponseHead) -> ResponseMetadata:
-        """Return what an endpoint's headers say."""
+        """Parse the headers of an endpoint's response."""
 
     def local_response_headers(
         self, call_id: str, retry_after: timedelta | None
     ) -> list[Header]:
-        """Return the headers of an answer that this instance gives itself."""
+        """Return the headers of a response that this instance generates."""
 
     def order(self, effect: Effect) -> OrderMessage:
-        """Return what has an endpoint carry out an effect."""
+        """Return the order that carries out an effect at an endpoint."""
 
     def order_failure(self, status: int) -> GangStepFailure | None:
-        """Return why an order was not carried out; None if it was."""
+        """Return why an order failed; None if it succeeded."""
--- a/src/mimosafork/gateway/errors.py
+++ b/src/mimosafork/gateway/errors.py
@@ -10,14 +10,14 @@
 
 
 class BadRequestError(GatewayError):
-    """A caller's bytes are no proper request.
+    """A caller's request is malformed or can't be accepted.
 
     Parameters
     ----------
     status : HTTPStatus
-        What the caller is told; its connection is closed after it.
+        Status of the response, after which the connection is closed.
     detail : str
-        What was wrong, for the log.
+        Reason, for the log.
     """
 
     def __init__(self, status: HTTPStatus, detail: str) -> None:
@@ -27,4 +27,4 @@
 
 
 class BadResponseError(GatewayError):
-    """An endpoint's bytes are no proper answer."""
+    """An endpoint sent a malformed response."""
--- a/src/mimosafork/gateway/event_stream.py
+++ b/src/mimosafork/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events of an event stream, with their ids."""
+"""Splitter for server-sent events."""
 
 import re
 
@@ -11,26 +11,27 @@
 
 
 class RawStreamEvent(msgspec.Struct, frozen=True):
-    """One event with the empty line that ends it; `number` is its id, if any."""
+    """One event with its terminating empty line; `number` is its id, if any."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Cuts a stream into whole events.
+    """Splits a byte stream into complete events.
 
-    An endpoint may stop in the middle of an event. A caller that got the first half
-    would join it to whatever follows, so only whole events leave this class.
+    An endpoint may break off in the middle of an event. A caller that had received the
+    first half would join it with the next event, so only complete events are returned.
     """
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[RawStreamEvent]:
-        """Take bytes; return the events that they complete."""
-        # No end was found before: a new one ends in the new bytes. Searching all
-        # again would make a long event in many pieces cost the square of its length.
+        """Add received bytes; return the events that they complete."""
+        # The buffer holds no complete terminator, so a new one ends in the new bytes.
+        # Searching the whole buffer each time would be quadratic for a long event that
+        # arrives in many pieces.
         searched = max(0, len(self.buffer) - LONGEST_END + 1)
         self.buffer += data
         events = []
@@ -44,11 +45,11 @@
 
     @property
     def remainder(self) -> bytes:
-        """What came after the last whole event."""
+        """Bytes after the last complete event."""
         return bytes(self.buffer)
 
 
 def event_id_of(block: bytes) -> int | None:
-    """Return the id of an event; None if it has none."""
+    """Return the numeric id of an event, or None."""
     match = EVENT_ID.search(block)
     return int(match[1]) if match else None
--- a/src/mimosafork/gateway/failure_labels.py
+++ b/src/mimosafork/gateway/failure_labels.py
@@ -1,4 +1,4 @@
-"""In which word a failed attempt is told: what ran out of time is no fault."""
+"""Labels of failed attempts, which separate an expired deadline from a failure."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -6,26 +6,30 @@
 from ..kernel.messages.attempts import AttemptFailed, FailureKind
 
 OUT_OF_TIME = "out-of-time"
-"""An endpoint's own 504 at the end of the time that it was handed with the call."""
+"""Label of an endpoint's own 504 at the deadline that was sent with the call."""
 
-AT_THE_LIMIT = timedelta(milliseconds=100)
-"""With no more time left than this, a 504 tells that the call's time is over. The
-endpoint counts from the request's arrival, and the answer takes a way; a 504 that comes
-sooner has another cause."""
+DEADLINE_TOLERANCE = timedelta(milliseconds=100)
+"""A 504 with at most this much time left means that the call's deadline expired. The
+endpoint counts from the arrival of the request, and its response takes time to travel;
+an earlier 504 has another cause."""
 
 
-def failure_label(failure: AttemptFailed, left: timedelta) -> str:
-    """Return how an attempt failed, in a word.
+def failure_label(failure: AttemptFailed, time_left: timedelta) -> str:
+    """Return the label of a failed attempt.
 
-    Guard: calls that run out of time at a sound endpoint come all day, and looked like
-    engines that fail: nobody saw the ones that did.
+    Calls that exceed their deadline at a healthy endpoint are common. Under the label
+    of an engine failure they would hide the engines that do fail.
 
     Parameters
     ----------
-    left : timedelta
-        Of the call's time; negative after its end.
+    time_left : timedelta
+        Time until the call's deadline; negative after it.
     """
     own = failure.kind is FailureKind.ENGINE_FAILED
-    if own and failure.status == HTTPStatus.GATEWAY_TIMEOUT and left <= AT_THE_LIMIT:
+    if (
+        own
+        and failure.status == HTTPStatus.GATEWAY_TIMEOUT
+        and time_left <= DEADLINE_TOLERANCE
+    ):
         return OUT_OF_TIME
     return failure.kind.value
--- a/src/mimosafork/gateway/page_connection.py
+++ b/src/mimosafork/gateway/page_connection.py
@@ -1,4 +1,4 @@
-"""Connections that answer small questions about this instance itself."""
+"""Connections for health and metrics pages of this instance."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -12,16 +12,16 @@
 from .heads import Header, render_head
 from .request_reader import RequestReader
 
-ANSWER_LIMITS = ClientLimits(header_bytes=4096, body_bytes=0)
+PAGE_LIMITS = ClientLimits(header_bytes=4096, body_bytes=0)
 
 
 class PageResponse(msgspec.Struct, frozen=True):
-    """What a question is answered with.
+    """Response to a page request.
 
     Attributes
     ----------
     content_type : bytes or None
-        None leaves the header out.
+        None omits the header.
     """
 
     status: HTTPStatus
@@ -30,39 +30,39 @@
 
 
 class PageConnection(asyncio.Protocol, ABC):
-    """Answers each request at once, and closes on what is no request."""
+    """Answers each request immediately; closes on a malformed request."""
 
     def __init__(self) -> None:
-        self.reader = RequestReader(ANSWER_LIMITS)
+        self.reader = RequestReader(PAGE_LIMITS)
         self.transport: asyncio.Transport | None = None
 
     @abstractmethod
     def respond(self, path: str) -> PageResponse:
-        """Return the answer to a request for a path."""
+        """Return the response for a path."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Answer the requests that are whole."""
+        """Answer all complete requests."""
         self.reader.feed(data)
         try:
             while (message := self.reader.next_request()) is not None:
-                answer = self.respond(message.head.path)
-                self._write(answer, message.head.keeps_alive)
+                response = self.respond(message.head.path)
+                self._write(response, message.head.keeps_alive)
         except BadRequestError:
             self._close()
 
-    def _write(self, answer: PageResponse, keep: bool) -> None:
-        headers = [Header(b"Content-Length", b"%d" % len(answer.body))]
-        if answer.content_type is not None:
-            headers.insert(0, Header(b"Content-Type", answer.content_type))
+    def _write(self, response: PageResponse, keep: bool) -> None:
+        headers = [Header(b"Content-Length", b"%d" % len(response.body))]
+        if response.content_type is not None:
+            headers.insert(0, Header(b"Content-Type", response.content_type))
         if not keep:
             headers.append(Header(b"Connection", b"close"))
-        line = b"HTTP/1.1 %d %s" % (answer.status, answer.status.phrase.encode())
+        line = b"HTTP/1.1 %d %s" % (response.status, response.status.phrase.encode())
         if self.transport is not None:
-            self.transport.write(render_head(line, headers) + answer.body)
+            self.transport.write(render_head(line, headers) + response.body)
         if not keep:
             self._close()
 
--- a/src/mimosafork/gateway/problems.py
+++ b/src/mimosafork/gateway/problems.py
@@ -1,4 +1,4 @@
-"""How the end of a request that has no answer is told to its caller."""
+"""HTTP statuses for requests that end without a response of an endpoint."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -9,7 +9,7 @@
 from ..kernel.messages.problems import ProblemCode
 
 DEFAULT_RETRY_AFTER = timedelta(milliseconds=500)
-"""Told where the kernel gives no time of its own."""
+"""Retry delay if the kernel gives none."""
 
 NOT_RUN_STATUSES = frozenset(
     {
@@ -19,33 +19,35 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     }
 )
-"""Statuses that tell a caller that its request has not run and never will."""
+"""Statuses that guarantee that the request has not run and never will."""
 
-TIMED_OUT = frozenset({ProblemCode.DEADLINE_PASSED, ProblemCode.DEADLINE_UNREACHABLE})
+TIMEOUT_CODES = frozenset(
+    {ProblemCode.DEADLINE_PASSED, ProblemCode.DEADLINE_UNREACHABLE}
+)
 
 
 class FinalStatus(msgspec.Struct, frozen=True):
-    """Status of the final answer, and when to come back."""
+    """Status and retry delay of the final response."""
 
     status: HTTPStatus
     retry_after: timedelta | None
 
 
 def final_status(conclusion: Conclude) -> FinalStatus:
-    """Return what a caller is told of a request that ended without an answer.
+    """Return the status for a request that ended without a response.
 
-    503 and 429 promise that the request has not run and never will; so they follow
-    from the outcome alone, whatever the problem was.
+    503 and 429 guarantee that the request has not run and never will, so they depend on
+    the outcome alone and not on the kind of problem.
     """
     problem = conclusion.problem
     code = problem.code if problem is not None else ProblemCode.INTERNAL
-    asked = problem.retry_after if problem is not None else None
+    requested = problem.retry_after if problem is not None else None
     if conclusion.outcome is Outcome.NOT_RUN:
         limited = code is ProblemCode.RATE_LIMITED
         status = (
             HTTPStatus.TOO_MANY_REQUESTS if limited else HTTPStatus.SERVICE_UNAVAILABLE
         )
-        return FinalStatus(status, asked or DEFAULT_RETRY_AFTER)
-    if code in TIMED_OUT:
+        return FinalStatus(status, requested or DEFAULT_RETRY_AFTER)
+    if code in TIMEOUT_CODES:
         return FinalStatus(HTTPStatus.GATEWAY_TIMEOUT, None)
     return FinalStatus(HTTPStatus.BAD_GATEWAY, None)
--- a/src/mimosafork/gateway/request_reader.py
+++ b/src/mimosafork/gateway/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads requests from a caller's bytes, one at a time."""
+"""Incremental parser for HTTP requests from callers."""
 
 from http import HTTPStatus
 
@@ -11,11 +11,11 @@
 
 HEAD_END = b"\r\n\r\n"
 CHUNKED_HEAD = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-"""Sets the parser to read chunks; the caller's own head is checked here."""
+"""Puts the parser into chunked mode; the caller's own head is parsed by this module."""
 
 
 class RequestMessage(msgspec.Struct, frozen=True):
-    """A whole request."""
+    """A complete request."""
 
     head: RequestHead
     body: bytes
@@ -27,9 +27,9 @@
     Attributes
     ----------
     complete : bool
-        The last chunk has been read.
+        Whether the last chunk has been read.
     overrun : bool
-        Bytes followed the body before it was answered.
+        Whether more bytes followed the body.
     """
 
     def __init__(self, limit: int) -> None:
@@ -38,12 +38,12 @@
         self.size = 0
         self.complete = False
         self.overrun = False
-        self.begun = False
+        self.message_begun = False
         self.parser = httptools.HttpRequestParser(self)
         self.parser.feed_data(CHUNKED_HEAD)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the body.
+        """Decode received bytes.
 
         Raises
         ------
@@ -63,33 +63,33 @@
             )
 
     def on_message_begin(self) -> None:
-        """Note a second message: bytes behind the body."""
-        if self.begun:
+        """Detect a second message, that is bytes after the body."""
+        if self.message_begun:
             self.overrun = True
-        self.begun = True
+        self.message_begun = True
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part, unless it belongs to what follows."""
+        """Collect body bytes, unless they belong to a following message."""
         if not self.complete:
             self.parts.append(body)
             self.size += len(body)
 
     def on_message_complete(self) -> None:
-        """Note the end."""
+        """Mark the body as complete."""
         self.complete = True
 
 
 class RequestReader:
-    """Takes a caller's bytes and gives whole requests.
+    """Splits a caller's bytes into requests.
 
-    Bytes behind a request wait until it has been answered.
+    Pipelined bytes stay in the buffer until the current request has been answered.
 
     Attributes
     ----------
     limits : ClientLimits
-        In force; the owner replaces them with the configuration.
+        Limits in force; the owner updates them from the configuration.
     closing : bool
-        No further request can be read from this connection.
+        Whether no further request can be read from this connection.
     """
 
     def __init__(self, limits: ClientLimits) -> None:
@@ -101,20 +101,20 @@
 
     @property
     def begun(self) -> bool:
-        """Whether a part of a request has been read."""
+        """Whether part of a request has been received."""
         return bool(self.buffer) or self.head is not None
 
     @property
     def awaits_body(self) -> bool:
-        """Whether the head is known and the body isn't whole."""
+        """Whether the head is parsed and the body is incomplete."""
         return self.head is not None
 
     def feed(self, data: bytes) -> None:
-        """Take bytes."""
+        """Buffer received bytes."""
         self.buffer += data
 
     def next_request(self) -> RequestMessage | None:
-        """Return the next request, or None until it is whole.
+        """Return the next request, or None while it is incomplete.
 
         Raises
         ------
@@ -156,7 +156,7 @@
             return None
         body = bytes(self.buffer[:length])
         del self.buffer[:length]
-        return self._whole(self.head, body)
+        return self._complete(self.head, body)
 
     def _read_chunks(
         self, head: RequestHead, chunked: ChunkedBody
@@ -165,12 +165,12 @@
         self.buffer.clear()
         if not chunked.complete:
             return None
-        # The parser can't tell where bytes behind the last chunk begin; what a
-        # caller sends before its answer is not read, and its connection closed.
+        # The parser doesn't report where the bytes after the last chunk begin, so they
+        # are not read as a pipelined request and the connection is closed.
         self.closing = chunked.overrun
-        return self._whole(head, b"".join(chunked.parts))
+        return self._complete(head, b"".join(chunked.parts))
 
-    def _whole(self, head: RequestHead, body: bytes) -> RequestMessage:
+    def _complete(self, head: RequestHead, body: bytes) -> RequestMessage:
         self.head = None
         self.chunked = None
         return RequestMessage(head, body)
--- a/src/mimosafork/gateway/response_reader.py
+++ b/src/mimosafork/gateway/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads answers from an endpoint's bytes."""
+"""Incremental parser for HTTP responses from endpoints."""
 
 from collections.abc import Callable
 
@@ -18,17 +18,18 @@
 FIRST_FINAL_STATUS = 200
 
 MAX_NON_BODY_BYTES = 64 * 1024
-"""Bytes of an answer in a row that belong to no body: its head with the interim ones
-before it, its trailers, a chunk's extensions. Real ones have a few hundred."""
+"""Limit on consecutive bytes outside a body: interim responses, the response head,
+trailers and chunk extensions. Real responses have a few hundred such bytes."""
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """An answer's status and headers.
+    """Status line and headers of a response.
 
     Attributes
     ----------
     framed : bool
-        The answer says where it ends; otherwise its connection's end does.
+        Whether the response delimits its own body; otherwise closing the connection
+        ends it.
     """
 
     status: int
@@ -38,12 +39,12 @@
 
     @property
     def closes(self) -> bool:
-        """Whether the endpoint closes the connection after it."""
+        """Whether the endpoint closes the connection after this response."""
         return not self.framed or b"close" in connection_tokens(self.headers)
 
 
 class ResponseSink(msgspec.Struct, frozen=True):
-    """Who hears of an answer's parts."""
+    """Callbacks for the head, the body and the end of a response."""
 
     head: Callable[[ResponseHead], None]
     data: Callable[[bytes], None]
@@ -51,14 +52,15 @@
 
 
 class ResponseReader:
-    """Parses the answers on one connection.
+    """Parses the responses on one connection.
 
     Attributes
     ----------
     sink : ResponseSink or None
-        None while no answer is awaited.
-    stray : bool
-        Bytes came that belong to no request; the connection must not be used again.
+        None while no response is expected.
+    unexpected_bytes : bool
+        Bytes that belong to no request were received; the connection must not be
+        reused.
     """
 
     def __init__(self) -> None:
@@ -74,68 +76,70 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def expect(self, sink: ResponseSink, without_body: bool) -> None:
-        """Await an answer; `without_body` for one to a HEAD request."""
+        """Expect a response; `without_body` marks the response to a HEAD request."""
         self.sink = sink
         self.bodiless = without_body
 
     def feed(self, data: bytes) -> None:
-        """Take bytes.
+        """Parse received bytes.
 
-        Guard: the parser keeps a line until it ends and hands on any number of them,
-        so that an endpoint which never ends a head or its trailers would fill the
-        memory. What isn't body is counted, and is no answer beyond a bound.
+        The parser buffers a line until its end and accepts any number of lines, so an
+        endpoint that never ends its head or trailers would exhaust memory. Bytes
+        outside a body are counted, and a response beyond the limit is malformed.
 
         Raises
         ------
         BadAnswerError
-            If an answer is awaited and these bytes are none.
+            If a response is expected and the bytes are malformed.
         """
         self.non_body_bytes += len(data)
         self._parse(data)
         if self.non_body_bytes > MAX_NON_BODY_BYTES:
             self.unexpected_bytes = True
             if self.sink is not None:
-                raise BadResponseError("a head or trailers without end")
+                raise BadResponseError(
+                    "response head or trailers exceed the size limit"
+                )
 
     def _parse(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
-            # The parser wraps what its callbacks raise. That is a fault of this
-            # program: taken for the endpoint's bytes it would never be seen.
+            # The parser wraps exceptions of its callbacks. They are bugs of this
+            # program and must not be reported as malformed bytes of the endpoint.
             self.unexpected_bytes = True
             raise error.__context__ or error from None
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.unexpected_bytes = True
             if self.sink is not None:
-                raise BadResponseError(f"no answer in the protocol: {error}") from None
+                raise BadResponseError(f"malformed HTTP response: {error}") from None
 
     def finish(self) -> bool:
-        """Note the connection's orderly end; return whether it ended an answer."""
+        """Handle an orderly EOF; return whether it completed a response."""
         if self.sink is None or not self.open or self.framed:
             return False
         self._end()
         return True
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Start a response."""
         if self.sink is None:
             self.unexpected_bytes = True
         self.headers = []
         self.reason = b""
 
     def on_status(self, status: bytes) -> None:
-        """Keep the reason phrase."""
+        """Collect the reason phrase."""
         self.reason += status
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
-        """Keep a header; what comes behind the head are trailers, which end here."""
+        """Collect a header; drop trailers, which follow the head."""
         if self.open:
             return
         self.headers.append(Header(name, value or b""))
 
     def on_headers_complete(self) -> None:
-        """Hand the head on, unless it is an interim one."""
+        """Pass the head to the sink, unless it is an interim response."""
         self.status = self.parser.get_status_code()
         if self.sink is None or self.status < FIRST_FINAL_STATUS:
             return
@@ -147,9 +151,9 @@
         head = ResponseHead(self.status, self.reason, tuple(self.headers), self.framed)
         self.sink.head(head)
         if self.bodiless:
-            # The parser doesn't know that the request was HEAD. Unless the head
-            # itself rules a body out, it would take the next answer for this one's
-            # body: a call whose answer never comes. The connection ends instead.
+            # The parser doesn't know that the request was HEAD. Unless the head itself
+            # rules out a body, the parser would read the next response as this one's
+            # body and that call would never complete. Don't reuse the connection.
             ruled_out = self.status in BODILESS_STATUSES or (
                 length == b"0" and coding is None
             )
@@ -157,13 +161,13 @@
             self._end()
 
     def on_body(self, body: bytes) -> None:
-        """Hand a part of the body on."""
+        """Pass body bytes to the sink."""
         self.non_body_bytes = 0
         if self.open and self.sink is not None:
             self.sink.data(body)
 
     def on_message_complete(self) -> None:
-        """End the answer."""
+        """Complete the response."""
         if self.open and self.framed:
             self._end()
 
--- a/src/mimosafork/gateway/unanswered_request.py
+++ b/src/mimosafork/gateway/unanswered_request.py
@@ -1,4 +1,4 @@
-"""What of a caller's bytes is left when this instance ends its connection."""
+"""Unanswered requests on caller connections that this instance closes."""
 
 import socket
 import sys
@@ -16,35 +16,35 @@
 
 
 class CloseReason(Enum):
-    """Why this instance ends a caller's connection."""
+    """Why this instance closes a caller's connection."""
 
     IDLE = "idle"
-    """Nothing came for its time."""
+    """Nothing was received within the idle timeout."""
     LAST_RESPONSE = "last-answer"
-    """An answer had said that it would be the last."""
+    """The last response announced "Connection: close"."""
     INTAKE_ENDED = "intake-ended"
-    """The instance stops, and takes no further calls."""
+    """The instance is stopping and accepts no further calls."""
     STOPPED = "stopped"
-    """The process ends."""
+    """The process exits."""
     CALLER_NOT_READING = "not-taken"
-    """The caller took no more of its answer."""
+    """The caller stopped reading its response."""
 
 
 class UnansweredRequest(msgspec.Struct, frozen=True):
-    """What a caller had sent, and got no answer to.
+    """Bytes of a caller that got no response before its connection was closed.
 
     Attributes
     ----------
     bytes_read, bytes_waiting : int
-        Taken from its socket, and still in there.
+        Bytes read from the socket, and bytes still in its receive buffer.
     bytes_unsent : int
-        Of its last answer.
+        Unsent bytes of the last response.
     whole : bool or None
-        Whether a whole request was read; None if what was read is not kept.
+        Whether a complete request was read; None if the bytes were discarded.
     idle : timedelta
-        Since its last bytes were read, or its last answer ended.
-    promised : timedelta
-        How long it was told that its connection is kept when idle.
+        Time since the last read or the end of the last response.
+    advertised_idle_timeout : timedelta
+        Idle timeout that the caller was last given in a Keep-Alive header.
     """
 
     reason: CloseReason
@@ -57,7 +57,7 @@
 
 
 def has_complete_request(reader: RequestReader) -> bool:
-    """Return whether a whole request was read and not handed on."""
+    """Return whether the reader holds a complete request that wasn't returned."""
     if reader.head is not None:
         return False
     copy = RequestReader(reader.limits)
@@ -69,7 +69,7 @@
 
 
 def unread_socket_bytes(sock: socket.socket | None) -> int:
-    """Return how many bytes the system holds that were not read; 0 if it can't say."""
+    """Return the number of bytes in the receive buffer; 0 if unknown."""
     if sock is None:
         return 0
     try:
--- a/tests/unit/gateway/test_answer_reader.py
+++ b/tests/unit/gateway/test_answer_reader.py
@@ -1,4 +1,4 @@
-"""Tests of the answer reader: where an answer ends, and what belongs to none."""
+"""Tests of the response reader: framing, unexpected bytes and size limits."""
 
 from dataclasses import dataclass, field
 from unittest import TestCase
@@ -23,46 +23,49 @@
 
 
 @dataclass
-class Heard:
-    """What a reader told of one answer."""
+class RecordedResponse:
+    """Records the parts of one response."""
 
     heads: list[ResponseHead] = field(default_factory=list)
     body: bytes = b""
     ended: int = 0
 
     def sink(self) -> ResponseSink:
-        return ResponseSink(self.heads.append, self.add, self.end)
+        return ResponseSink(self.heads.append, self.add_body, self.end)
 
-    def add(self, data: bytes) -> None:
+    def add_body(self, data: bytes) -> None:
         self.body += data
 
     def end(self) -> None:
         self.ended += 1
 
 
-def reader_of(heard: Heard, without_body: bool = False) -> ResponseReader:
+def expecting_reader(
+    recorded: RecordedResponse, without_body: bool = False
+) -> ResponseReader:
     reader = ResponseReader()
-    reader.expect(heard.sink(), without_body)
+    reader.expect(recorded.sink(), without_body)
     return reader
 
 
-def test_answers_end_where_they_say() -> None:
+def test_framed_responses_end_at_their_stated_length() -> None:
     for data in (PLAIN, CHUNKED):
-        heard = Heard()
-        reader = reader_of(heard)
+        recorded = RecordedResponse()
+        reader = expecting_reader(recorded)
         for place in range(len(data)):
-            case.assertEqual(0, heard.ended)
+            case.assertEqual(0, recorded.ended)
             reader.feed(data[place : place + 1])
         case.assertEqual(
-            (b"hello", 1, False), (heard.body, heard.ended, reader.unexpected_bytes)
+            (b"hello", 1, False),
+            (recorded.body, recorded.ended, reader.unexpected_bytes),
         )
         case.assertFalse(reader.finish())
-        case.assertTrue(heard.heads[0].framed)
+        case.assertTrue(recorded.heads[0].framed)
 
 
-def test_answers_follow_each_other() -> None:
-    first, second = Heard(), Heard()
-    reader = reader_of(first)
+def test_consecutive_responses_on_one_connection() -> None:
+    first, second = RecordedResponse(), RecordedResponse()
+    reader = expecting_reader(first)
     reader.feed(PLAIN)
     reader.expect(second.sink(), False)
     reader.feed(CHUNKED)
@@ -70,47 +73,48 @@
     case.assertEqual((1, False), (first.ended, reader.unexpected_bytes))
 
 
-def test_an_unframed_answer_ends_with_an_orderly_end() -> None:
-    heard = Heard()
-    reader = reader_of(heard)
+def test_an_unframed_response_ends_with_an_orderly_eof() -> None:
+    recorded = RecordedResponse()
+    reader = expecting_reader(recorded)
     reader.feed(UNFRAMED)
-    case.assertEqual((0, False), (heard.ended, heard.heads[0].framed))
-    case.assertTrue(heard.heads[0].closes)
+    case.assertEqual((0, False), (recorded.ended, recorded.heads[0].framed))
+    case.assertTrue(recorded.heads[0].closes)
     case.assertTrue(reader.finish())
-    case.assertEqual((b"hello", 1), (heard.body, heard.ended))
+    case.assertEqual((b"hello", 1), (recorded.body, recorded.ended))
 
 
-def test_an_early_end_completes_nothing() -> None:
+def test_a_premature_eof_completes_no_response() -> None:
     for data in (b"", PLAIN[:10], PLAIN[:-1], CHUNKED[:-1], CHUNKED[:-7]):
-        heard = Heard()
-        reader = reader_of(heard)
+        recorded = RecordedResponse()
+        reader = expecting_reader(recorded)
         reader.feed(data)
         case.assertFalse(reader.finish())
-        case.assertEqual(0, heard.ended)
+        case.assertEqual(0, recorded.ended)
 
 
-def test_bytes_behind_an_answer_are_stray() -> None:
-    """An endpoint sends an answer twice, or garbage behind it.
+def test_bytes_after_a_response_are_unexpected() -> None:
+    """An endpoint repeats a response, or sends garbage after it.
 
-    The bytes belong to no request: taken for the next call's answer they would give
-    one caller what is another's.
+    The bytes belong to no request. Read as the response to the next call, they would
+    reach the wrong caller.
     """
     for extra in (PLAIN, b"H", b"\x00\x17not", b"HTTP/1.1 200 OK\r\n\r\n"):
-        heard = Heard()
-        reader = reader_of(heard)
+        recorded = RecordedResponse()
+        reader = expecting_reader(recorded)
         reader.feed(PLAIN + extra)
         case.assertEqual(
-            (b"hello", 1, True), (heard.body, heard.ended, reader.unexpected_bytes)
+            (b"hello", 1, True),
+            (recorded.body, recorded.ended, reader.unexpected_bytes),
         )
-        later = Heard()
-        reader = reader_of(later)
+        later = RecordedResponse()
+        reader = expecting_reader(later)
         reader.feed(PLAIN)
         reader.feed(extra)
         case.assertTrue(reader.unexpected_bytes)
         case.assertEqual(1, len(later.heads))
 
 
-def test_garbage_is_no_answer() -> None:
+def test_malformed_bytes_are_rejected() -> None:
     for data in (
         b"\x00\x17not an answer\r\n\r\n\xff",
         b"HTTP/9.9 abc\r\n\r\n",
@@ -119,48 +123,50 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         b"HTTP/1.1 101 Switching\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\nab",
     ):
-        heard = Heard()
-        reader = reader_of(heard)
+        recorded = RecordedResponse()
+        reader = expecting_reader(recorded)
         with case.assertRaises(BadResponseError):
             reader.feed(data)
-        case.assertEqual((0, True), (heard.ended, reader.unexpected_bytes))
+        case.assertEqual((0, True), (recorded.ended, reader.unexpected_bytes))
 
 
-def test_interim_answers_are_passed_over() -> None:
-    heard = Heard()
-    reader = reader_of(heard)
+def test_interim_responses_are_skipped() -> None:
+    recorded = RecordedResponse()
+    reader = expecting_reader(recorded)
     reader.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n")
-    case.assertEqual(([], 0), (heard.heads, heard.ended))
+    case.assertEqual(([], 0), (recorded.heads, recorded.ended))
     reader.feed(PLAIN)
     case.assertEqual(
-        (200, b"hello", 1), (heard.heads[0].status, heard.body, heard.ended)
+        (200, b"hello", 1), (recorded.heads[0].status, recorded.body, recorded.ended)
+    )
+    case.assertEqual(
+        (b"OK", False), (recorded.heads[0].reason, reader.unexpected_bytes)
     )
-    case.assertEqual((b"OK", False), (heard.heads[0].reason, reader.unexpected_bytes))
 
 
-def test_answers_without_a_body() -> None:
+def test_bodiless_responses() -> None:
     for data in (
         b"HTTP/1.1 204 No Content\r\n\r\n",
         b"HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     ):
-        heard = Heard()
-        reader = reader_of(heard)
+        recorded = RecordedResponse()
+        reader = expecting_reader(recorded)
         reader.feed(data)
         case.assertEqual(
-            (b"", 1, False), (heard.body, heard.ended, reader.unexpected_bytes)
+            (b"", 1, False), (recorded.body, recorded.ended, reader.unexpected_bytes)
         )
-        again = Heard()
+        again = RecordedResponse()
         reader.expect(again.sink(), False)
         reader.feed(PLAIN)
         case.assertEqual((b"hello", 1), (again.body, again.ended))
 
 
-def test_answers_to_head_leave_nothing_that_hides_the_next_one() -> None:
-    """A call on a kept connection never gets its answer.
+def test_a_response_to_head_does_not_swallow_the_next_response() -> None:
+    """A call on a reused connection never gets its response.
 
-    The answer to a HEAD request stated no length, or chunks; the parser awaited a
-    body that doesn't come, and took the next call's answer for it.
+    The response to a HEAD request stated no length, or chunked encoding. The parser
+    expected a body and consumed the next call's response as that body.
     """
     for framing in (
         b"Content-Length: 5\r\n",
@@ -169,40 +175,40 @@
         b"",
     ):
         with case.subTest(framing=framing):
-            heard = Heard()
-            reader = reader_of(heard, without_body=True)
+            recorded = RecordedResponse()
+            reader = expecting_reader(recorded, without_body=True)
             reader.feed(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n")
-            case.assertEqual((b"", 1), (heard.body, heard.ended))
+            case.assertEqual((b"", 1), (recorded.body, recorded.ended))
             if reader.unexpected_bytes:
                 continue
-            again = Heard()
+            again = RecordedResponse()
             reader.expect(again.sink(), False)
             reader.feed(PLAIN)
             case.assertEqual((b"hello", 1), (again.body, again.ended))
 
 
-def test_a_fault_of_ones_own_is_not_taken_for_the_endpoints() -> None:
+def test_an_exception_in_a_callback_is_not_a_malformed_response() -> None:
     """An endpoint is blamed for an exception of this program.
 
-    The parser wraps what its callbacks raise into an error of its own; taken for
-    bytes that are no answer, a fault in the handling of answers was never seen.
+    The parser wraps exceptions of its callbacks in a parser error. Handled as malformed
+    bytes, a bug in the handling of responses would stay hidden.
     """
 
     def fail(_: bytes) -> None:
         raise ZeroDivisionError
 
     reader = ResponseReader()
-    heard = Heard()
-    reader.expect(ResponseSink(heard.heads.append, fail, heard.end), False)
+    recorded = RecordedResponse()
+    reader.expect(ResponseSink(recorded.heads.append, fail, recorded.end), False)
     with case.assertRaises(ZeroDivisionError):
         reader.feed(PLAIN)
 
 
-def test_what_is_no_body_has_a_bound() -> None:
-    """The instance runs out of memory for one endpoint.
+def test_bytes_outside_a_body_are_limited() -> None:
+    """A single endpoint exhausts the memory of the instance.
 
-    The parser keeps a line until it ends; heads, interim answers and trailers that
-    come without end were kept for as long as the call was open.
+    The parser buffers a line until its end. Endless heads, interim responses and
+    trailers were buffered for as long as the call was open.
     """
     begun = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
     for start, more in (
@@ -212,28 +218,28 @@
         (begun + b"0\r\n", b"X-Line: x\r\n" * 100),
         (begun + b"5;", b"x" * 1000),
     ):
-        heard = Heard()
-        reader = reader_of(heard)
+        recorded = RecordedResponse()
+        reader = expecting_reader(recorded)
         reader.feed(start)
         with case.assertRaises(BadResponseError):
             for _ in range(2 * MAX_NON_BODY_BYTES // len(more)):
                 reader.feed(more)
         case.assertTrue(reader.unexpected_bytes)
-        case.assertEqual(0, heard.ended)
+        case.assertEqual(0, recorded.ended)
 
 
-def test_many_answers_on_one_connection_reach_no_bound() -> None:
+def test_many_responses_on_one_connection_stay_below_the_limit() -> None:
     reader = ResponseReader()
     for _ in range(2 * MAX_NON_BODY_BYTES // len(CHUNKED)):
-        heard = Heard()
-        reader.expect(heard.sink(), False)
+        recorded = RecordedResponse()
+        reader.expect(recorded.sink(), False)
         reader.feed(CHUNKED)
-        case.assertEqual(1, heard.ended)
+        case.assertEqual(1, recorded.ended)
     for _ in range(2 * MAX_NON_BODY_BYTES // len(PLAIN)):
-        heard = Heard()
-        reader.expect(heard.sink(), True)
+        recorded = RecordedResponse()
+        reader.expect(recorded.sink(), True)
         reader.feed(b"HTTP/1.1 204 No Content\r\n\r\n")
-        case.assertEqual((1, False), (heard.ended, reader.unexpected_bytes))
+        case.assertEqual((1, False), (recorded.ended, reader.unexpected_bytes))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_call_lines.py
+++ b/tests/unit/gateway/test_call_log.py
@@ -1,4 +1,4 @@
-"""The lines of a call carry its id, who decided, by what, and how old that was."""
+"""Tests of the fields of a call's log lines: id, rule, inputs and their age."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -56,32 +56,32 @@
 HEAD = RequestHead(b"POST", b"/write", 1, (HOST,), 0)
 
 
-class Caller:
-    """Takes an answer and keeps nothing of it."""
+class DiscardingResponder:
+    """Discards the response."""
 
     def send_response(
         self, status: int, reason: bytes, headers: list[Header], body: bytes
     ) -> None:
-        """Take a whole answer."""
+        """Discard a complete response."""
 
     def begin_response(self, status: int, reason: bytes, headers: list[Header]) -> None:
-        """Take a head."""
+        """Discard a response head."""
 
     def send_body(self, data: bytes) -> None:
-        """Take a part."""
+        """Discard body bytes."""
 
     def end_response(self) -> None:
-        """Take the end."""
+        """Do nothing."""
 
     def abort_response(self) -> None:
-        """Take a break."""
+        """Do nothing."""
 
 
-class Known:
-    """Knows always the same."""
+class FixedInstanceView:
+    """Returns constant inputs."""
 
     def inputs(self, service: ServiceId) -> DecisionInputs:
-        """Return some figures."""
+        """Return constant inputs."""
         return DecisionInputs(
             listed=4,
             usable=3,
@@ -96,16 +96,16 @@
         )
 
     def load_age(self) -> timedelta | None:
-        """Return some age."""
+        """Return a constant age."""
         return 400 * MS
 
     def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
-        """Return two zones, and a first token 250 ms after the clock's start."""
+        """Return two zones, and a first token predicted 250 ms after the start."""
         return AttemptPlacement(ZONE_B, (ZONE_A,) * len(dispatch.helpers), 250 * MS)
 
     @property
     def own_zone(self) -> AvailabilityZoneId | None:
-        """Return some zone."""
+        """Return a constant zone."""
         return ZONE_A
 
 
@@ -136,7 +136,7 @@
         route,
         request.account,
         request,
-        Caller(),
+        DiscardingResponder(),
         clock.monotonic(),
         table_version=7,
     )
@@ -167,7 +167,7 @@
 
 def lines_at(clock: ManualClock) -> CallLog:
     lines = CallLog(clock)
-    lines.instance_view = Known()
+    lines.instance_view = FixedInstanceView()
     return lines
 
 
@@ -188,7 +188,7 @@
     return caught
 
 
-def test_served_call_costs_one_short_line_with_its_times() -> None:
+def test_served_call_is_logged_in_one_line_with_its_times() -> None:
     caught = served()
     assert len(caught.lines) == 1
     fields = caught.one(CALL_ENDED)
@@ -207,11 +207,11 @@
     assert len(str(served().lines[0])) < 700
 
 
-def test_call_that_is_not_served_names_the_plug_in_and_its_inputs() -> None:
-    """A caller is refused though, as it seems, places were free.
+def test_unserved_call_logs_the_plug_in_and_its_inputs() -> None:
+    """A call is rejected although endpoints seem to have free slots.
 
-    The call comes, placement finds no memory for it and gives it up. The line says
-    which plug-in refused, what it counted on, and how old that was.
+    Placement finds no memory for the call. The log line names the plug-in that rejected
+    it, its inputs and their age.
     """
     clock = ManualClock()
     call, lines = call_at(clock), lines_at(clock)
@@ -229,11 +229,10 @@
     assert "waited_ms" not in fields
 
 
-def test_failed_attempt_says_what_was_decided_on_it() -> None:
-    """A first endpoint breaks off and the call goes to another one.
+def test_failed_attempt_logs_the_decision() -> None:
+    """An endpoint breaks off and the call is retried at another one.
 
-    From the line alone one must see that it was tried again, and what the budget
-    of repeats had left.
+    The log line alone must show the retry and the remaining retry budget.
     """
     clock = ManualClock()
     call, lines = call_at(clock), lines_at(clock)
@@ -251,11 +250,11 @@
     assert first["reused"] is True
 
 
-def test_attempts_line_tells_the_silence_before_its_end_and_the_forecast() -> None:
-    """A stream falls silent after one event and goes on elsewhere, then ends there.
+def test_failed_attempt_logs_the_preceding_silence_and_the_prediction() -> None:
+    """A stream falls silent after one event, is resumed elsewhere, and ends there.
 
-    The second attempt was not to bring the first event; its forecast would be
-    compared with an event that another endpoint had sent.
+    The prediction of the second attempt must not be compared with the first event,
+    which another endpoint sent.
     """
     clock = ManualClock()
     call, lines = call_at(clock), lines_at(clock)
@@ -279,8 +278,8 @@
     assert "expected_ms" not in end
 
 
-def told_failure(status: int, after: timedelta) -> dict[str, Any]:
-    """Return the line of an endpoint's own failure, so long after the arrival."""
+def failure_line(status: int, after: timedelta) -> dict[str, Any]:
+    """Return the log line of an error response a given time after the arrival."""
     clock = ManualClock()
     call, lines = call_at(clock), lines_at(clock)
     own = replace(failed_at("e1"), kind=FailureKind.ENGINE_FAILED, status=status)
@@ -291,26 +290,26 @@
     return line
 
 
-def test_endpoints_504_at_the_end_of_a_calls_time_is_no_warning() -> None:
-    """A day's log is full of warnings of engines that failed.
+def test_an_endpoints_504_at_the_deadline_is_no_warning() -> None:
+    """Warnings about failed engines flood the log.
 
-    Each is a call whose time was over; the engine that did fail is one among them.
+    Nearly all are calls whose deadline expired, which hides the engine that did fail.
     """
     for after in (1901 * MS, 2000 * MS, 2040 * MS):
-        line = told_failure(504, after)
+        line = failure_line(504, after)
         assert (line["event"], line["level"]) == (ATTEMPT_OUT_OF_TIME.code, "INFO")
         assert line["fields"]["kind"] == "out-of-time"
 
 
-def test_endpoints_own_failures_stay_warnings() -> None:
-    """A 504 with time left is the endpoint's own limit, and a 500 is none at all."""
+def test_other_error_responses_of_endpoints_stay_warnings() -> None:
+    """A 504 before the deadline is the endpoint's own limit; a 500 isn't a timeout."""
     for status, after in ((504, 1899 * MS), (504, 3 * MS), (500, 1990 * MS)):
-        line = told_failure(status, after)
+        line = failure_line(status, after)
         assert (line["event"], line["level"]) == (ATTEMPT_FAILED.code, "WARNING")
         assert line["fields"]["kind"] == "engine-failed"
 
 
-def test_refusal_by_routing_tells_the_version_and_its_age() -> None:
+def test_call_rejected_by_routing_logs_the_version_and_its_age() -> None:
     refusal = CallRefusal(HTTPStatus.NOT_FOUND, "no-route")
     with caught_lines() as caught:
         lines_at(ManualClock()).refused(
--- a/tests/unit/gateway/test_event_stream.py
+++ b/tests/unit/gateway/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Tests of the event splitter: whole events, wherever the bytes are cut."""
+"""Tests of the event splitter: complete events from arbitrarily split bytes."""
 
 import time
 from unittest import TestCase
@@ -24,7 +24,7 @@
 PIECE = b"x" * 1024
 PIECES = 4000
 BOUND_S = 1.0
-"""Of processor time; the bytes themselves take some hundredths."""
+"""Limit of processor time; linear processing takes some hundredths of a second."""
 
 
 def split(data: bytes, cuts: list[int]) -> tuple[list[RawStreamEvent], bytes]:
@@ -42,29 +42,29 @@
     st.sampled_from((b"", b"id: 5", b"id: 5\ndata: half\n")),
     st.lists(st.integers(0, 200), max_size=20),
 )
-def test_any_cut_of_bytes_gives_whole_events(
+def test_arbitrarily_split_bytes_give_complete_events(
     blocks: list[bytes], rest: bytes, cuts: list[int]
 ) -> None:
-    """An endpoint stops in the middle of an event and another one goes on.
+    """An endpoint breaks off in the middle of an event and another one resumes.
 
-    A caller that had got the first half would join it to the event that follows.
+    A caller that received the first half would join it with the next event.
     """
     events, remainder = split(b"".join(blocks) + rest, cuts)
     case.assertEqual(blocks, [event.data for event in events])
     case.assertEqual(rest, remainder)
 
 
-def test_numbers_of_events() -> None:
+def test_event_ids() -> None:
     numbers = [event_id_of(block) for block in BLOCKS]
     case.assertEqual([1, 2, 3, 4, None, None, 12], numbers)
     case.assertIsNone(event_id_of(b"id: x\n\n"))
     case.assertIsNone(event_id_of(b"id: " + b"1" * 30 + b"\n\n"))
 
 
-def test_a_long_event_in_many_pieces_costs_what_its_bytes_cost() -> None:
-    """All streams of an instance stand still.
+def test_a_long_event_in_many_pieces_is_processed_in_linear_time() -> None:
+    """All streams of an instance stall.
 
-    A long event came in small pieces, and each one had all that had come before it
+    A long event arrived in small pieces, and each piece caused all earlier bytes to be
     copied and searched again.
     """
     splitter = EventSplitter()
--- a/tests/unit/gateway/test_gateway_passing.py
+++ b/tests/unit/gateway/test_gateway_passing.py
@@ -1,4 +1,4 @@
-"""Tests of whole calls that go well: what passes, and what is kept."""
+"""Tests of successful calls: forwarding, framing and connection reuse."""
 
 from datetime import timedelta
 from typing import NoReturn
@@ -29,10 +29,10 @@
 
 LONG = b"x" * 300_000
 LONGEST = b"x" * 4_000_000
-"""More than the system's buffers take of a body that is not read."""
+"""More than the socket buffers hold of an unread body."""
 
 
-def test_an_answer_passes_unchanged() -> None:
+def test_a_response_is_forwarded_unchanged() -> None:
     with gateway_world() as world:
         desk = world.add_desk()
         target = "/unsafe/1?a=%20b"
@@ -50,7 +50,7 @@
         case.assertTrue(0 < int(run.headers[DEADLINE_MS]) <= 10_000)
 
 
-def test_a_stream_passes_event_by_event() -> None:
+def test_a_stream_is_forwarded_event_by_event() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         engine = world.add_engine(EngineFigures(events=3))
         engine.hold()
@@ -68,7 +68,7 @@
         case.assertTrue(channel.complete)
 
 
-def test_connections_are_kept_on_both_sides() -> None:
+def test_connections_are_reused_on_both_sides() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         desk = world.add_desk()
         for number in range(5):
@@ -83,7 +83,7 @@
         case.assertEqual(1, desk.open_connections)
 
 
-def test_an_endpoint_that_closes_is_not_sent_to_on_that_connection() -> None:
+def test_a_connection_that_its_endpoint_closes_is_not_reused() -> None:
     with gateway_world() as world:
         desk = world.add_desk()
         desk.play(CloseAfter(), 2)
@@ -115,21 +115,21 @@
 
 
 class Unscanned(dict[Responder, RequestId]):
-    """Open calls by connection that nobody may go through."""
+    """A dictionary of open calls that fails on iteration."""
 
     def __iter__(self) -> NoReturn:
         """Fail."""
-        raise AssertionError("all connections were gone through")
+        raise AssertionError("all connections were iterated over")
 
     def items(self) -> NoReturn:
         """Fail."""
         raise AssertionError("all connections were gone through")
 
 
-def test_the_end_of_a_call_costs_the_same_however_many_are_open() -> None:
-    """Each call is the slower the more callers there are.
+def test_ending_a_call_does_not_iterate_over_all_connections() -> None:
+    """Calls get slower with the number of callers.
 
-    The end of a call looked through all connections for the one that was its own.
+    Ending a call searched all connections for its own.
     """
     with gateway_world() as world:
         world.add_desk()
@@ -159,7 +159,7 @@
             case.assertEqual(f"c{number}", result.headers[REQUEST_ID.lower()])
 
 
-def test_a_caller_that_waits_for_a_word_before_its_body() -> None:
+def test_a_caller_that_expects_100_continue() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         world.add_desk()
         head = f"POST /safe/1 HTTP/1.1\r\nHost: {HOST}\r\n{REQUEST_ID}: c1\r\n"
@@ -172,7 +172,7 @@
         case.assertEqual(200, channel.read_answer().status)
 
 
-def test_a_caller_that_asks_for_the_end_of_its_connection() -> None:
+def test_a_caller_that_requests_connection_close() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         world.add_desk()
         headers = {REQUEST_ID: "c1", "Connection": "close", **BEARER}
@@ -183,10 +183,10 @@
 
 
 def test_improper_bytes_reach_no_endpoint_and_end_the_connection() -> None:
-    """A second request is hidden in the body of a proper one.
+    """A second request is smuggled in the body of a valid one.
 
-    Whatever could be read in two ways gets an answer of this instance and the end
-    of its connection, and no endpoint hears of any of it.
+    Ambiguous input is rejected by this instance, the connection is closed, and no
+    endpoint receives any of it.
     """
     hidden = f"POST /unsafe/1 HTTP/1.1\r\nHost: {HOST}\r\n{REQUEST_ID}: c2\r\n\r\n"
     with gateway_world() as world:
@@ -212,8 +212,8 @@
 def test_an_early_answer_before_a_long_body_is_read() -> None:
     """An endpoint reads another request's bytes as the rest of a body.
 
-    It answered before it had read the body. The rest must still come on that
-    connection, whole, and nothing between.
+    It responded before it had read the body. The rest must still be sent on that
+    connection, with no other bytes in between.
     """
     with gateway_world() as world:
         desk = world.add_desk()
@@ -229,11 +229,11 @@
         case.assertEqual(expected, digests)
 
 
-def test_no_call_waits_behind_the_rest_of_a_body() -> None:
+def test_no_call_is_sent_behind_the_rest_of_a_body() -> None:
     """A call hangs on a connection whose endpoint does not read.
 
-    The endpoint answered before it had read a long body and will read on later. The
-    connection looked free, and the next call was written behind that body.
+    The endpoint responded before it had read a long body and resumes reading later. The
+    connection looked idle, and the next call was sent behind that body.
     """
     with gateway_world() as world:
         desk = world.add_desk()
@@ -247,7 +247,7 @@
         case.assertEqual(digest_of(LONGEST), run.body_digest)
 
 
-def test_long_bodies_pass_whole() -> None:
+def test_long_bodies_are_forwarded_completely() -> None:
     with gateway_world() as world:
         world.add_desk()
         result = world.running.ask("/safe/1", "c1", LONG)
@@ -266,13 +266,13 @@
         case.assertEqual([], world.platform.log.visits_of("c2"))
 
 
-def test_the_balancer_is_answered() -> None:
+def test_the_readiness_page_responds() -> None:
     with gateway_world() as world:
         answer = call(world.running.ready_address, "GET", "/-/ready")
         case.assertEqual(200, answer.status)
 
 
-def test_a_caller_of_the_older_protocol_gets_its_answer_and_the_end() -> None:
+def test_an_http_1_0_caller_gets_its_response_and_a_close() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         world.add_engine(EngineFigures(events=2))
         head = f"POST /stream/1 HTTP/1.0\r\nHost: {HOST}\r\n{REQUEST_ID}: c1\r\n"
@@ -299,7 +299,7 @@
                 expected = expected_body("POST", "/unsafe/1", name.encode())
                 case.assertEqual((200, expected), (result.status, result.body))
         case.assertEqual([], world.platform.log.ran_twice())
-        # A run ends in the record after its answer has been written.
+        # A run is recorded as ended after its response has been written.
         world.platform.log.wait_until(lambda log: not log.at_work())
         ends = {run.end for run in world.platform.log.runs}
         case.assertEqual({RunEnd.DONE}, ends)
--- a/tests/unit/gateway/test_problems.py
+++ b/tests/unit/gateway/test_problems.py
@@ -1,4 +1,4 @@
-"""Tests of final statuses: a promise is made only where it holds."""
+"""Tests of final statuses: "not run" is only stated if it is certain."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -26,24 +26,24 @@
     return Conclude(RequestId("1"), outcome, 1, problem)
 
 
-def test_a_promise_is_given_just_when_nothing_ran() -> None:
-    """A caller sends a payment again that was made.
+def test_a_not_run_status_is_sent_only_if_nothing_ran() -> None:
+    """A caller repeats a payment that was already made.
 
-    Statuses that promise "not run" came from the problem, and the problem was the
+    Statuses that guarantee "not run" depended on the kind of problem, which was the
     same for a call that had run and for one that had not.
     """
     for outcome, code in product(Outcome, ProblemCode):
         final = final_status(conclusion(outcome, code))
         case.assertEqual(outcome is Outcome.NOT_RUN, final.status in NOT_RUN_STATUSES)
-        promised = final.retry_after is not None
-        case.assertEqual(outcome is Outcome.NOT_RUN, promised)
-    told = {408, 421, 429, 503}
-    case.assertEqual(told, NOT_RUN_STATUSES)
+        has_retry_after = final.retry_after is not None
+        case.assertEqual(outcome is Outcome.NOT_RUN, has_retry_after)
+    not_run_codes = {408, 421, 429, 503}
+    case.assertEqual(not_run_codes, NOT_RUN_STATUSES)
     bare = Conclude(RequestId("1"), Outcome.UNKNOWN, 1)
     case.assertEqual(HTTPStatus.BAD_GATEWAY, final_status(bare).status)
 
 
-def test_statuses_say_what_happened() -> None:
+def test_status_by_outcome_and_problem() -> None:
     for outcome, code, status in (
         (Outcome.NOT_RUN, ProblemCode.RATE_LIMITED, HTTPStatus.TOO_MANY_REQUESTS),
         (Outcome.NOT_RUN, ProblemCode.OVERLOADED, HTTPStatus.SERVICE_UNAVAILABLE),
@@ -59,10 +59,12 @@
         case.assertEqual(status, final_status(conclusion(outcome, code)).status)
 
 
-def test_when_to_come_back() -> None:
-    asked = timedelta(seconds=3)
-    told = final_status(conclusion(Outcome.NOT_RUN, ProblemCode.OVERLOADED, asked))
-    case.assertEqual(asked, told.retry_after)
+def test_retry_after() -> None:
+    requested = timedelta(seconds=3)
+    with_own_time = final_status(
+        conclusion(Outcome.NOT_RUN, ProblemCode.OVERLOADED, requested)
+    )
+    case.assertEqual(requested, with_own_time.retry_after)
     usual = final_status(conclusion(Outcome.NOT_RUN, ProblemCode.OVERLOADED))
     case.assertEqual(DEFAULT_RETRY_AFTER, usual.retry_after)
 
--- a/tests/unit/gateway/test_request_reader.py
+++ b/tests/unit/gateway/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Tests of the request reader: whole requests only, however their bytes come."""
+"""Tests of the request reader: framing, chunked bodies and limits."""
 
 from http import HTTPStatus
 from unittest import TestCase
@@ -22,7 +22,7 @@
 
 
 def read_all(data: bytes, cuts: list[int] | None = None) -> list[RequestMessage]:
-    """Feed bytes, cut at some places, and take requests as they become whole."""
+    """Feed bytes in pieces and return the requests as they become complete."""
     reader = RequestReader(LIMITS)
     found = []
     places = [0, *sorted(cuts or []), len(data)]
@@ -41,14 +41,14 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.integers(0, len(CHUNKED + PLAIN)), max_size=12))
-def test_any_cut_of_bytes_gives_the_same_requests(cuts: list[int]) -> None:
+def test_arbitrarily_split_bytes_give_the_same_requests(cuts: list[int]) -> None:
     messages = read_all(PLAIN + EMPTY + PLAIN, cuts)
     case.assertEqual([b"hello", b"", b"hello"], [m.body for m in messages])
     single = read_all(CHUNKED, [cut for cut in cuts if cut <= len(CHUNKED)])
     case.assertEqual([b"hello"], [message.body for message in single])
 
 
-def test_bytes_behind_a_request_wait() -> None:
+def test_pipelined_bytes_stay_in_the_buffer() -> None:
     reader = RequestReader(LIMITS)
     reader.feed(PLAIN + EMPTY)
     first = reader.next_request()
@@ -60,15 +60,15 @@
     case.assertFalse(reader.begun)
 
 
-def test_bytes_behind_a_chunked_body_are_never_run() -> None:
-    """A second request hides behind the last chunk.
+def test_bytes_after_a_chunked_body_are_never_run() -> None:
+    """A second request follows the last chunk.
 
-    The parser has already eaten its beginning. If its rest were read as a request,
-    something that no caller sent would run; so the connection ends instead.
+    The parser has already consumed its first bytes. If the rest were read as a request,
+    something that no caller sent would run, so the connection is closed.
     """
-    for behind in (EMPTY, b"GET", b"garbage\r\n\r\n", EMPTY + PLAIN):
+    for following in (EMPTY, b"GET", b"garbage\r\n\r\n", EMPTY + PLAIN):
         reader = RequestReader(LIMITS)
-        reader.feed(CHUNKED + behind)
+        reader.feed(CHUNKED + following)
         first = reader.next_request()
         assert first is not None
         case.assertEqual(b"hello", first.body)
@@ -77,12 +77,12 @@
         case.assertIsNone(reader.next_request())
 
 
-def test_tricks_with_chunks_are_refused() -> None:
-    """A chunk's length is read in one way here and in another by the endpoint.
+def test_malformed_chunks_are_rejected() -> None:
+    """The gateway and the endpoint read a chunk length differently.
 
-    Signs, prefixes, bare line ends and lengths that overflow have all been used to
-    smuggle requests; the endpoint gets a length only, and what can't be decoded is
-    refused before it.
+    Signs, prefixes, bare line ends and overflowing lengths are known ways to smuggle
+    requests. The endpoint only receives a Content-Length, and a body that can't be
+    decoded is rejected first.
     """
     for body in (
         b"0x2\r\nhe\r\n0\r\n\r\n",
@@ -116,10 +116,10 @@
 
 
 def test_a_long_body_in_many_pieces_is_copied_once() -> None:
-    """A body of some megabytes comes in pieces of a few bytes.
+    """A body of several megabytes arrives in pieces of a few bytes.
 
-    Copying all that has come with each piece would hold up every other call of the
-    loop for seconds; so what a piece costs doesn't grow with what is there.
+    Copying all received bytes with each piece would block the event loop for seconds,
+    so the cost of a piece must not grow with the size of the buffer.
     """
     size, piece = 1 << 20, b"x" * 256
     reader = RequestReader(ClientLimits(body_bytes=size))
--- a/tests/unit/gateway/test_ticks.py
+++ b/tests/unit/gateway/test_ticks.py
@@ -1,4 +1,4 @@
-"""Tests of how often a gateway looks at the time."""
+"""Tests of the tick interval of the gateway."""
 
 from contextlib import ExitStack
 
@@ -12,10 +12,10 @@
 from ...support.prepared import DESKS, deployment
 
 
-def test_time_is_looked_at_often_from_the_first_call_on() -> None:
-    """A call's silent endpoint is given up a quarter of a second late.
+def test_the_first_call_shortens_the_tick_interval() -> None:
+    """A silent endpoint of a call is detected a quarter of a second late.
 
-    An idle gateway ticks rarely, and its next tick was still to come when a call came.
+    An idle gateway ticks rarely, and its next tick was only due after the call began.
     """
     with deployment() as platform, ExitStack() as stack:
         desk = platform.add_desk(EndpointSettings(DESKS))
