--- a/src/mimosafork/gateway/policies/__init__.py
+++ b/src/mimosafork/gateway/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Plug-ins that decide about calls that are passed on; importing registers them."""
+"""Policy plug-ins of the gateway; importing this package registers them."""
 
 from . import (
     fleet_view,
@@ -19,6 +19,6 @@
     silence.SilenceWatch.name,
     ordering.UrgentFirst.name,
 )
-"""Names of the plug-ins of a gateway."""
+"""Registered names of the gateway's plug-ins."""
 
 __all__ = ["PLUGINS"]
--- a/src/mimosafork/gateway/policies/dispatch_places.py
+++ b/src/mimosafork/gateway/policies/dispatch_places.py
@@ -1,4 +1,4 @@
-"""The kernel's word for a place that placement has chosen."""
+"""Converts an assignment by the placement policy into the kernel's `PlaceOn`."""
 
 from ...ids import Incarnation
 from ...kernel.messages.dispatch import PrefillHelper
@@ -8,7 +8,7 @@
 from .stall_timeouts import stall_timeouts_for
 
 FIRST_INCARNATION = Incarnation(1)
-"""An endpoint's id is new with each start, so that it needs no further number."""
+"""Endpoint ids are unique per start, so the incarnation number is constant."""
 
 DEFAULT_PRIORITY = 5
 
@@ -16,7 +16,7 @@
 def place_on(
     place: Assignment, request: Request, helpers: tuple[PrefillHelper, ...]
 ) -> PlaceOn:
-    """Return where a request is dispatched to, and with whose help."""
+    """Return the dispatch target of a request with its helpers."""
     terms = request.terms
     return PlaceOn(
         endpoint=place.host,
@@ -29,5 +29,5 @@
 
 
 def prefill_helpers(place: Assignment) -> tuple[PrefillHelper, ...]:
-    """Return the helpers of a prompt whose memory its host holds."""
+    """Return the prefill helpers of a prompt whose KV cache fits on its host."""
     return tuple(PrefillHelper(each.endpoint, each.address) for each in place.helpers)
--- a/src/mimosafork/gateway/policies/fleet_view.py
+++ b/src/mimosafork/gateway/policies/fleet_view.py
@@ -1,4 +1,4 @@
-"""What this instance believes of each endpoint."""
+"""Health of each endpoint as seen by this instance."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -30,47 +30,47 @@
 from .zone_suspicion import FAILURE_WEIGHTS, ZoneSuspicion
 
 UNREACHABLE_BACKOFF = timedelta(seconds=1)
-"""An endpoint that couldn't be connected to is left alone for so long at first."""
+"""Initial backoff after a failed connection to an endpoint."""
 
 MAX_UNREACHABLE_BACKOFF = timedelta(seconds=4)
 MAX_BACKOFF_DOUBLINGS = 8
 ENDPOINT_SUSPICION_PERIOD = timedelta(seconds=2)
-"""One whose answers failed is taken last for so long."""
+"""Time for which an endpoint with a failed response is used as a last resort."""
 
 NAMED_AT_FAULT = "named-at-fault"
 SUSPICIOUS_FAILURES = frozenset({FailureKind.BROKEN, FailureKind.INVALID})
-"""Silence isn't among them: an engine that reads long prompts is silent and sound."""
+"""Stalls are not included: an engine in a long prefill is silent but healthy."""
 FAILURE_RATE_WEIGHT = 0.3
-"""Share of the newest outcome in an endpoint's failure rate."""
+"""Weight of the newest outcome in the moving average of failures."""
 
 SUSPECT_FAILURE_RATE = 0.25
-"""Above this rate of failures an endpoint is taken last."""
+"""Failure rate above which an endpoint is used as a last resort."""
 
 
 class CachedView(msgspec.Struct, frozen=True):
-    """What placement was told of an endpoint, and the entry that it came from."""
+    """View of an endpoint for placement, with the listing entry it derives from."""
 
     listed: ListedEndpoint
     view: EngineView
 
 
 class EndpointHealth(msgspec.Struct):
-    """What is known of one endpoint.
+    """Health of one endpoint.
 
     Attributes
     ----------
     unusable_until, suspect_until : timedelta
         Monotonic instants.
     misses : int
-        Connections in a row that could not be made.
+        Consecutive failed connections.
     failure_rate : float
-        Share of its latest attempts that it failed, newest weighing most.
+        Exponential moving average of attempt failures.
     suspected_at : timedelta or None
-        Since when it has been ejected or taken last.
-    zones : ZoneSuspicion
-        Which zones look cut off.
-    last_view : LastView or None
-        What placement was told last: each placement asks for all endpoints.
+        Start of the current ejection or suspicion.
+    zone_suspicion : ZoneSuspicion
+        Zones that appear to be partitioned.
+    cached_view : CachedView or None
+        Latest view; cached because each placement reads the views of all endpoints.
     """
 
     listed: ListedEndpoint
@@ -84,10 +84,10 @@
     cached_view: CachedView | None = None
 
     def note_unreached(self, now: timedelta) -> None:
-        """Leave it alone, longer each time up to a bound.
+        """Back off after a failed connection, exponentially up to a maximum.
 
-        Guard: a hundred connections may fail at once; doubled without a bound the time
-        leaves the range of times, and the failure of the call would not be handled.
+        The number of doublings is bounded because a hundred connections may fail at
+        once; the backoff would overflow `timedelta` and the failure go unhandled.
         """
         doublings = min(self.misses, MAX_BACKOFF_DOUBLINGS)
         absence = min(MAX_UNREACHABLE_BACKOFF, UNREACHABLE_BACKOFF * 2**doublings)
@@ -95,7 +95,7 @@
         self.unusable_until = now + absence
 
     def note_outcome(self, failed: bool, now: timedelta) -> None:
-        """Learn from an attempt's end."""
+        """Update the failure rate with the outcome of an attempt."""
         if not failed:
             self.misses = 0
         self.failure_rate += FAILURE_RATE_WEIGHT * (float(failed) - self.failure_rate)
@@ -103,17 +103,17 @@
             self.suspect_until = now + ENDPOINT_SUSPICION_PERIOD
 
     def usable(self, now: timedelta) -> bool:
-        """Return whether it gets new work."""
+        """Return whether the endpoint may receive new requests."""
         return not self.leaving and now >= self.unusable_until
 
     def suspect(self, now: timedelta) -> bool:
-        """Return whether it is taken last."""
+        """Return whether the endpoint is used only as a last resort."""
         if self.zone_suspicion.suspected(self.listed.zone, now):
             return True
         return now < self.suspect_until or self.failure_rate > SUSPECT_FAILURE_RATE
 
     def view(self, now: timedelta) -> EngineView:
-        """Return what placement goes by; the former one if nothing has changed."""
+        """Return the view for placement; the cached one if nothing has changed."""
         last = self.cached_view
         usable, suspect = self.usable(now), self.suspect(now)
         if (
@@ -129,7 +129,7 @@
 
 
 def engine_view(listed: ListedEndpoint, usable: bool, suspect: bool) -> EngineView:
-    """Return what placement goes by."""
+    """Return the view of an endpoint for placement."""
     return EngineView(
         endpoint=listed.endpoint,
         address=listed.address,
@@ -143,38 +143,38 @@
 
 @register("fleet-view")
 class FleetView(Plugin):
-    """Keeps the endpoints by service, and how their attempts went."""
+    """Tracks the endpoints of each service and their health."""
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = None
         self.endpoints: dict[EndpointId, EndpointHealth] = {}
         self.by_service: dict[ServiceId, dict[EndpointId, EndpointHealth]] = {}
         self.departed: dict[EndpointId, int | None] = {}
-        """Endpoints that drain or are gone, and when their life began."""
+        """Start time of each endpoint that is draining or gone, by endpoint."""
         self.zone_suspicion = ZoneSuspicion()
         self.zone_answered_at: dict[AvailabilityZoneId, timedelta] = {}
-        """When an endpoint of each zone began an answer last, or refused a call."""
+        """Time of the latest first token or status from an endpoint of each zone."""
 
     def zone_of(self, endpoint: EndpointId) -> AvailabilityZoneId | None:
-        """Return an endpoint's zone; None if it is not known."""
+        """Return the zone of an endpoint; None if the endpoint is unknown."""
         known = self.endpoints.get(endpoint)
         return None if known is None else known.listed.zone
 
     def zone_answered_since(self, endpoint: EndpointId, since: timedelta) -> bool:
-        """Return whether any endpoint of an endpoint's zone was heard since then."""
+        """Return whether an endpoint in the same zone has answered since then."""
         known = self.endpoints.get(endpoint)
         if known is None:
             return False
-        heard = self.zone_answered_at.get(known.listed.zone)
-        return heard is not None and heard >= since
+        answered_at = self.zone_answered_at.get(known.listed.zone)
+        return answered_at is not None and answered_at >= since
 
     def service_endpoints(self, service: ServiceId) -> list[EndpointHealth]:
-        """Return the endpoints of a service that aren't leaving."""
+        """Return the endpoints of a service that are not draining or gone."""
         return list(self.by_service.get(service, {}).values())
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Learn from a message."""
+        """Update endpoint health from a message."""
 
     @handle.register
     def _(self, message: RoutingTableChanged, context: Context) -> None:
@@ -183,10 +183,10 @@
     @handle.register
     def _(self, message: EndpointUsable, context: Context) -> None:
         listed = message.listed
-        # A peer may have heard that it drains before this instance's own list says
-        # so; that word is never taken back, as a life that drains ends.
-        # One that has started again under its id is another life: neither that word
-        # nor what was learned of the former one holds for it.
+        # A peer may report that an endpoint drains before this instance's own list
+        # does. Draining is final for an incarnation. An endpoint that was restarted
+        # under its id is a new incarnation, so neither the drain nor the health of
+        # the previous one applies to it.
         if listed.endpoint in self.departed:
             if not listed.started_after(self.departed[listed.endpoint]):
                 return
@@ -214,9 +214,9 @@
 
     @handle.register
     def _(self, message: ZoneUnreachable, context: Context) -> None:
-        # Its instances may all have been killed while its endpoints serve on.
-        heard = self.zone_answered_at.get(message.zone)
-        if heard is None or heard <= message.since:
+        # All instances of the zone may be gone while its endpoints keep serving.
+        answered_at = self.zone_answered_at.get(message.zone)
+        if answered_at is None or answered_at <= message.since:
             self.zone_suspicion.note_unreachable(message.zone, context.now)
 
     @handle.register
@@ -236,7 +236,7 @@
 
     @handle.register
     def _(self, message: AttemptFinished, context: Context) -> None:
-        """Nothing more is learnt from the end than from the first token."""
+        """Ignore: the first token has already been counted as success."""
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
@@ -247,8 +247,8 @@
         if message.status is not None:
             self.zone_answered_at[known.listed.zone] = context.now
         before = HealthStatus.of(known, context.now)
-        away = known.listed.zone != context.state.identity.availability_zone
-        if message.kind in FAILURE_WEIGHTS and away:
+        other_zone = known.listed.zone != context.state.identity.availability_zone
+        if message.kind in FAILURE_WEIGHTS and other_zone:
             self.zone_suspicion.note_failure(known.listed, message.kind, context.now)
         if message.kind is FailureKind.UNREACHED:
             known.note_unreached(context.now)
@@ -261,10 +261,10 @@
         log_suspicion(known, before, message.refusal or message.kind.value, context.now)
 
     def _suspect_named_endpoint(self, failure: AttemptFailed, now: timedelta) -> None:
-        """Suspect the endpoint that another one names as at fault.
+        """Suspect the endpoint that another endpoint reports as at fault.
 
-        The one that answered has only refused and bears no blame: a helper that is
-        gone would otherwise fail request after request while hosts are suspected.
+        The reporting endpoint only rejected the request and is healthy. Otherwise a
+        failed helper would fail request after request while its hosts are suspected.
         """
         named = failure.fault_at
         if named is None:
--- a/src/mimosafork/gateway/policies/full_rejections.py
+++ b/src/mimosafork/gateway/policies/full_rejections.py
@@ -1,4 +1,4 @@
-"""Calls that engines turned away as they were full."""
+"""Calls rejected by engines that were full."""
 
 from datetime import timedelta
 
@@ -11,10 +11,10 @@
 
 
 def reports_full(failure: AttemptFailed, listed: ListedEndpoint) -> bool:
-    """Return whether an endpoint said of itself that it has no room.
+    """Return whether an endpoint rejected a call because it is full itself.
 
-    One that names another says that this one is gone or can't help; then the one that
-    answered has only refused.
+    If it names another endpoint, that one is gone or cannot help, and the endpoint that
+    answered has free capacity.
     """
     if failure.kind is not FailureKind.REFUSED:
         return False
@@ -24,21 +24,21 @@
 
 
 class FullRejections:
-    """What each open call knows of crowded engines."""
+    """Load at which engines rejected each open call."""
 
     def __init__(self) -> None:
         self.by_request: dict[RequestId, LoadCeiling] = {}
 
     def record(self, request_id: RequestId, running: int, until: timedelta) -> None:
-        """Learn that an engine that seemed to run so many turned a call away."""
+        """Record the known running requests of an engine that rejected a call."""
         former = self.by_request.get(request_id)
         self.by_request[request_id] = lower_ceiling(former, running, until)
 
     def rejecting_load(self, request_id: RequestId, now: timedelta) -> int | None:
-        """Return how many running requests are too many for a call, if any are."""
+        """Return how many running requests led to a rejection of a call, if any."""
         crowd = self.by_request.get(request_id)
         return crowd.running if crowd is not None and now < crowd.until else None
 
     def forget(self, request_id: RequestId) -> None:
-        """Forget a call that has ended."""
+        """Forget a finished call."""
         self.by_request.pop(request_id, None)
--- a/src/mimosafork/gateway/policies/health_log.py
+++ b/src/mimosafork/gateway/policies/health_log.py
@@ -1,4 +1,4 @@
-"""Logs what changes in the belief about an endpoint, once for each change."""
+"""Logs changes of endpoint health, once per change."""
 
 import logging
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 class LoggedHealth(Protocol):
-    """What is known of one endpoint, as far as it is logged here."""
+    """Fields of an endpoint's health that are logged."""
 
     listed: ListedEndpoint
     unusable_until: timedelta
@@ -31,35 +31,35 @@
     suspected_at: timedelta | None
 
     def usable(self, now: timedelta) -> bool:
-        """Return whether it gets new work."""
+        """Return whether the endpoint may receive new requests."""
 
     def suspect(self, now: timedelta) -> bool:
-        """Return whether it is taken last."""
+        """Return whether the endpoint is used only as a last resort."""
 
 
 class HealthStatus(msgspec.Struct, frozen=True):
-    """How an endpoint stood before something was learnt of it."""
+    """Health of an endpoint at one moment, for comparison after an update."""
 
     usable: bool
     suspect: bool
 
     @classmethod
     def of(cls, known: LoggedHealth, now: timedelta) -> "HealthStatus":
-        """Return how an endpoint stands now."""
+        """Return the current status of an endpoint."""
         return cls(known.usable(now), known.suspect(now))
 
 
 def log_suspicion(
     known: LoggedHealth, before: HealthStatus, why: str, now: timedelta
 ) -> None:
-    """Log that an endpoint is ejected or suspected, if it was not before.
+    """Log that an endpoint became ejected or suspected.
 
     Parameters
     ----------
-    before : Standing
-        Before the attempt's end was learnt.
+    before : HealthStatus
+        Status before the outcome of the attempt was recorded.
     why : str
-        How the attempt ended.
+        Outcome of the attempt.
     """
     after = HealthStatus.of(known, now)
     if before.usable and not after.usable:
@@ -83,7 +83,7 @@
 
 
 def log_reinstated(known: LoggedHealth, now: timedelta) -> None:
-    """Log that a suspected endpoint answers as it should."""
+    """Log that a suspected endpoint is healthy again."""
     if known.suspected_at is None or not known.usable(now) or known.suspect(now):
         return
     log_event(
@@ -98,12 +98,12 @@
 
 
 def log_ejected(known: LoggedHealth, final: bool) -> None:
-    """Log that an endpoint gets no new work any more.
+    """Log that an endpoint receives no new requests any more.
 
     Parameters
     ----------
     final : bool
-        Nothing brings it back.
+        Whether this holds until the endpoint is restarted.
     """
     log_event(
         logger,
--- a/src/mimosafork/gateway/policies/ordering.py
+++ b/src/mimosafork/gateway/policies/ordering.py
@@ -1,4 +1,4 @@
-"""Which of the waiting calls is placed first."""
+"""Queue discipline for waiting calls."""
 
 from datetime import timedelta
 
@@ -8,24 +8,24 @@
 from ...kernel.registry import register
 
 LONG_PROMPT_TOKENS = 30_000
-"""Prompt tokens from which a call waits in a lane of its own."""
+"""Calls with at least this many prompt tokens wait in a separate lane."""
 
 
 @register("urgent-first")
 class UrgentFirst(QueueDiscipline):
-    """The call whose objective ends first goes first."""
+    """Places the call with the earliest latency objective first."""
 
     def rank(self, record: RequestRecord, now: timedelta) -> float:
-        """Return the instant at which an answer is late, in seconds."""
+        """Return the time after which the answer misses its objective, in seconds."""
         terms = record.request.terms
         objective = terms.objective if terms is not None else timedelta(0)
         return (record.submitted_at + objective).total_seconds()
 
     def lane(self, record: RequestRecord) -> str:
-        """Return whether the call needs much room or little, and was turned away.
+        """Return the lane by prompt size and by whether an engine rejected the call.
 
-        Guard: a call that a full engine turned away waits for an emptier one. In one
-        lane with the others a few of them would keep all new calls behind them.
+        A call rejected by a full engine waits for a less loaded one. In a shared lane a
+        few such calls would block all new calls behind them.
         """
         long = record.request.prompt_tokens >= LONG_PROMPT_TOKENS
         size = "long" if long else "short"
@@ -33,6 +33,6 @@
 
 
 def was_rejected(record: RequestRecord) -> bool:
-    """Return whether a call's latest attempt was refused by its endpoint."""
+    """Return whether the endpoint rejected the latest attempt of a call."""
     failure = record.attempts[-1].failure if record.attempts else None
     return failure is not None and failure.kind is FailureKind.REFUSED
--- a/src/mimosafork/gateway/policies/placing.py
+++ b/src/mimosafork/gateway/policies/placing.py
@@ -1,4 +1,4 @@
-"""Places calls by the work that this instance and its peers have running."""
+"""Places calls by the load of this instance and its peers on each engine."""
 
 from collections.abc import Callable, Sequence
 from datetime import timedelta
@@ -57,13 +57,13 @@
 from .retrying import RETRY_BUDGET_EXHAUSTED, BudgetedRetry
 
 MAX_WAIT_SHARE = 0.25
-"""A call that has waited for this share of its time is given up: one held longer
-could hardly be served, and its caller should come back elsewhere at once."""
+"""A call that has waited for this share of its time is rejected: it could hardly be
+served any more, and its caller should retry elsewhere immediately."""
 
 RETRY_AFTER = timedelta(milliseconds=600)
 
 MIN_PUBLISHED_PREFILL_MS = 100.0
-"""Peers are told when a prompt has been read whose part takes an engine so long."""
+"""The end of a prefill is published to peers if a part takes an engine this long."""
 
 
 def all_engines(views: Sequence[EngineView]) -> Sequence[EngineView]:
@@ -73,14 +73,14 @@
 
 @register("work-placer")
 class WorkPlacer(Placer):
-    """Asks the placement policy, with the book of running work.
+    """Runs the placement policy on the tracked load of all instances.
 
     Attributes
     ----------
-    narrowed : callable
-        Returns those of a service's engines that this instance uses.
-    first_token_at : dict of RequestId to timedelta
-        Monotonic instant at which a call's latest place was to bring its first token.
+    engine_subset : callable
+        Returns the subset of a service's engines that this instance uses.
+    predicted_first_token_at : dict of RequestId to timedelta
+        Monotonic instant of the predicted first token of a call's latest assignment.
     """
 
     def __init__(self) -> None:
@@ -96,22 +96,22 @@
         self.predicted_first_token_at: dict[RequestId, timedelta] = {}
         self.full_rejections = FullRejections()
         self.placed_attempts: dict[RequestId, AttemptNumber] = {}
-        """Numbers of the attempts whose works stand in the book."""
+        """Number of each call's attempt whose load is tracked."""
         self.hedged_attempts: dict[RequestId, AttemptNumber] = {}
-        """Numbers of silent attempts that stay open beside another one."""
+        """Number of each call's stalled attempt that stays open beside a hedged one."""
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that this one uses."""
         self.fleet = find(FleetView)
         self.memory = find(MemoryKeeper) or self.memory
         self.quarantine = find(CrashQuarantine) or self.quarantine
         self.retry = find(BudgetedRetry) or self.retry
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return where the call goes now."""
+        """Return the placement of a call."""
         assert self.fleet is not None
-        # What came before its content was known to crash endpoints, and waits or is
-        # to be sent again, would bring down one more each.
+        # Calls that were accepted before their content was quarantined may wait or be
+        # retried; each would crash one more endpoint.
         objection = self.quarantine.rejection_for(
             record.request.body_digest, context.now
         )
@@ -136,10 +136,10 @@
         return self._wait_or_refuse(record, choice, context.now)
 
     def could_place_elsewhere(self, record: RequestRecord, context: Context) -> bool:
-        """Return whether a running call would be sent elsewhere at once if it ended.
+        """Return whether a running call could be placed on another endpoint now.
 
-        Nothing is changed by asking. Memory that would have to be reserved may be
-        refused, so that a place which needs some is none yet.
+        Has no side effects. Assignments that need reservations do not count, as engines
+        may deny the memory.
         """
         if self.fleet is None or record.current is None:
             return False
@@ -170,7 +170,7 @@
         record: RequestRecord,
         context: Context,
     ) -> Placement:
-        """Enter a call's work at its place, and tell peers of it."""
+        """Track the load of an assigned call and publish it to peers."""
         work = place.to_in_flight_request(ask, context.now)
         self.load_tracker.record(work)
         self.placed_attempts[work.request] = AttemptNumber(len(record.attempts) + 1)
@@ -184,7 +184,7 @@
     def _record_prediction(
         self, place: Assignment, request_id: RequestId, now: timedelta
     ) -> None:
-        """Note when the first token is expected, for the log; plain calls have none."""
+        """Record the predicted first token for the log; plain calls have none."""
         self.predicted_first_token_at.pop(request_id, None)
         if place.predicted_first_token > timedelta(0):
             self.predicted_first_token_at[request_id] = (
@@ -194,7 +194,7 @@
     def _placement_request(
         self, record: RequestRecord, figures: EngineFigures | None, context: Context
     ) -> PlacementRequest:
-        """Return what placement is asked, without engines known to lack memory."""
+        """Return the placement request, excluding engines known to lack memory."""
         crowded = self.full_rejections.rejecting_load(record.request_id, context.now)
         ask = replace(
             placement_request(record, figures, context), running_ceiling=crowded
@@ -208,11 +208,11 @@
     def _wait_or_refuse(
         self, record: RequestRecord, choice: WaitForCapacity, now: timedelta
     ) -> Placement:
-        """Let a call wait, unless it has waited for long.
+        """Let a call wait, or reject it if it has waited too long.
 
-        Only waiting counts: a stream that breaks late in its life, when all places
-        are taken, would else be given up at once with most of its time left. One that
-        lets others go first is not given up for that: it can go at any moment.
+        Only time in the queue counts: otherwise a stream that breaks late while all
+        engines are full would be rejected at once with time left. A call that yields to
+        others in turn is not rejected, as it can start at any moment.
         """
         if choice.reason is Shortage.TURN:
             return Wait(choice.reason.value)
@@ -223,14 +223,14 @@
         return Wait(choice.reason.value)
 
     def figures_of(self, service: ServiceId) -> EngineFigures | None:
-        """Return the figures of a service's engines; None for a plain service."""
+        """Return the engine parameters of a service; None for a plain service."""
         table = self.fleet.table if self.fleet is not None else None
         known = table.services.get(service) if table is not None else None
         return known.engine if known is not None else None
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Keep the book."""
+        """Track the load of own and peer calls."""
 
     @handle.register
     def _(self, message: FirstToken, context: Context) -> None:
@@ -244,7 +244,7 @@
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
         work = self.load_tracker.own.get(message.request_id)
-        # The next attempt may have been placed already; its work stays.
+        # The next attempt may already have been placed; keep its load.
         if (
             work is not None
             and self.placed_attempts.get(work.request) == message.attempt
@@ -258,7 +258,7 @@
 
     @handle.register
     def _(self, message: AttemptHedged, context: Context) -> None:
-        # Peers go on to take it for running; they hear of the next one in its place.
+        # Peers keep counting this attempt until the next one replaces it.
         if self.load_tracker.rename(message.request_id, hedged_id(message.request_id)):
             self.hedged_attempts[message.request_id] = message.attempt
 
@@ -293,9 +293,9 @@
             self._end_load(request_id, context)
 
     def _forget_hedged(self, request_id: RequestId) -> bool:
-        """Forget the silent attempt that is open beside another; say if there was one.
+        """Stop tracking the stalled attempt of a hedged call; return if there was one.
 
-        It takes a slot of its engine until it is ended, under a name of its own.
+        It occupies a slot of its engine until it ends, and is tracked under its own id.
         """
         self.load_tracker.remove(hedged_id(request_id))
         return self.hedged_attempts.pop(request_id, None) is not None
@@ -317,9 +317,10 @@
     def _record_rejection(
         self, work: InFlightRequest, failure: AttemptFailed, context: Context
     ) -> None:
-        """Learn from an engine's word that it has no room, for all calls.
+        """Record that an engine rejected a call because it is full.
 
-        One whose memory is reserved may have lost it, which says nothing of slots.
+        A call with reserved memory may have lost its reservation, which says nothing
+        about free slots.
         """
         known = self.fleet.endpoints.get(work.host) if self.fleet is not None else None
         if known is None or work.held or not reports_full(failure, known.listed):
@@ -341,16 +342,15 @@
 
 
 def hedged_id(request_id: RequestId) -> RequestId:
-    """Return the name of a call's silent attempt that is open beside another one."""
+    """Return the tracking id of a call's stalled attempt beside a hedged one."""
     return RequestId(f"{request_id} hedged")
 
 
 def has_long_prefill(work: InFlightRequest) -> bool:
-    """Return whether peers need to hear when a work's prompt has been read.
+    """Return whether the end of a call's prefill is published to peers.
 
-    A short prompt's reading is over for them when it was to be, and as a writer it
-    makes a pass longer by less than a millisecond. Not told, its words are two in
-    place of three.
+    For a short prompt peers rely on the predicted end, and its decoding lengthens a
+    step by less than a millisecond. Omitting it saves one of three messages per call.
     """
     return any(part.prefill_ms >= MIN_PUBLISHED_PREFILL_MS for part in work.parts)
 
@@ -358,7 +358,7 @@
 def placement_request(
     record: RequestRecord, figures: EngineFigures | None, context: Context
 ) -> PlacementRequest:
-    """Return what placement is asked for a call."""
+    """Return the placement request for a call."""
     request = record.request
     terms = request.terms
     objective = timedelta(0)
@@ -382,12 +382,12 @@
 
 
 def expected_answer_tokens(request: Request, figures: EngineFigures) -> int:
-    """Return the tokens that an answer is expected to have."""
+    """Return the expected number of output tokens."""
     hint = request.terms.expected_tokens if request.terms is not None else 0
     expected = hint or figures.expected_answer_tokens
     return min(expected, request.max_tokens) if request.max_tokens else expected
 
 
 def overloaded_problem(detail: str, come_back: timedelta) -> Problem:
-    """Return why a call is not placed, and when to come back."""
+    """Return the problem for a call that cannot be placed."""
     return Problem(ProblemCode.OVERLOADED, detail, come_back)
--- a/src/mimosafork/gateway/policies/quarantining.py
+++ b/src/mimosafork/gateway/policies/quarantining.py
@@ -1,4 +1,4 @@
-"""Keeps a request that crashes endpoints from reaching further ones."""
+"""Quarantines requests whose content crashes endpoints."""
 
 import logging
 from datetime import timedelta
@@ -26,18 +26,18 @@
 logger = logging.getLogger(__name__)
 
 MAX_CRASHES = 2
-"""Endpoints that a request may have brought down before it is refused."""
+"""Number of endpoints that a content may crash before it is quarantined."""
 
 SUSPICION_TTL = timedelta(seconds=60)
 RETRY_AFTER = timedelta(seconds=5)
 
 SOURCE_OWN = "own attempts"
 SOURCE_PEER = "peer"
-"""Whose word a line tells."""
+"""Sources of a quarantine decision in log lines."""
 
 
 class CrashSuspicion(msgspec.Struct):
-    """Endpoints whose connections broke under a request, and when last."""
+    """Endpoints whose connections broke while running a content."""
 
     endpoints: set[EndpointId] = msgspec.field(default_factory=set)
     last_crash_at: timedelta = timedelta(0)
@@ -45,21 +45,21 @@
 
 @register("crash-quarantine")
 class CrashQuarantine(Stage):
-    """Refuses a request that broke its connection at several endpoints."""
+    """Rejects requests whose content broke connections at several endpoints."""
 
     order = 20
 
     def __init__(self) -> None:
-        # The one that was seen last stands last.
+        # Ordered by the time of the last crash, most recent last.
         self.suspicions: dict[Digest, CrashSuspicion] = {}
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
-        """Refuse what has crashed endpoints before."""
+        """Reject a request whose content is quarantined."""
         problem = self.rejection_for(record.request.body_digest, context.now)
         return Proceed() if problem is None else Refuse(problem)
 
     def rejection_for(self, digest: Digest, now: timedelta) -> Problem | None:
-        """Return why a content is sent nowhere; None if it may be."""
+        """Return the problem for a quarantined content; None if it may be sent."""
         suspicion = self.suspicions.get(digest)
         if suspicion is None or now - suspicion.last_crash_at > SUSPICION_TTL:
             return None
@@ -70,7 +70,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Learn from how attempts end."""
+        """Update suspicions from attempt outcomes and peer reports."""
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
@@ -83,9 +83,9 @@
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
-        # By its conclusion, as the record is gone when its last attempt's end is
-        # told: a content that ran well was never cleared, and its crashes of other
-        # causes added up until it was refused.
+        # Uses the conclusion, as the request record no longer exists when the end of
+        # its last attempt is reported. Otherwise a good content would never be cleared
+        # and unrelated crashes would add up until it is rejected.
         if message.conclusion.outcome is not Outcome.COMPLETED:
             return
         digest = message.record.request.body_digest
@@ -121,7 +121,7 @@
             )
 
     def _clear(self, digest: Digest, source: str) -> bool:
-        """Forget a suspicion; return whether there was one."""
+        """Remove a suspicion; return whether there was one."""
         suspicion = self.suspicions.pop(digest, None)
         if suspicion is None:
             return False
@@ -130,7 +130,7 @@
         return True
 
     def _record_crash(self, digest: Digest, now: timedelta) -> CrashSuspicion:
-        """Return the suspicion of a content that was seen now; forget old ones."""
+        """Return the suspicion of a content that crashed now; drop expired ones."""
         suspicion = self.suspicions.pop(digest, None)
         if suspicion is None or now - suspicion.last_crash_at > SUSPICION_TTL:
             suspicion = CrashSuspicion()
--- a/src/mimosafork/gateway/policies/reservations.py
+++ b/src/mimosafork/gateway/policies/reservations.py
@@ -1,4 +1,4 @@
-"""Memory that is reserved on several engines for one attempt of a request."""
+"""State of the KV cache memory reserved on several engines for one attempt."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -12,36 +12,36 @@
 
 
 class GangStep(Enum):
-    """How far a gang is."""
+    """Progress of a gang."""
 
     RESERVING = "reserving"
     RUNNING = "running"
 
 
 class ReservationState(Enum):
-    """What is known of memory that was asked for."""
+    """Known state of a requested reservation."""
 
     HELD = "held"
-    """The engine has said so, and its time is not over."""
+    """Confirmed by the engine and not expired."""
     UNSURE = "unsure"
-    """It may be held: its order is not answered, or its time may be over."""
+    """Possibly held: the order is unanswered or the reservation may have expired."""
 
 
 class EngineReservation(msgspec.Struct):
-    """Memory on one engine, and what is known of it.
+    """Reservation of memory on one engine.
 
     Attributes
     ----------
-    asked_at : timedelta or None
-        When it was last asked for, first or again; None before.
+    requested_at : timedelta or None
+        Time of the last reserve or renew order; None before the first.
     held_until : timedelta or None
-        It is surely held until then; None while it isn't held.
-    open : bool
-        An order for it is not answered yet.
-    lost : bool
-        The engine has said that it isn't held.
-    not_before : timedelta
-        It is not asked for again before.
+        Guaranteed to be held until then; None while it is unconfirmed.
+    awaiting_answer : bool
+        Whether an order is unanswered.
+    denied : bool
+        Whether the engine has reported that it is not held.
+    retry_not_before : timedelta
+        Earliest time of the next renewal.
     """
 
     reservation_id: ReservationId
@@ -55,33 +55,33 @@
     retry_not_before: timedelta = timedelta(0)
 
     def mark_requested(self, now: timedelta) -> None:
-        """Note that an order for it is sent."""
+        """Record that an order is sent."""
         self.requested_at = now
         self.awaiting_answer = True
 
     def confirm(self, hold: timedelta) -> None:
-        """Note that it is held, for `hold` from when it was asked for at the least."""
+        """Record that it is held for at least `hold` from the time of the order."""
         assert self.requested_at is not None
         self.awaiting_answer = False
         self.held_until = self.requested_at + hold
 
     def state(self, now: timedelta) -> ReservationState | None:
-        """Return what is known of it; None if it is surely not held."""
+        """Return the known state; None if it is certainly not held."""
         if self.requested_at is None or self.denied:
             return None
         sure = self.held_until is not None and now < self.held_until
         return ReservationState.HELD if sure else ReservationState.UNSURE
 
     def renewal_due(self, now: timedelta, last: timedelta) -> bool:
-        """Return whether it should be asked for again.
+        """Return whether it should be renewed.
 
-        One that has run out isn't: its memory would be set aside anew, and the
-        request that used it has been cut off.
+        An expired reservation is not renewed: the engine has aborted the request that
+        used it, and would reserve memory that nobody uses.
 
         Parameters
         ----------
         last : timedelta
-            How much of its time may be left.
+            Remaining time at which a renewal is due.
         """
         if self.awaiting_answer or self.denied or self.held_until is None:
             return False
@@ -91,12 +91,12 @@
 
 
 class Gang(msgspec.Struct):
-    """The reservations of one attempt, in the order in which they are asked for.
+    """The reservations of one attempt, in the order in which they are requested.
 
     Attributes
     ----------
     attempt : AttemptNumber
-        Number that the attempt has, or will have once it is sent.
+        Number of the attempt, assigned before it is sent.
     """
 
     request_id: RequestId
@@ -107,27 +107,29 @@
     step: GangStep = GangStep.RESERVING
 
     def next_unreserved(self) -> EngineReservation | None:
-        """Return the first ticket that isn't held; None if all are."""
+        """Return the first unconfirmed reservation; None if all are held."""
         return next(
             (each for each in self.reservations if each.held_until is None), None
         )
 
-    def find_reservation(self, reservation: ReservationId) -> EngineReservation | None:
-        """Return a ticket of this gang by its id."""
+    def find_reservation(
+        self, reservation_id: ReservationId
+    ) -> EngineReservation | None:
+        """Return a reservation of this gang by its id."""
         found = (
-            each for each in self.reservations if each.reservation_id == reservation
+            each for each in self.reservations if each.reservation_id == reservation_id
         )
         return next(found, None)
 
     def engines(self) -> set[EndpointId]:
-        """Return the host and all that help it."""
+        """Return the host and all its helpers."""
         return {self.place.host, *(each.endpoint for each in self.place.helpers)}
 
     def helpers(self) -> tuple[PrefillHelper, ...]:
-        """Return the helpers as the host is told of them.
+        """Return the helpers as they are sent to the host.
 
-        Its own memory goes first, then that of others, as it is filled in turn; those
-        that only read go last.
+        The host's own memory goes first, then that of others, as memory is filled in
+        this order. Helpers that only compute prefill go last.
         """
         names = {each.endpoint: each.reservation_id for each in self.reservations}
         place = self.place
@@ -145,15 +147,15 @@
 def engine_reservations(
     reservations: tuple[Reservation, ...], new_id: Callable[[], ReservationId]
 ) -> list[EngineReservation]:
-    """Return tickets in the order that all instances share.
+    """Return reservations in an order that is the same on all instances.
 
-    So of two gangs that want the same engines, the one that got the first of these is
-    not stopped by the other, and none waits for what the other holds.
+    Of two gangs that compete for the same engines, the one that reserves the first
+    engine is not blocked by the other, so deadlocks cannot occur.
 
     Parameters
     ----------
     new_id : callable
-        Returns an id that no reservation has had.
+        Returns a reservation id that was never used before.
     """
     ordered = sorted(reservations, key=lambda each: each.endpoint)
     return [
--- a/src/mimosafork/gateway/policies/reserving.py
+++ b/src/mimosafork/gateway/policies/reserving.py
@@ -1,12 +1,11 @@
-"""Reserves memory on several engines for prompts that one engine can't hold.
+"""Reserves KV cache memory on several engines for prompts too large for one engine.
 
-All of it is reserved before the request is sent, one engine after the other in an
-order that all instances share; where one has no room the rest is released, and the
-request is placed anew. So a gang never waits for memory while it holds some.
+All memory is reserved before the request is sent, one engine at a time in an order that
+is the same on all instances. If one engine has no capacity, the other reservations are
+released and the request is placed again. So a gang never waits while holding memory.
 
-Each reservation is for a short time and renewed while it is needed. An instance that
-is killed, frozen or cut off between any two steps leaves nothing behind for longer
-than that.
+Reservations have a short time to live and are renewed while needed. An instance that is
+killed, frozen or partitioned between any two steps leaks memory only for that time.
 """
 
 from collections import Counter
@@ -52,45 +51,45 @@
 from .retrying import RETRY_BUDGET_EXHAUSTED, BudgetedRetry
 
 RESERVATION_TTL = timedelta(milliseconds=3750)
-"""Memory is reserved for so long. It must be free within four seconds after an
-instance was killed, and only this ensures it. Nearly all requests end before a
+"""Time to live of a reservation. Memory must be free within four seconds after an
+instance is killed, and only this expiry ensures it. Nearly all requests end before a
 renewal is due."""
 
 RENEWAL_MARGIN = timedelta(milliseconds=1100)
-"""A reservation is renewed when so much of its time is left: late, as an order that
-is carried out only seconds after it arrived counts from its arrival and takes back
-what was renewed since; but early enough to repeat one that got no answer."""
+"""A reservation is renewed when this much of its time is left. Late, because an order
+that is executed seconds after its arrival counts from its arrival and undoes later
+renewals; but early enough to repeat an order that got no answer."""
 
 RENEWAL_RETRY_DELAY = timedelta(milliseconds=200)
-"""After an engine could not be reached for a renewal."""
+"""Delay before a failed renewal is repeated."""
 
 RESERVE_TIMEOUT = timedelta(milliseconds=1200)
-"""A gang that isn't complete by then is given up: what was reserved first must still
-be held when the request arrives, with time left to renew it."""
+"""An incomplete gang is abandoned after this time: its first reservation must still be
+held when the request arrives, with time left to renew it."""
 
 FIRST_BACKOFF = timedelta(milliseconds=100)
-"""Mean pause before a request is placed anew for the first time, twice as long each
-further time; two gangs that met once should not meet again."""
+"""Mean backoff before a request is placed again, doubled each time and randomized so
+that two gangs that collided once do not collide again."""
 
 MAX_BACKOFF = timedelta(milliseconds=800)
 
 MAX_GANG_FAILURES = 8
-"""Gangs of one attempt that may fail; the memory is not there then, and each one's
-orders cost the engines time."""
+"""Failed gangs after which a request is rejected: memory is not available then, and the
+orders of each gang cost the engines time."""
 
 RETRY_AFTER = timedelta(seconds=1)
 SHORTAGE_PERIOD = timedelta(seconds=1)
-"""An engine that had no memory, or gave no answer, is not asked again for so long."""
+"""Time for which an engine without free memory or without an answer is avoided."""
 
 
 @register("memory-keeper")
 class MemoryKeeper(Plugin):
-    """Reserves, renews and releases what placement wants to be held.
+    """Reserves, renews and releases memory for placements.
 
     Attributes
     ----------
     longest_hold : timedelta
-        Engines reserve for no longer at once; set by the owner from its settings.
+        Maximum time to live that engines grant; set from the settings.
     """
 
     def __init__(self) -> None:
@@ -105,30 +104,30 @@
         self.id_numbers = count(1)
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked, and told of what can't be reached."""
+        """Look up the plug-ins that this one uses."""
         self.fleet = find(FleetView)
         self.retry = find(BudgetedRetry)
 
     def new_id(self) -> ReservationId:
-        """Return an id that no reservation of any instance has had.
+        """Return an id that no reservation of any instance has used.
 
-        An id that two requests used at once would let both write into the same
-        memory. A life's ids begin with chance and are numbered: no attempt, no
-        other request and no earlier life under the same name can have had them.
+        Two requests with the same id would write to the same memory. Ids consist of a
+        prefix that is random per incarnation and a sequence number, so they are unique
+        across attempts, requests and earlier incarnations of this instance.
         """
         return ReservationId(f"{self.id_prefix}.{next(self.id_numbers)}")
 
     @property
     def reservation_ttl(self) -> timedelta:
-        """How long a reservation lasts."""
+        """Time to live of new reservations."""
         return min(RESERVATION_TTL, self.longest_hold)
 
     def is_backing_off(self, request_id: RequestId, now: timedelta) -> bool:
-        """Return whether a request should not be placed just now."""
+        """Return whether a request is in backoff and must not be placed now."""
         return now < self.backoff_until.get(request_id, now)
 
     def engines_short_of_memory(self, now: timedelta) -> frozenset[EndpointId]:
-        """Return the engines that lately had no memory for a reservation."""
+        """Return the engines that recently had no memory for a reservation."""
         self.shortage_until = {
             endpoint: until
             for endpoint, until in self.shortage_until.items()
@@ -137,44 +136,44 @@
         return frozenset(self.shortage_until)
 
     def reserved_tokens(self, now: timedelta) -> Counter[ReservationState]:
-        """Return the tokens on engines that this instance's calls hold now.
+        """Return the tokens reserved on engines by calls of this instance.
 
-        Safe for any thread: what a gang begun meanwhile holds may be left out.
+        Safe for any thread: gangs that start concurrently may be missing.
         """
         tokens: Counter[ReservationState] = Counter()
         for gang in list(self.gangs.values()):
-            for ticket in gang.reservations:
-                state = ticket.state(now)
+            for reservation in gang.reservations:
+                state = reservation.state(now)
                 if state is not None:
-                    tokens[state] += ticket.tokens
+                    tokens[state] += reservation.tokens
         return tokens
 
     def begin(
         self, place: Assignment, record: RequestRecord, context: Context
     ) -> Placement:
-        """Reserve what a place needs; `Placed` or `PlacementFailed` follows."""
+        """Start to reserve memory; `Placed` or `PlacementFailed` follows."""
         request_id = record.request_id
         self._dissolve(request_id, context)
         if not self.id_prefix:
             instance = context.state.identity.instance
             self.id_prefix = f"{instance}.{context.random.getrandbits(48):012x}"
-        tickets = engine_reservations(place.reservations, self.new_id)
+        reservations = engine_reservations(place.reservations, self.new_id)
         attempt = AttemptNumber(len(record.attempts) + 1)
-        gang = Gang(request_id, attempt, place, context.now, tickets)
+        gang = Gang(request_id, attempt, place, context.now, reservations)
         self.gangs[request_id] = gang
         self._advance(gang, record, context)
         return PlacementPending()
 
     def _advance(self, gang: Gang, record: RequestRecord, context: Context) -> None:
-        """Ask for what is missing, or let the request be sent."""
-        # The process may have been frozen between two steps: what was reserved first
-        # may have run out, and the engine would refuse the request, or another
-        # gang would hold the memory by now.
+        """Request the next missing reservation, or send the request."""
+        # The process may have been frozen between two steps. The first reservation
+        # may have expired, so that the engine would reject the request or another gang
+        # holds the memory.
         if context.now - gang.begun_at > RESERVE_TIMEOUT:
             self._fail(gang, context)
             return
-        # An engine may say that it leaves while memory is reserved, here or at
-        # others. Sent all the same, the request would reach it after its time.
+        # An engine may start draining while memory is reserved, here or on others. The
+        # request would reach it too late.
         if not all(self._takes_work(name, context.now) for name in gang.engines()):
             self._fail(gang, context, pause=False)
             return
@@ -197,35 +196,35 @@
         context.post(Placed(gang.request_id, place))
 
     def _takes_work(self, endpoint: EndpointId, now: timedelta) -> bool:
-        """Return whether an engine still gets new work."""
+        """Return whether an engine still accepts new requests."""
         if self.fleet is None:
             return True
         known = self.fleet.endpoints.get(endpoint)
         return known is not None and known.usable(now)
 
     def _request_memory(
-        self, gang: Gang, ticket: EngineReservation, context: Context
+        self, gang: Gang, reservation: EngineReservation, context: Context
     ) -> None:
-        """Reserve, or renew what is reserved: that is the same order."""
-        ticket.mark_requested(context.now)
+        """Send a reserve order; a renewal uses the same order."""
+        reservation.mark_requested(context.now)
         context.emit(
             ReserveMemory(
                 request_id=gang.request_id,
-                reservation=ticket.reservation_id,
-                endpoint=ticket.endpoint,
-                address=ticket.address,
-                tokens=ticket.tokens,
+                reservation=reservation.reservation_id,
+                endpoint=reservation.endpoint,
+                address=reservation.address,
+                tokens=reservation.tokens,
                 time_to_live=self.reservation_ttl,
             )
         )
 
     def _fail(self, gang: Gang, context: Context, pause: bool = True) -> None:
-        """Release everything; give the request back to the queue, or give up.
+        """Release all reservations; requeue the request, or reject it.
 
         Parameters
         ----------
         pause : bool
-            Whether it should wait before it is placed anew, as memory is short.
+            Whether to back off before the next placement, as memory is short.
         """
         request_id = gang.request_id
         self._dissolve(request_id, context)
@@ -242,35 +241,40 @@
         context.post(PlacementFailed(request_id, refuse))
 
     def _dissolve(self, request_id: RequestId, context: Context) -> None:
-        """Release what a request may hold.
+        """Release all reservations that a request may hold.
 
-        That an order got no answer doesn't mean that it wasn't carried out; only
-        what the engine itself denied needs no release.
+        An unanswered order may have been executed, so only reservations that the engine
+        denied are skipped.
         """
         gang = self.gangs.pop(request_id, None)
         if gang is None:
             return
-        for ticket in gang.reservations:
-            if ticket.requested_at is not None and not ticket.denied:
-                self._release(ticket, context)
+        for reservation in gang.reservations:
+            if reservation.requested_at is not None and not reservation.denied:
+                self._release(reservation, context)
 
-    def _release(self, ticket: EngineReservation, context: Context) -> None:
+    def _release(self, reservation: EngineReservation, context: Context) -> None:
         kind = HoldingKind.RESERVATION
         context.emit(
-            FreeOwnHolding(ticket.endpoint, ticket.address, kind, ticket.reservation_id)
+            FreeOwnHolding(
+                reservation.endpoint,
+                reservation.address,
+                kind,
+                reservation.reservation_id,
+            )
         )
 
     def _find(
-        self, request_id: RequestId, reservation: ReservationId
+        self, request_id: RequestId, reservation_id: ReservationId
     ) -> tuple[Gang, EngineReservation] | None:
-        """Return a ticket with its gang; late answers find none."""
+        """Return a reservation with its gang; None for late answers."""
         gang = self.gangs.get(request_id)
-        ticket = None if gang is None else gang.find_reservation(reservation)
-        return None if gang is None or ticket is None else (gang, ticket)
+        reservation = None if gang is None else gang.find_reservation(reservation_id)
+        return None if gang is None or reservation is None else (gang, reservation)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Take the next step."""
+        """Advance, renew or dissolve gangs."""
 
     @handle.register
     def _(self, message: MemoryReserved, context: Context) -> None:
@@ -278,8 +282,8 @@
         record = context.state.requests.get(message.request_id)
         if found is None or record is None:
             return
-        gang, ticket = found
-        ticket.confirm(self.reservation_ttl)
+        gang, reservation = found
+        reservation.confirm(self.reservation_ttl)
         if gang.step is GangStep.RESERVING:
             self._advance(gang, record, context)
 
@@ -289,44 +293,43 @@
         record = context.state.requests.get(message.request_id)
         if found is None or record is None:
             return
-        gang, ticket = found
-        ticket.awaiting_answer = False
-        ticket.denied = message.failure in {
+        gang, reservation = found
+        reservation.awaiting_answer = False
+        reservation.denied = message.failure in {
             GangStepFailure.NO_MEMORY,
             GangStepFailure.REFUSED,
         }
         if gang.step is GangStep.RUNNING:
-            ticket.retry_not_before = context.now + RENEWAL_RETRY_DELAY
+            reservation.retry_not_before = context.now + RENEWAL_RETRY_DELAY
         elif message.failure is GangStepFailure.LOST:
-            self._retry_with_new_id(gang, ticket, record, context)
+            self._retry_with_new_id(gang, reservation, record, context)
         else:
-            self._record_shortage(ticket, message.failure, context.now)
+            self._record_shortage(reservation, message.failure, context.now)
             self._fail(gang, context, message.failure is GangStepFailure.NO_MEMORY)
 
     def _retry_with_new_id(
         self,
         gang: Gang,
-        ticket: EngineReservation,
+        reservation: EngineReservation,
         record: RequestRecord,
         context: Context,
     ) -> None:
-        """Ask again, after an order that got no answer, under another id.
+        """Repeat an unanswered reservation order under a new id.
 
-        The first order may be carried out seconds later, and would set the end of
-        this memory back to what it was then, amid the answer. Under its own id it
-        finds its time over.
+        The first order may be executed seconds later and would move the expiry of the
+        reservation back during the response. Under its own id it has already expired.
         """
-        self._release(ticket, context)
-        ticket.reservation_id = self.new_id()
-        ticket.requested_at = None
+        self._release(reservation, context)
+        reservation.reservation_id = self.new_id()
+        reservation.requested_at = None
         self._advance(gang, record, context)
 
     def _record_shortage(
-        self, ticket: EngineReservation, failure: GangStepFailure, now: timedelta
+        self, reservation: EngineReservation, failure: GangStepFailure, now: timedelta
     ) -> None:
-        self.shortage_until[ticket.endpoint] = now + SHORTAGE_PERIOD
+        self.shortage_until[reservation.endpoint] = now + SHORTAGE_PERIOD
         if failure is GangStepFailure.UNREACHED and self.fleet is not None:
-            known = self.fleet.endpoints.get(ticket.endpoint)
+            known = self.fleet.endpoints.get(reservation.endpoint)
             if known is not None:
                 known.note_unreached(now)
 
@@ -341,9 +344,9 @@
 
     def _renew_due(self, gang: Gang, context: Context) -> None:
         last = min(RENEWAL_MARGIN, self.reservation_ttl / 2)
-        for ticket in gang.reservations:
-            if ticket.renewal_due(context.now, last):
-                self._request_memory(gang, ticket, context)
+        for reservation in gang.reservations:
+            if reservation.renewal_due(context.now, last):
+                self._request_memory(gang, reservation, context)
 
     def _record_silent_engine(self, gang: Gang, now: timedelta) -> None:
         missing = gang.next_unreserved()
@@ -353,7 +356,7 @@
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
         gang = self.gangs.get(message.request_id)
-        # The next attempt may have a gang already; that one stays.
+        # The next attempt may already have its own gang, which must be kept.
         if gang is not None and gang.attempt == message.attempt:
             self._dissolve(message.request_id, context)
 
--- a/src/mimosafork/gateway/policies/retry_budget.py
+++ b/src/mimosafork/gateway/policies/retry_budget.py
@@ -1,4 +1,4 @@
-"""What one instance may repeat of a service's calls, by what it sent itself."""
+"""Retry budget of one service at one instance, earned by its own requests."""
 
 from bisect import bisect_right
 from collections import deque
@@ -9,35 +9,35 @@
 from ...ids import RequestId
 
 MAX_RETRY_TRANSIT = timedelta(milliseconds=2300)
-"""A repeat is counted before it is sent, and reaches its endpoint up to so much later.
+"""Longest time between counting a retry and its arrival at the endpoint.
 
-A connection may have to be opened for it, or what is written on a kept one may lie in
-the system for as long as nothing need be acknowledged. It counts for so much longer
-than a request: one that was counted before a window may arrive within it."""
+A new connection may have to be opened, or data written to a kept-alive connection may
+stay in the socket buffer until the acknowledgement timeout. A retry is counted for this
+much longer than a request, as one counted before a window may arrive within it."""
 
 RETRY_BATCH_SPAN = timedelta(milliseconds=50)
-"""Repeats that follow within this are kept as one entry. An instance that repeats
-hundreds of calls a second would else look at each of them for each decision."""
+"""Retries within this span share one entry. Otherwise an instance with hundreds of
+retries per second would iterate over each of them for every decision."""
 
 MIN_EARNED_TO_SAVE = 2.0
-"""Repeats that the requests of a window must have earned for one to be saved up."""
+"""Retries that the requests of a window must earn before one can be saved."""
 
 SAVING_RATIO_SHARE = 0.5
 
 
 class SlackShare(msgspec.Struct, frozen=True):
-    """An instance's part in what its fleet may repeat beside the ratio.
+    """An instance's share of the fleet-wide retry slack.
 
     Attributes
     ----------
     instances : int
-        How many share it, itself included.
+        Number of instances that share the slack, including this one.
     rank : int
-        How many of them stand before it in an order that is the same for all.
+        Position of this instance in an order that is the same on all instances.
     known : bool
-        False while it isn't known how many there are.
-    since : timedelta or None
-        When this life began, as long as a former one's repeats may still count.
+        False while the number of instances is unknown.
+    restarted_at : timedelta or None
+        Start of this incarnation, while retries of the previous one may still count.
     """
 
     instances: int = 1
@@ -46,10 +46,10 @@
     restarted_at: timedelta | None = None
 
     def portion_of(self, slack: float) -> int:
-        """Return the part: whole repeats, the rest to the first by rank.
+        """Return whole retries; the remainder goes to the first instances by rank.
 
-        Guard: repeats are whole. Were each instance to have the part that is less than
-        one rounded up, a fleet of more instances than the slack would pass it.
+        Rounding fractions up instead would exceed the slack in a fleet that has more
+        instances than the slack has retries.
         """
         if not self.known or self.restarted_at is not None:
             return 0
@@ -58,17 +58,17 @@
 
 
 class RetryLimits(msgspec.Struct, frozen=True):
-    """What one instance may repeat of a service's calls.
+    """Limits on the retries of one service at one instance.
 
     Attributes
     ----------
     ratio : float
-        Repeats that a request earns.
+        Retries that one request earns.
     burst : int
-        Repeats in a window beside those that its own requests earn.
-    since : timedelta or None
-        Before this life another one may have sent all that it could: since then no
-        more is sent than is earned.
+        Retries per window in addition to those earned by requests.
+    restarted_at : timedelta or None
+        Start of this incarnation. The previous one may have used its whole budget, so
+        only retries earned since then are sent.
     """
 
     ratio: float
@@ -77,12 +77,12 @@
 
 
 class RetryBatch(msgspec.Struct):
-    """Repeats that were counted nearly together.
+    """Retries that were counted within ``RETRY_BATCH_SPAN``.
 
     Attributes
     ----------
     first, last : timedelta
-        When the first and the last of them were.
+        Times of the first and the last of them.
     """
 
     first: timedelta
@@ -91,20 +91,20 @@
 
 
 class ServiceRetryBudget:
-    """Requests and repeats of one service at this instance, within a window.
+    """Requests and retries of one service at this instance, within a sliding window.
 
-    In each span of up to a window that ends now, repeats are at most the burst and what
-    the requests of that same span earn. Guard: were the requests of one window before
-    each repeat counted, each instance would send most after its own busiest seconds,
-    and these differ: all together would pass what any one window of the fleet earns.
+    In each span of up to a window that ends now, retries are limited to the burst plus
+    what the requests of that same span earn. Counting the requests of the window before
+    each retry instead would let every instance send most after its own busiest seconds;
+    these differ, so the fleet would exceed what any one of its windows earns.
 
-    Without a burst no repeat could ever be the first. An instance whose requests of the
-    last window earn several may save up one, and earns half as fast for it: the other
-    half of that window's pays for what is saved, the fleet over.
+    Without a burst there could never be a first retry. An instance whose requests of
+    the last window earn several may save one, and then earns at half the ratio: the
+    other half of that window's earnings pays for the saved retry across the fleet.
 
-    A repeat is promised when it is decided, and holds its place in the room until it
-    is sent: it may wait for an endpoint, and what is promised meanwhile must not crowd
-    it out. It counts as of the moment when it is sent, the one that endpoints see.
+    A retry is reserved when it is decided and keeps its reservation until it is sent,
+    as it may wait for an endpoint and later reservations must not displace it. It is
+    counted at the time it is sent, which is what endpoints observe.
 
     Parameters
     ----------
@@ -112,14 +112,14 @@
 
     Attributes
     ----------
-    requests : list of timedelta
-        Instants of the latest.
-    total : int
-        Repeats that were counted in this life.
-    promised : set of RequestId
-        Calls that are to be sent again.
-    sent : dict of RequestId to timedelta
-        When open calls were last sent again.
+    request_times : list of timedelta
+        Times of the latest requests.
+    total_retries : int
+        Retries counted by this incarnation.
+    reserved : set of RequestId
+        Calls with a pending retry.
+    sent_at : dict of RequestId to timedelta
+        Time of the last retry of each open call.
     """
 
     def __init__(self, window: timedelta) -> None:
@@ -131,7 +131,7 @@
         self.total_retries = 0
 
     def available(self, terms: RetryLimits, now: timedelta) -> float:
-        """Return how many repeats may be sent now, the promised ones included."""
+        """Return how many retries may be sent now, including reserved ones."""
         self.expire(now)
         terms = self.with_saved_retry(terms, now)
         room = float(terms.burst)
@@ -146,7 +146,7 @@
         return room
 
     def with_saved_retry(self, terms: RetryLimits, now: timedelta) -> RetryLimits:
-        """Return terms by which an instance without a part can repeat at all."""
+        """Return limits that let an instance without a burst save one retry."""
         if terms.burst:
             return terms
         earned = terms.ratio * self.requests_after(now - self.window)
@@ -160,15 +160,15 @@
         return RetryLimits(ratio, 1, terms.restarted_at)
 
     def counted_retries(self) -> int:
-        """Return how many repeats still count."""
+        """Return the number of retries that still count."""
         return sum(each.count for each in self.retry_batches)
 
     def requests_after(self, instant: timedelta) -> int:
-        """Return how many requests came after an instant within the window."""
+        """Return the number of requests received after an instant within the window."""
         return len(self.request_times) - bisect_right(self.request_times, instant)
 
     def expire(self, now: timedelta) -> None:
-        """Forget what no window that ends now or later holds."""
+        """Drop entries older than any window that ends now or later."""
         oldest = now - self.window - MAX_RETRY_TRANSIT
         while self.retry_batches and self.retry_batches[0].last <= oldest:
             self.retry_batches.popleft()
@@ -176,17 +176,17 @@
             del self.request_times[: bisect_right(self.request_times, oldest)]
 
     def count_request(self, now: timedelta) -> None:
-        """Count a request."""
+        """Count a received request."""
         self.expire(now)
         self.request_times.append(now)
 
     def reserve(self, request_id: RequestId) -> None:
-        """Keep a place for a further repeat of a call."""
+        """Reserve budget for the next retry of a call."""
         self.reserved.add(request_id)
         self.sent_at.pop(request_id, None)
 
     def refund(self, request_id: RequestId) -> None:
-        """Count a call's last repeat no more: it has reached no endpoint."""
+        """Uncount the last retry of a call, which reached no endpoint."""
         self.reserved.discard(request_id)
         sent_at = self.sent_at.pop(request_id, None)
         if sent_at is None:
@@ -197,11 +197,11 @@
                 return
 
     def is_retry(self, request_id: RequestId) -> bool:
-        """Return whether a call's next or latest attempt is a repeat."""
+        """Return whether the next or latest attempt of a call is a retry."""
         return request_id in self.reserved or request_id in self.sent_at
 
     def count_retry(self, request_id: RequestId, now: timedelta) -> None:
-        """Count a repeat that is sent now."""
+        """Count a retry that is sent now."""
         self.reserved.discard(request_id)
         self.sent_at[request_id] = now
         self.total_retries += 1
@@ -212,6 +212,6 @@
             self.retry_batches.append(RetryBatch(now, now))
 
     def forget_call(self, request_id: RequestId) -> None:
-        """Forget a call that has ended; what was sent of it goes on to count."""
+        """Forget a finished call; its sent retries keep counting."""
         self.reserved.discard(request_id)
         self.sent_at.pop(request_id, None)
--- a/src/mimosafork/gateway/policies/retrying.py
+++ b/src/mimosafork/gateway/policies/retrying.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is followed by another."""
+"""Retry policy of the gateway, limited by attempts, time and a budget."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -32,11 +32,11 @@
 
 MIN_TIME_LEFT = timedelta(milliseconds=60)
 MAX_SENDS = 6
-"""Arrivals of one call that no endpoint ran are bounded too."""
+"""Maximum sends of one call, including those that endpoints rejected unexecuted."""
 
 CHARGE_TTL = timedelta(milliseconds=200)
-"""A repeat that is not sent within this after it was counted is counted anew: it
-falls into another window than the one that had room for it."""
+"""A retry that is not sent within this time after it was counted is counted again, as
+it falls into another window than the one whose budget allowed it."""
 
 MIN_RETRY_DELAY = timedelta(milliseconds=1)
 REJECTION_RETRY_DELAY = timedelta(milliseconds=20)
@@ -47,26 +47,27 @@
 
 @register("budgeted-retry")
 class BudgetedRetry(RetryPolicy):
-    """Sends again what may run again, within attempts, time and a budget.
+    """Retries repeatable calls, limited by attempts, time and a budget.
 
-    All instances together may repeat a ratio of their requests and a slack in each
-    window. Each one may repeat the ratio of its own requests and its part of the slack.
+    In each window, the retries of the whole fleet are limited to a ratio of its
+    requests plus a slack. Each instance may use the ratio of its own requests and its
+    share of the slack.
 
-    Guard: an instance that spent from a sum over the fleet was right only while words
-    came in time, nobody forgot and everybody counted the same others. Full engines
-    turned calls away, and 68 busy instances sent 399 repeats where 373 were allowed;
-    after a kill of all, the new lives spent the slack a second time. Parts that are
-    fixed by right add up to the whole however late or lost any word is.
+    A budget computed from fleet-wide sums is exceeded when peer updates are late or
+    lost, instances restart, or instances count different peers: with full engines, 68
+    busy instances sent 399 retries where 373 were allowed, and after a restart of all
+    instances the slack was used a second time. Fixed shares add up to the fleet's
+    budget however late or lost any update is.
 
     Attributes
     ----------
     ratio, slack : float
-        A window's repeats of all instances together are at most the ratio of its
-        requests and the slack.
+        Limits of the fleet's retries per window: a share of its requests, and a
+        constant number.
     window : timedelta
         Length of a window.
-    share : callable
-        Returns this instance's part of the slack.
+    slack_share : callable
+        Returns this instance's share of the slack.
     """
 
     def __init__(self) -> None:
@@ -77,7 +78,7 @@
         self.slack_share: Callable[[], SlackShare] = SlackShare
 
     def budget(self, service: ServiceId) -> ServiceRetryBudget:
-        """Return what was sent of a service's calls."""
+        """Return the retry budget of a service."""
         known = self.budgets.get(service)
         if known is None:
             known = self.budgets[service] = ServiceRetryBudget(self.window)
@@ -86,7 +87,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Count requests."""
+        """Update the retry budgets."""
 
     @handle.register
     def _(self, message: Submit, context: Context) -> None:
@@ -109,7 +110,7 @@
     def decide(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> RetryDecision:
-        """Return whether and when to try again."""
+        """Return whether and when to retry."""
         why_not = self.give_up_reason(record, failure, context.now)
         if why_not is not None:
             return GiveUp(give_up_problem(failure, why_not))
@@ -118,7 +119,7 @@
         return RetryLater(REJECTION_RETRY_DELAY if refused else MIN_RETRY_DELAY)
 
     def _reserve_retry(self, record: RequestRecord, failure: AttemptFailed) -> None:
-        """Keep a place for a repeat; what reached no endpoint is none yet."""
+        """Reserve budget for a retry; attempts that reached no endpoint are free."""
         allowance = self.budget(ServiceId(record.request.target))
         if failure.exposure is not Exposure.NEVER_SENT:
             allowance.reserve(record.request_id)
@@ -127,10 +128,10 @@
             allowance.reserve(record.request_id)
 
     def charge_retry(self, request: Request, context: Context) -> bool:
-        """Return whether a call that is about to be sent is within the budget.
+        """Count a call that is about to be sent; return whether the budget allows it.
 
-        A repeat may have waited for room, or for an endpoint that can be reached, and
-        what earned it may have left the window. It is counted as of now.
+        A retry may have waited for capacity or for a reachable endpoint, and the
+        requests that earned it may have left the window. It is counted at this time.
         """
         service = ServiceId(request.target)
         allowance = self.budget(service)
@@ -148,7 +149,7 @@
     def give_up_reason(
         self, record: RequestRecord, failure: AttemptFailed, now: timedelta
     ) -> str | None:
-        """Return why there is no further attempt; None if there may be one."""
+        """Return why there is no retry; None if there may be one."""
         terms = record.request.terms
         if failure.exposure is Exposure.POSSIBLE:
             if record.request.repeatability is Repeatability.NON_IDEMPOTENT:
@@ -170,35 +171,35 @@
     def within_budget(
         self, service: ServiceId, failure: AttemptFailed, now: timedelta
     ) -> bool:
-        """Return whether the budget has room for one more repeat."""
+        """Return whether the budget allows one more retry."""
         return (
             failure.exposure is Exposure.NEVER_SENT
             or self.available_retries(service, now) >= 1
         )
 
     def limits(self) -> RetryLimits:
-        """Return what this instance may repeat of a service's calls."""
+        """Return the retry limits of this instance for a service."""
         share = self.slack_share()
         return RetryLimits(self.ratio, share.portion_of(self.slack), share.restarted_at)
 
     def available_retries(self, service: ServiceId, now: timedelta) -> float:
-        """Return for how many further repeats the budget has room."""
+        """Return how many more retries the budget allows."""
         allowance = self.budget(service)
         return allowance.available(self.limits(), now) - len(allowance.reserved)
 
     def retries_sent(self, service: ServiceId) -> int:
-        """Return how many repeats this instance has counted in its life."""
+        """Return the number of retries that this incarnation has counted."""
         return self.budget(service).total_retries
 
     def slack_sharers(self) -> int:
-        """Return among how many instances the slack is shared; 0 without a part."""
+        """Return the number of instances sharing the slack; 0 without a share."""
         share = self.slack_share()
         has_part = share.known and share.restarted_at is None
         return share.instances if has_part else 0
 
 
 def give_up_problem(failure: AttemptFailed, detail: str) -> Problem:
-    """Return what the caller is told of."""
+    """Return the problem that is reported to the caller."""
     if failure.kind is FailureKind.DEADLINE:
         return Problem(ProblemCode.DEADLINE_PASSED, detail)
     if failure.exposure is Exposure.POSSIBLE:
--- a/src/mimosafork/gateway/policies/silence.py
+++ b/src/mimosafork/gateway/policies/silence.py
@@ -1,4 +1,4 @@
-"""What follows when an endpoint is silent for long while it runs a call."""
+"""Retries stalled attempts at another endpoint."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -25,28 +25,28 @@
 from .stall_timeouts import caller_timeout
 
 MIN_TIME_LEFT = timedelta(milliseconds=300)
-"""Time that another endpoint needs to begin an answer, at the least."""
+"""Minimum time that another endpoint needs to start a response."""
 
 MAX_PREFILL_MS = 250.0
-"""Reading that another endpoint may have before it, to be worth a move."""
+"""Maximum prefill backlog of another endpoint for a move to pay off."""
 
 
 @register("silence-watch")
 class SilenceWatch(Plugin):
-    """Tries another endpoint when the present one is silent.
-
-    An endpoint that has gone dark, hangs, or is busy with a prompt so long that its
-    streams stand still, sends nothing: the caller would wait until it leaves, and
-    its request be lost. What may run again goes elsewhere, if there is an endpoint
-    with room and the retry policy has no objection; otherwise the attempt goes on. An
-    answer that has begun is ended only if the placer would have it go on elsewhere at
-    once, as its caller would be cut off without one.
-
-    It goes on too where the reading that instances have promised the engine explains
-    its silence, and ends before the caller leaves, if the zone of the engine was heard
-    meanwhile: behind a cut all are silent, whatever they read. A long prompt that is
-    begun anew elsewhere takes seconds from all engines that read it a second time;
-    their streams fall silent by it, are moved in their turn, and feed the overload.
+    """Retries a stalled attempt at another endpoint.
+
+    An endpoint that lost power, hangs, or runs a prefill so long that its streams stall
+    sends nothing; the caller would wait until it disconnects and its request be lost.
+    A repeatable request is moved if an endpoint has capacity and the retry policy
+    allows it; otherwise the attempt continues. A response that has started is ended
+    only if the placer could resume it elsewhere immediately, as the caller would be
+    cut off otherwise.
+
+    The attempt also continues if the prefill assigned to the engine explains the stall
+    and ends before the caller disconnects, provided that the engine's zone has answered
+    meanwhile: behind a network partition all engines are silent. Restarting a long
+    prompt elsewhere costs the engines that repeat its prefill seconds; their streams
+    stall, are moved in turn, and amplify the overload.
     """
 
     def __init__(self) -> None:
@@ -55,19 +55,19 @@
         self.placer: WorkPlacer | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that this one uses."""
         self.fleet = find(FleetView)
         self.retry = find(BudgetedRetry)
         self.placer = find(WorkPlacer)
 
     @property
     def load_tracker(self) -> LoadTracker:
-        """The running work of all instances."""
+        """In-flight requests of all instances."""
         return self.placer.load_tracker if self.placer is not None else LoadTracker()
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Decide about a silent attempt."""
+        """End or keep a stalled attempt."""
 
     @handle.register
     def _(self, message: AttemptSilent, context: Context) -> None:
@@ -85,7 +85,7 @@
     def _explained_by_prefill(
         self, record: RequestRecord, message: AttemptSilent, context: Context
     ) -> bool:
-        """Return whether promised reading explains the silence, and ends in time."""
+        """Return whether pending prefill explains the stall and ends in time."""
         work = self.load_tracker.own.get(record.request_id)
         if work is None or self.fleet is None:
             return False
@@ -118,44 +118,43 @@
         service = ServiceId(record.request.target)
         tried = {attempt.endpoint for attempt in record.attempts}
         return any(
-            belief.listed.endpoint not in tried
-            and self._accepts_now(belief, context.now)
-            for belief in self.fleet.service_endpoints(service)
+            health.listed.endpoint not in tried
+            and self._accepts_now(health, context.now)
+            for health in self.fleet.service_endpoints(service)
         )
 
     def _would_resume_elsewhere(self, record: RequestRecord, context: Context) -> bool:
-        """Return whether an answer that has begun would be made again at once.
+        """Return whether a started response could be resumed elsewhere immediately.
 
-        Guard: ended for a pause and then refused a place, or left to wait behind older
-        calls until its time was over, it was cut in the middle, though its endpoint
-        was sound and the pause would have ended by itself. A free slot elsewhere says
-        nothing of either, so the placer is asked before the attempt is ended.
+        A free slot elsewhere is not sufficient: the request might be rejected by the
+        placer or wait behind older calls until its deadline. The stream would then be
+        cut although its endpoint is healthy and the stall would have ended by itself.
         """
         return self.placer is None or self.placer.could_place_elsewhere(record, context)
 
-    def _accepts_now(self, belief: EndpointHealth, now: timedelta) -> bool:
-        """Return whether an endpoint would begin with a further call at once.
+    def _accepts_now(self, health: EndpointHealth, now: timedelta) -> bool:
+        """Return whether an endpoint would start another call immediately.
 
-        Where all are full the call would only wait, and lose what it has.
+        If all endpoints are full, the call would only wait and lose its progress.
         """
-        if not belief.usable(now) or belief.suspect(now):
+        if not health.usable(now) or health.suspect(now):
             return False
-        endpoint = belief.listed.endpoint
-        if self.load_tracker.estimated_running(endpoint, now) >= belief.listed.slots:
+        endpoint = health.listed.endpoint
+        if self.load_tracker.estimated_running(endpoint, now) >= health.listed.slots:
             return False
         load = self.load_tracker.load(endpoint, now)
         return load.prefill_backlog_ms <= MAX_PREFILL_MS
 
 
 def awaited_engines(work: InFlightRequest) -> set[EndpointId]:
-    """Return the engines whose reading a call's next event waits for."""
+    """Return the engines whose prefill delays the next event of a call."""
     return engines_of(work) if work.first_token_at is None else {work.host}
 
 
 def caller_time_left(
     record: RequestRecord, message: AttemptSilent, now: timedelta
 ) -> timedelta:
-    """Return how long a call's caller will stay without a further event."""
+    """Return how much longer the caller waits for the next event."""
     until_deadline = record.request.deadline - now
     terms = record.request.terms
     if terms is None or not terms.streams:
@@ -164,7 +163,7 @@
 
 
 def stalled_failure(record: RequestRecord, message: AttemptSilent) -> AttemptFailed:
-    """Return a silent attempt as a failed one."""
+    """Return the failure message for a stalled attempt."""
     assert record.current is not None
     return AttemptFailed(
         record.request_id,
--- a/src/mimosafork/gateway/policies/stall_timeouts.py
+++ b/src/mimosafork/gateway/policies/stall_timeouts.py
@@ -1,4 +1,4 @@
-"""How long callers wait for the next event, and when a silence is worth a thought."""
+"""Stall timeouts of attempts, derived from how long callers wait for an event."""
 
 from datetime import timedelta
 
@@ -8,21 +8,21 @@
 MIN_CALLER_TIMEOUT = timedelta(seconds=2)
 CALLER_TIMEOUT_OBJECTIVES = 4
 CALLER_TIMEOUT_PAUSES = 8
-"""A stream's caller leaves after the longest of the time above, so many objectives
-and so many of the longest pauses without an event."""
+"""The caller of a stream disconnects after the longest of the minimum above, this many
+objectives and this many longest pauses without an event."""
 
 STREAM_STALL_SHARE = 0.45
-"""Share of that time after which another endpoint is tried: it leaves as long for
-the second answer to begin."""
+"""Share of the caller's timeout after which another endpoint is tried. Below one half,
+so that the second answer has as much time to start."""
 
 CALL_STALL_OBJECTIVES = 2
-"""A plain call is tried elsewhere after so many objectives."""
+"""A plain call is retried elsewhere after this many objectives."""
 
 MIN_CALL_STALL_TIMEOUT = timedelta(milliseconds=200)
 
 
 def stall_timeouts_for(request: Request) -> SilenceTimeouts | None:
-    """Return how long an attempt of a request may be silent."""
+    """Return the stall timeouts of a request; None if it must not be retried."""
     terms = request.terms
     if terms is None or request.repeatability is Repeatability.NON_IDEMPOTENT:
         return None
@@ -34,7 +34,7 @@
 
 
 def caller_timeout(terms: CallTerms) -> timedelta:
-    """Return how long a stream's caller waits for the next event."""
+    """Return how long the caller of a stream waits for the next event."""
     pause = terms.longest_pause or timedelta(0)
     return max(
         MIN_CALLER_TIMEOUT,
--- a/src/mimosafork/gateway/policies/zone_suspicion.py
+++ b/src/mimosafork/gateway/policies/zone_suspicion.py
@@ -1,4 +1,4 @@
-"""Whether a whole zone looks cut off from this instance."""
+"""Detects zones that are unreachable from this instance."""
 
 import logging
 from datetime import timedelta
@@ -16,36 +16,36 @@
 MILLISECOND = timedelta(milliseconds=1)
 
 FAILURE_WEIGHTS = {FailureKind.UNREACHED: 1.0, FailureKind.STALLED: 0.5}
-"""Failures that a cut on the way looks like, and how much an endpoint's says. One that
-can't be connected to is cut off or gone; one that is silent may just read a long prompt
-together with others of its zone."""
+"""Weights of the failures that a network partition causes. An unreachable endpoint is
+partitioned or gone; a stalled one may just be in the prefill of a long prompt together
+with others of its zone."""
 
 SUSPICION_THRESHOLD = 2.0
-"""Weight of a zone's failures in a row from which it is suspected."""
+"""Total weight of consecutive failures in a zone from which it is suspected."""
 
 FAILURE_WINDOW = timedelta(seconds=2)
 SUSPICION_PERIOD = timedelta(seconds=2)
-"""Its endpoints are taken last for so long; then the next call tries it."""
+"""Time for which endpoints of a suspected zone are used only as a last resort."""
 
 
 class ZoneFailure(msgspec.Struct, frozen=True):
-    """When an endpoint could not be reached, and how much that says of its zone."""
+    """Time and weight of an endpoint's latest failure."""
 
     at: timedelta
     weight: float
 
 
 class ZoneState(msgspec.Struct):
-    """What is known of one zone.
+    """Suspicion state of one zone.
 
     Attributes
     ----------
     failures : dict
-        Latest failure of each endpoint since the zone answered last.
+        Latest failure of each endpoint since the last answer from the zone.
     suspected_since : timedelta or None
-        Since when it has been suspected and has not answered.
+        Start of the suspicion; None once the zone has answered.
     suspected_until : timedelta
-        Monotonic instant up to which its endpoints are taken last.
+        Monotonic instant at which the suspicion expires.
     """
 
     failures: dict[EndpointId, ZoneFailure] = msgspec.field(default_factory=dict)
@@ -72,14 +72,14 @@
         self.zones: dict[AvailabilityZoneId, ZoneState] = {}
 
     def suspected(self, zone: AvailabilityZoneId, now: timedelta) -> bool:
-        """Whether a zone's endpoints are taken last."""
+        """Return whether a zone is suspected."""
         state = self.zones.get(zone)
         return state is not None and now < state.suspected_until
 
     def note_failure(
         self, listed: ListedEndpoint, kind: FailureKind, now: timedelta
     ) -> None:
-        """Note that an endpoint of another zone could not be reached."""
+        """Record a failure of an endpoint in another zone."""
         state = self.zones.setdefault(listed.zone, ZoneState())
         state.failures[listed.endpoint] = ZoneFailure(now, FAILURE_WEIGHTS[kind])
         if state.suspected_since is None and state.weight(now) < SUSPICION_THRESHOLD:
@@ -87,13 +87,13 @@
         self._suspect(listed.zone, state, now)
 
     def note_unreachable(self, zone: AvailabilityZoneId, now: timedelta) -> None:
-        """Note that nothing at all is received from a zone."""
+        """Record that nothing is received from any instance of a zone."""
         self._suspect(zone, self.zones.setdefault(zone, ZoneState()), now)
 
     def _suspect(
         self, zone: AvailabilityZoneId, state: ZoneState, now: timedelta
     ) -> None:
-        """Take a zone's endpoints last for a while from now on."""
+        """Suspect a zone for the suspicion period."""
         state.suspected_until = now + SUSPICION_PERIOD
         if state.suspected_since is None:
             state.suspected_since = now
@@ -106,7 +106,7 @@
             )
 
     def note_answer(self, zone: AvailabilityZoneId, now: timedelta) -> None:
-        """Note that an endpoint of a zone has answered."""
+        """Record an answer from an endpoint of a zone."""
         state = self.zones.pop(zone, None)
         if state is not None and state.suspected_since is not None:
             after = now - state.suspected_since
