--- a/src/mimosafork/gateway/policies/full_rejections.py
+++ b/src/mimosafork/gateway/policies/full_rejections.py
@@ -36,8 +36,8 @@
 
     def rejecting_load(self, request_id: RequestId, now: timedelta) -> int | None:
         """Return how many running requests led to a rejection of a call, if any."""
-        crowd = self.by_request.get(request_id)
-        return crowd.running if crowd is not None and now < crowd.until else None
+        limit = self.by_request.get(request_id)
+        return limit.running if limit is not None and now < limit.until else None
 
     def forget(self, request_id: RequestId) -> None:
         """Forget a finished call."""
--- a/src/mimosafork/gateway/policies/ordering.py
+++ b/src/mimosafork/gateway/policies/ordering.py
@@ -29,7 +29,7 @@
         """
         long = record.request.prompt_tokens >= LONG_PROMPT_TOKENS
         size = "long" if long else "short"
-        return f"{size}, turned away" if was_rejected(record) else size
+        return f"{size}, rejected" if was_rejected(record) else size
 
 
 def was_rejected(record: RequestRecord) -> bool:
--- a/src/mimosafork/gateway/policies/placing.py
+++ b/src/mimosafork/gateway/policies/placing.py
@@ -195,9 +195,11 @@
         self, record: RequestRecord, figures: EngineFigures | None, context: Context
     ) -> PlacementRequest:
         """Return the placement request, excluding engines known to lack memory."""
-        crowded = self.full_rejections.rejecting_load(record.request_id, context.now)
+        rejecting_load = self.full_rejections.rejecting_load(
+            record.request_id, context.now
+        )
         ask = replace(
-            placement_request(record, figures, context), running_ceiling=crowded
+            placement_request(record, figures, context), running_ceiling=rejecting_load
         )
         if figures is None or not needs_reservations(ask, figures):
             return ask
--- a/src/mimosafork/gateway/policies/retry_budget.py
+++ b/src/mimosafork/gateway/policies/retry_budget.py
@@ -130,34 +130,34 @@
         self.sent_at: dict[RequestId, timedelta] = {}
         self.total_retries = 0
 
-    def available(self, terms: RetryLimits, now: timedelta) -> float:
+    def available(self, limits: RetryLimits, now: timedelta) -> float:
         """Return how many retries may be sent now, including reserved ones."""
         self.expire(now)
-        terms = self.with_saved_retry(terms, now)
-        room = float(terms.burst)
+        limits = self.with_saved_retry(limits, now)
+        available = float(limits.burst)
         sent = 0
         for each in reversed(self.retry_batches):
             sent += each.count
-            earned = terms.ratio * self.requests_after(each.last + MAX_RETRY_TRANSIT)
-            room = min(room, terms.burst + earned - sent)
-        if terms.restarted_at is not None:
-            earned = terms.ratio * self.requests_after(terms.restarted_at)
-            room = min(room, earned - sent)
-        return room
-
-    def with_saved_retry(self, terms: RetryLimits, now: timedelta) -> RetryLimits:
+            earned = limits.ratio * self.requests_after(each.last + MAX_RETRY_TRANSIT)
+            available = min(available, limits.burst + earned - sent)
+        if limits.restarted_at is not None:
+            earned = limits.ratio * self.requests_after(limits.restarted_at)
+            available = min(available, earned - sent)
+        return available
+
+    def with_saved_retry(self, limits: RetryLimits, now: timedelta) -> RetryLimits:
         """Return limits that let an instance without a burst save one retry."""
-        if terms.burst:
-            return terms
-        earned = terms.ratio * self.requests_after(now - self.window)
-        if terms.restarted_at is None and earned < MIN_EARNED_TO_SAVE:
-            return terms
+        if limits.burst:
+            return limits
+        earned = limits.ratio * self.requests_after(now - self.window)
+        if limits.restarted_at is None and earned < MIN_EARNED_TO_SAVE:
+            return limits
         ratio = (
-            terms.ratio
-            if terms.restarted_at is not None
-            else terms.ratio * SAVING_RATIO_SHARE
+            limits.ratio
+            if limits.restarted_at is not None
+            else limits.ratio * SAVING_RATIO_SHARE
         )
-        return RetryLimits(ratio, 1, terms.restarted_at)
+        return RetryLimits(ratio, 1, limits.restarted_at)
 
     def counted_retries(self) -> int:
         """Return the number of retries that still count."""
--- a/tests/support/gateway_kernels.py
+++ b/tests/support/gateway_kernels.py
@@ -1,4 +1,4 @@
-"""A gateway's kernel with its policies, plain endpoints and a clock that is set."""
+"""A gateway's kernel with its policies, plain endpoints and a manual clock."""
 
 from datetime import timedelta
 from random import Random
@@ -48,10 +48,10 @@
 
 
 class GatewayBench(Bench):
-    """Adds what tests of a gateway's policies say often."""
+    """Adds common steps of tests of the gateway's policies."""
 
     def list_endpoint(self, name: str, slots: int = 8) -> None:
-        """Tell the kernel that an endpoint takes work."""
+        """List an endpoint as usable."""
         self.handle(EndpointUsable(listed(name, slots)))
 
     def dispatches(self, request_id: str) -> list[Dispatch]:
@@ -59,7 +59,7 @@
         return [d for d in self.emitted(Dispatch) if d.request_id == request_id]
 
     def begin(self, request: Request) -> Dispatch:
-        """Submit a request that is sent at once; return its attempt."""
+        """Submit a request that is dispatched at once; return its attempt."""
         self.submit(request)
         return self.dispatches(request.request_id)[-1]
 
@@ -71,7 +71,7 @@
         status: int | None = None,
         refusal: str | None = None,
     ) -> None:
-        """Let an attempt fail."""
+        """Fail an attempt."""
         self.handle(
             AttemptFailed(
                 dispatch.request_id,
@@ -86,25 +86,25 @@
         )
 
     def finish(self, dispatch: Dispatch) -> None:
-        """Let an attempt answer and end well."""
+        """Complete an attempt successfully."""
         self.handle(FirstToken(dispatch.request_id, dispatch.attempt))
         self.handle(AttemptFinished(dispatch.request_id, dispatch.attempt))
 
     def retried(self, dispatch: Dispatch) -> Dispatch | None:
-        """Let the pause pass; return the next attempt, if there is one."""
+        """Advance past the retry delay; return the next attempt, if there is one."""
         self.handle_after(RETRY_PAUSE, RetryDue(dispatch.request_id))
         newest = self.dispatches(dispatch.request_id)[-1]
         return newest if newest.attempt > dispatch.attempt else None
 
     def concluded(self, request_id: str) -> Conclude:
-        """Return the end of a request, which must be one."""
+        """Return the conclusion of a request, which must exist."""
         found = self.conclusion(request_id)
         assert found is not None
         return found
 
 
 def gateway_bench(endpoints: int = 3) -> GatewayBench:
-    """Return a kernel that knows some plain endpoints."""
+    """Return a kernel with some plain endpoints."""
     clock = ManualClock(start=timedelta(seconds=100))
     identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
@@ -127,7 +127,7 @@
 
 
 def digest_of(request_id: str) -> Digest:
-    """Return the digest of a request: by its id up to a dash."""
+    """Return the digest of a request, derived from its id up to the first dash."""
     return Digest(request_id.partition("-")[0].encode().hex())
 
 
@@ -138,7 +138,7 @@
     time: timedelta = DEADLINE,
     **terms: int,
 ) -> Request:
-    """Return a call of the plain service; `once` if it may run only once."""
+    """Return a call of the plain service."""
     return plain_request(
         request_id, bench.clock.monotonic(), non_idempotent, time, **terms
     )
@@ -151,7 +151,7 @@
     time: timedelta = DEADLINE,
     **terms: int,
 ) -> Request:
-    """Return a call of the plain service that arrives at an instant."""
+    """Return a call of the plain service that arrives at a given time."""
     repeatable = Repeatability.IDEMPOTENT
     usual = CallTerms(max_attempts=3, objective=timedelta(milliseconds=300))
     return Request(
--- a/tests/support/gateway_tables.py
+++ b/tests/support/gateway_tables.py
@@ -1,4 +1,4 @@
-"""Routes, accounts and rows of a small deployment for the gateway's machines."""
+"""Routes, accounts and rows of a small deployment for state machine tests."""
 
 from datetime import timedelta
 
@@ -35,11 +35,11 @@
     "sealed": (CallKind.STREAM, POOL, timedelta(seconds=12)),
     "huge": (CallKind.STREAM, POOL, timedelta(seconds=15)),
 }
-"""Kind, service and longest time of each route; all streams but `sealed` resume."""
+"""Kind, service and timeout of each route; all streams but `sealed` are resumable."""
 
 
 class FakeConfigurationHistory:
-    """All configurations that the operator ever sent, by their number."""
+    """All configurations that the operator has published, by version."""
 
     def __init__(self) -> None:
         self.tables: dict[int, RoutingTable] = {}
@@ -47,7 +47,7 @@
     def add(
         self, version: int, routes: set[str], keys: set[str], most_attempts: int
     ) -> Row:
-        """Write a configuration; return its row."""
+        """Add a configuration; return its row."""
         self.tables[version] = RoutingTable(
             Revision(version),
             tuple(route_of(name, most_attempts) for name in sorted(routes)),
@@ -64,45 +64,45 @@
         return Row("configuration", "", "it", str(version).encode(), version)
 
     def decode(self, row: Row) -> RoutingTable:
-        """Return the configuration that a row names."""
+        """Return the configuration of a row."""
         return self.tables[int(row.value)]
 
     async def whole(self) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
     async def changes(self, after: int, wait: timedelta) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
 
 class FakeEndpointRows:
-    """A row's value names state, service, address, zone and slots."""
+    """Decodes rows whose value is state, service, address, zone and slots."""
 
     def decode(self, row: Row) -> ListedEndpoint:
-        """Return what a row says."""
+        """Return the endpoint of a row."""
         try:
             state, service, address, zone, slots = row.value.decode().split()
-            word = ListedState(state)
+            listed_state = ListedState(state)
         except ValueError as error:
             raise UnreadableError(str(error)) from error
-        place = PLAIN_SERVICE if service == PLAIN_SERVICE else POOL
+        service_id = PLAIN_SERVICE if service == PLAIN_SERVICE else POOL
         return ListedEndpoint(
             EndpointId(row.key),
-            place,
+            service_id,
             address,
             AvailabilityZoneId(zone),
             int(slots),
-            word,
+            listed_state,
             sequence=row.version,
         )
 
     async def whole(self) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
     async def changes(self, after: int, wait: timedelta) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
 
@@ -126,7 +126,7 @@
 
 
 def message_of(route: str, body: str) -> RequestMessage:
-    """Return a caller's request on a route."""
+    """Return a request message for a route."""
     content = body.encode()
     lines = (
         f"POST /{route}/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: {len(content)}"
@@ -135,7 +135,7 @@
 
 
 def marks_of(route: str, call_id: str, key: str) -> CallMetadata:
-    """Return what a caller says about its call."""
+    """Return the call attributes sent by a caller."""
     prompt = {"huge": HUGE, "stream": SMALL, "sealed": SMALL}.get(route, 0)
     most = 1_000 if prompt else 0
     return CallMetadata(call_id, key=ApiKey(key), prompt_tokens=prompt, max_tokens=most)
--- a/tests/support/retrying_fleet.py
+++ b/tests/support/retrying_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet whose calls are turned away, with what its instances tell each other.
+"""Simulated fleet whose endpoints reject every call, with gossip between instances.
 
-Kernels with a gateway's policies stand beside their gossip, in virtual time. Endpoints
-turn every call away, so that each instance repeats as often as it believes it may.
-What is sent again arrives late, as links and busy machines hold it up.
+Runs kernels with the gateway's policies and their gossip in virtual time. Each instance
+retries as often as its budget allows. Retries arrive late, as on slow links and busy
+machines.
 """
 
 from collections.abc import Iterable
@@ -37,21 +37,21 @@
 SECOND = timedelta(seconds=1)
 
 MAX_TRANSIT = ms(2300)
-"""What is sent again arrives up to so much later. It is not read from the policy: what
-that one reckons with is what the tests hold against it."""
+"""Maximum transit time of retries. Not taken from the policy, so that the tests check
+the value that the policy assumes."""
 
 
 class RetryingInstance:
-    """One life of an instance.
+    """One incarnation of an instance.
 
     Parameters
     ----------
     fleet : RepeatingFleet
-        Counts what arrives at endpoints.
+        Counts the calls that arrive at endpoints.
     """
 
     def __init__(
-        self, fleet: "RetryingFleet", number: int, is_first_life: bool
+        self, fleet: "RetryingFleet", number: int, is_first_incarnation: bool
     ) -> None:
         self.fleet = fleet
         network = fleet.network
@@ -66,7 +66,7 @@
         retry.slack = fleet.budget.slack
         retry.slack_share = self.share
         self.began_at = network.now
-        self.is_first_life = is_first_life
+        self.is_first_incarnation = is_first_incarnation
         self.read_rows()
         self.due: list[tuple[timedelta, int, Message]] = []
         self.order = count()
@@ -74,7 +74,7 @@
             self.handle(EndpointUsable(listed(f"desk-{each}", SLOTS)))
 
     def read_rows(self) -> None:
-        """Learn from the store who else is there, if it answers."""
+        """Read the peers from the store, if it is available."""
         if not self.fleet.store_answers:
             return
         for number, boot in self.fleet.boots.items():
@@ -82,30 +82,32 @@
         self.exchange.roster.census.complete = True
 
     def share(self) -> SlackShare:
-        """Return this instance's part of the slack, as a server does."""
+        """Return this instance's share of the slack, as a server does."""
         census = self.exchange.roster.census
         lasted = self.now - self.began_at
-        is_over = self.is_first_life or lasted >= RETRY_WINDOW + MAX_RETRY_TRANSIT
+        is_over = (
+            self.is_first_incarnation or lasted >= RETRY_WINDOW + MAX_RETRY_TRANSIT
+        )
         since = None if is_over else self.began_at
         rank = census.rank(self.exchange.me.instance, self.now)
         return SlackShare(census.instances, rank, census.complete, since)
 
     @property
     def now(self) -> timedelta:
-        """The present instant."""
+        """The current virtual time."""
         return self.fleet.network.now
 
     def submit(self, request: Request) -> None:
-        """Take a call."""
+        """Submit a call."""
         self.handle(Submit(request))
 
     def handle(self, message: Message) -> None:
-        """Have the kernel handle a message and carry out its effects."""
+        """Let the kernel handle a message and perform its effects."""
         for effect in self.kernel.handle(message):
             self.perform(effect)
 
     def perform(self, effect: Effect) -> None:
-        """Carry out an effect."""
+        """Perform an effect."""
         if isinstance(effect, Dispatch):
             at = self.fleet.arrives_at(effect)
             self.later(at + REFUSED_AFTER, rejected_attempt(effect))
@@ -113,11 +115,11 @@
             self.later(effect.at, effect.message)
 
     def later(self, at: timedelta, message: Message) -> None:
-        """Have a message handled at an instant."""
+        """Schedule a message for an instant."""
         heappush(self.due, (at, next(self.order), message))
 
     def step(self, now: timedelta) -> None:
-        """Handle what is due."""
+        """Handle the messages that are due."""
         while self.due and self.due[0][0] <= now:
             self.handle(heappop(self.due)[2])
         if now % TICK < STEP:
@@ -125,32 +127,32 @@
 
 
 class RetryingFleet:
-    """Instances that all fail, and the budget that they share.
+    """Instances whose calls all fail, and the retry budget that they share.
 
     Parameters
     ----------
     size : int
     slack : float
-        Repeats that all instances may send beside the ratio of their requests.
+        Retries that the fleet may send in addition to the ratio of its requests.
     lag : timedelta
-        Datagrams take so much longer than the shortest way, as instances are busy.
+        Additional delay of datagrams, as instances are busy.
     loss : float
         Share of datagrams that are lost.
 
     Attributes
     ----------
     boots : dict of int to int
-        Boot number of the latest life under each name, as its row in the store tells.
+        Boot number of the latest incarnation under each name, as in its store row.
     names : list of int
         Number in the name of each instance.
     zones : dict of Address to AvailabilityZoneId
-        Where those that ever lived listened.
+        Zone of each address that any incarnation listened on.
     latest : timedelta
-        What is sent again is late by a drawn time of up to this.
-    whole_at : timedelta
-        Links are held up until then: what is sent again before does not arrive earlier.
+        Upper bound of the random transit time of retries.
+    delayed_until : timedelta
+        Links are delayed until then; earlier retries arrive no sooner.
     store_answers : bool
-        Whether lives that begin can read the rows.
+        Whether starting instances can read the store.
     """
 
     def __init__(
@@ -172,21 +174,22 @@
         self.further_boots = count(2000)
         self.zones: dict[Address, AvailabilityZoneId] = {}
         self.latest = MAX_TRANSIT
-        self.whole_at = self.network.now
+        self.delayed_until = self.network.now
         self.calls = count()
         self.arrivals: set[RequestId] = set()
         self.instances: list[RetryingInstance] = []
         self.instances = [
-            RetryingInstance(self, number, is_first_life=True) for number in range(size)
+            RetryingInstance(self, number, is_first_incarnation=True)
+            for number in range(size)
         ]
 
     def restart(self, numbers: Iterable[int]) -> None:
-        """Begin a new life of some instances; what the former ones knew is gone."""
+        """Restart some instances without their former state."""
         for number in numbers:
             self.begin(number)
 
     def replace(self, numbers: Iterable[int]) -> None:
-        """Kill some instances, and begin others under new names in their place."""
+        """Kill some instances and start others under new names in their place."""
         for number in numbers:
             self.network.stop(self.instances[number].exchange)
             self.names[number] = next(self.further_names)
@@ -194,35 +197,37 @@
             self.instances[number].exchange.roster.census.joins = True
 
     def begin(self, number: int) -> None:
-        """Begin a life in a fleet that had others."""
+        """Start an incarnation in an existing fleet."""
         name = self.names[number]
         self.boots[name] = next(self.further_boots)
-        self.instances[number] = RetryingInstance(self, name, is_first_life=False)
+        self.instances[number] = RetryingInstance(
+            self, name, is_first_incarnation=False
+        )
 
     def hold_up(self, span: timedelta) -> None:
-        """Let links hold up what is sent again, all of which then arrives together."""
-        self.whole_at = self.network.now + span
+        """Delay all retries sent within a span until its end."""
+        self.delayed_until = self.network.now + span
 
     def cut_zones(self) -> None:
-        """Cut the zones off from each other."""
+        """Partition the zones from each other."""
         self.network.cut = lambda a, b: self.zones.get(a) != self.zones.get(b)
 
     def arrives_at(self, dispatch: Dispatch) -> timedelta:
-        """Count an arrival at an endpoint, and return when it is.
+        """Count an arrival at an endpoint; return its time.
 
-        The first of a call is no repeat, and comes at once.
+        The first attempt of a call is no retry and arrives at once.
         """
         at = self.network.now
         if dispatch.request_id in self.arrivals:
-            # Often not late at all, or as late as can be.
+            # Often without delay, or with the maximum delay.
             late = self.latest * min(1.0, max(0.0, self.random.uniform(-1.0, 2.0)))
-            at = max(at + late, self.whole_at)
+            at = max(at + late, self.delayed_until)
             self.budget.repeats.append(at)
         self.arrivals.add(dispatch.request_id)
         return at
 
     def run(self, span: timedelta, calls_s: float = 0.0) -> None:
-        """Let time pass while calls come to instances at random."""
+        """Advance time while calls arrive at random instances."""
         end = self.network.now + span
         while self.network.now < end:
             self.network.run(STEP)
@@ -232,13 +237,13 @@
                 each.step(self.network.now)
 
     def call(self, number: int) -> None:
-        """Let a call come to an instance."""
+        """Submit a call to an instance."""
         name = f"c{next(self.calls)}"
         self.budget.requests.append(self.network.now)
         self.instances[number].submit(plain_request(name, self.network.now))
 
     def worst_window(self) -> float:
-        """Return by how many repeats the worst window passes what it may have."""
+        """Return by how many retries the worst window exceeds its budget."""
         window = timedelta(seconds=10)
         found = -self.budget.slack
         for at in self.budget.repeats:
@@ -248,17 +253,14 @@
         return found
 
     def forget(self) -> None:
-        """Forget repeats whose windows are over, and requests that count for none.
-
-        What comes later falls into no window that begins with one of these.
-        """
+        """Drop retries and requests that belong to no current or future window."""
         budget, now = self.budget, self.network.now
         budget.repeats = [at for at in budget.repeats if now - RETRY_WINDOW <= at]
         budget.requests = [at for at in budget.requests if now - 3 * RETRY_WINDOW <= at]
 
 
 def rejected_attempt(dispatch: Dispatch) -> AttemptFailed:
-    """Return that an endpoint turned an attempt away."""
+    """Return the rejection of an attempt by its endpoint."""
     return AttemptFailed(
         dispatch.request_id,
         dispatch.attempt,
--- a/tests/unit/gateway/test_budget_bounds.py
+++ b/tests/unit/gateway/test_budget_bounds.py
@@ -1,4 +1,4 @@
-"""Where a fleet's parts of the budget of repeats don't add up to the whole."""
+"""Tests that the shares of a fleet's retry budget add up to the whole."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -25,14 +25,14 @@
 FLOOD = timedelta(seconds=14)
 
 SETTLES = RETRY_WINDOW + MAX_TRANSIT
-"""Until then what a former life has sent may arrive in the same window."""
+"""Time in which retries of a previous incarnation may arrive in the same window."""
 
 
 class EarlyInstance(RetryingInstance):
-    """The first life of an instance in a fleet that is new, as its finder looks."""
+    """The first incarnation of an instance in a new fleet, with its peer lookup."""
 
     def read_rows(self) -> None:
-        """Learn of those that wrote their row before."""
+        """Read the rows written earlier."""
         self.looks_again_at = self.now + READ_AGAIN
         self.look(len(self.fleet.instances))
 
@@ -53,7 +53,7 @@
 
 
 class NewFleet(RetryingFleet):
-    """A fleet whose instances start one after the other, behind a cut of all zones."""
+    """A fleet whose instances start one by one while all zones are partitioned."""
 
     def __init__(self, size: int, slack: float) -> None:
         super().__init__(0, slack)
@@ -61,22 +61,23 @@
         self.network.cut = lambda a, b: zone_at(a) != zone_at(b)
         for number in range(size):
             self.size = number + 1
-            self.instances.append(EarlyInstance(self, number, is_first_life=True))
+            self.instances.append(
+                EarlyInstance(self, number, is_first_incarnation=True)
+            )
 
 
 def zone_at(address: Address) -> int:
-    """Return the zone of an instance that listens at an address."""
+    """Return the zone of the instance at an address."""
     return ZONE_OF[address]
 
 
 ZONE_OF = {identity(number).address: number % ZONES for number in range(12)}
 
 
-def test_more_instances_than_the_slack_keep_the_budget_together() -> None:
-    """Endpoints are sent more repeats than a large fleet may send.
+def test_more_instances_than_the_slack_keep_the_budget() -> None:
+    """A fleet with more instances than slack keeps its budget.
 
-    Where there are more instances than the slack, each may still save up one repeat;
-    all fail at once, and all send it.
+    Each instance may save one retry, and all send it at once.
     """
     instances, slack = 330, 100.0
     sent = requests = 0
@@ -93,13 +94,12 @@
     case.assertLessEqual(sent, RETRY_RATIO * requests + slack)
 
 
-def test_repeats_that_links_hold_up_keep_the_budget() -> None:
-    """Endpoints near by fail while the links to others are cut for two seconds.
+def test_retries_delayed_by_the_network_keep_the_budget() -> None:
+    """Retries that are delayed by a network partition still count when they arrive.
 
-    What is sent again over kept connections lies in the system until the cut is over,
-    as it may for as long as nothing need be acknowledged, and arrives then. It counts
-    as of the moment when it was sent, and is forgotten while the window in which it
-    arrived goes on; the slack is spent a second time within it.
+    Data on kept-alive connections stays in socket buffers until the partition ends or
+    the acknowledgement timeout passes. If a retry expired by its send time alone, the
+    slack could be used a second time in the window of its arrival.
     """
     fleet = RetryingFleet(24, 124.0)
     fleet.run(CALM)
@@ -110,12 +110,11 @@
     case.assertLessEqual(fleet.worst_window(), 0)
 
 
-def test_a_new_fleet_behind_a_cut_keeps_the_budget_together() -> None:
-    """A fleet is started for the first time while its zones are cut off.
+def test_a_new_partitioned_fleet_keeps_the_budget() -> None:
+    """A new fleet starts while its zones are partitioned.
 
-    Each instance reads the rows once, when only some are written, and hears its own
-    zone. It takes its part at once and counts too few until it reads the rows again, a
-    minute later.
+    Each instance first reads the rows when only some are written and knows only its own
+    zone, so it must not use a share before it reads the rows again, a minute later.
     """
     fleet = NewFleet(12, 100.0)
     fleet.run(CALM)
@@ -123,20 +122,22 @@
     case.assertLessEqual(fleet.worst_window(), 0)
 
 
-def waits_for_its_part(life: GossipInstance, clock: ManualClock, part: int) -> None:
-    """Check that a life has no part for a window and the way, and then has it."""
-    case.assertEqual(0, life.slack_share())
+def assert_share_after_settling(
+    instance: GossipInstance, clock: ManualClock, share: int
+) -> None:
+    """Check that an incarnation gets its share only after window and transit."""
+    case.assertEqual(0, instance.slack_share())
     clock.advance(SETTLES - ms(1))
-    case.assertEqual(0, life.slack_share())
+    case.assertEqual(0, instance.slack_share())
     clock.advance(ms(1))
-    case.assertEqual(part, life.slack_share())
+    case.assertEqual(share, instance.slack_share())
 
 
-def test_a_first_life_in_an_old_fleet_waits_for_its_part() -> None:
-    """A machine is replaced in a flood, and its part of the slack is spent twice.
+def test_a_new_instance_in_an_old_fleet_waits_for_its_share() -> None:
+    """An instance that replaces another in an old fleet waits for its share.
 
-    The new one has another name, and no row of an earlier life. It took itself for one
-    of a new fleet, though the one whose place it takes had just spent its part.
+    It has a new name and no row of an earlier incarnation, so it could mistake itself
+    for part of a new fleet, though its predecessor has just used the share.
     """
     for age, is_new in (
         (STARTED_TOGETHER, True),
@@ -151,24 +152,24 @@
             case.assertFalse(late.discover_peers())
             case.assertEqual(50, late.slack_share())
         else:
-            waits_for_its_part(late, clock, 50)
+            assert_share_after_settling(late, clock, 50)
 
 
-def test_one_old_row_among_fresh_ones_is_of_an_old_fleet() -> None:
+def test_one_old_row_marks_an_old_fleet() -> None:
     rows, clock = FakeRowStore(), ManualClock(CALM)
     GossipInstance(rows, clock, 1).discover_peers()
     clock.advance(CALM)
     GossipInstance(rows, clock, 2).discover_peers()
     last = GossipInstance(rows, clock, 3)
     case.assertFalse(last.discover_peers())
-    waits_for_its_part(last, clock, 33)
+    assert_share_after_settling(last, clock, 33)
 
 
-def test_a_life_after_another_waits_for_its_part() -> None:
-    """A fleet has just been started, and an instance of it is killed in a flood.
+def test_a_restarted_instance_waits_for_its_share() -> None:
+    """An instance that restarts in a fleet that has just started waits for its share.
 
-    All rows are fresh, its own and those of others. Its next life took itself for one
-    of a new fleet, and spent the part that its former life had spent before.
+    All rows are recent, so it could mistake itself for part of a new fleet and use the
+    share of its previous incarnation again.
     """
     for others in (0, 1, 3):
         rows, clock = FakeRowStore(), ManualClock(CALM)
@@ -177,33 +178,33 @@
         clock.advance(ms(500))
         again = GossipInstance(rows, clock, 0)
         case.assertFalse(again.discover_peers(), others)
-        waits_for_its_part(again, clock, 100 // (others + 1))
+        assert_share_after_settling(again, clock, 100 // (others + 1))
 
 
-def test_a_life_that_can_not_read_the_rows_has_no_part() -> None:
-    """An instance starts behind a cut, without the store, and takes itself for alone.
+def test_an_instance_that_cannot_read_the_rows_has_no_share() -> None:
+    """An instance that starts without access to the store has no share.
 
-    However long it has lasted, it can't know among how many the slack is divided.
+    It cannot know among how many instances the slack is divided.
     """
     rows, clock = FakeRowStore(), ManualClock(CALM)
     GossipInstance(rows, clock, 1).discover_peers()
     rows.down = True
     clock.advance(CALM)
-    life = GossipInstance(rows, clock, 2)
+    instance = GossipInstance(rows, clock, 2)
     for _ in range(3):
-        case.assertFalse(life.discover_peers())
-        case.assertEqual(0, life.slack_share())
+        case.assertFalse(instance.discover_peers())
+        case.assertEqual(0, instance.slack_share())
         clock.advance(SETTLES)
-    case.assertEqual(0, life.slack_share())
+    case.assertEqual(0, instance.slack_share())
     rows.down = False
-    life.discover_peers()
-    case.assertEqual(50, life.slack_share())
+    instance.discover_peers()
+    case.assertEqual(50, instance.slack_share())
 
 
-def test_a_life_of_a_new_fleet_has_its_part_after_a_second_look() -> None:
-    """A fleet is started, and each instance divides the slack among those it found.
+def test_an_instance_of_a_new_fleet_has_its_share_after_the_second_read() -> None:
+    """Instances of a new fleet have their exact share after the second read.
 
-    Their rows are written at about the same time, so that the first look finds some.
+    Rows are written at about the same time, so the first read finds only some of them.
     """
     rows, clock = FakeRowStore(), ManualClock(CALM)
     first, second, third = (GossipInstance(rows, clock, number) for number in range(3))
@@ -213,16 +214,15 @@
     case.assertEqual(0, second.slack_share())
     case.assertTrue(third.discover_peers())
     clock.advance(READ_AGAIN)
-    for each, part in ((first, 34), (second, 33), (third, 33)):
+    for each, share in ((first, 34), (second, 33), (third, 33)):
         case.assertFalse(each.discover_peers())
-        case.assertEqual(part, each.slack_share())
+        case.assertEqual(share, each.slack_share())
 
 
-def test_without_a_slack_requests_still_earn_repeats() -> None:
-    """A deployment sets no slack, and nothing is ever sent again.
+def test_without_a_slack_requests_still_earn_retries() -> None:
+    """A deployment without slack can still retry.
 
-    Requests earn repeats only behind an earlier one, and without a slack there is
-    never a first.
+    Requests earn retries only after an earlier retry, so the first must be saved.
     """
     bench = gateway_bench()
     policy = bench.kernel.plugin(BudgetedRetry)
--- a/tests/unit/gateway/test_budget_machine.py
+++ b/tests/unit/gateway/test_budget_machine.py
@@ -1,4 +1,4 @@
-"""The budget of a whole fleet under kills, cuts and late words, in any order."""
+"""State machine test of a retry budget under restarts, partitions and delays."""
 
 from datetime import timedelta
 
@@ -19,16 +19,16 @@
 SIZE = 6
 SLACK = 40.0
 FEW = 4.0
-"""A slack of fewer repeats than there are instances."""
+"""A slack smaller than the number of instances."""
 
 
 class FleetBudgetMachine(RuleBasedStateMachine):
-    """Endpoints turn every call away; instances die, are cut off and hear late.
+    """Endpoints reject every call; instances restart, are partitioned or delayed.
 
     Attributes
     ----------
     slack : float
-        Repeats that all instances may send beside the ratio of their requests.
+        Retries that the fleet may send in addition to the ratio of its requests.
     """
 
     slack = SLACK
@@ -42,31 +42,31 @@
         seconds=st.sampled_from([0.3, 1.0, 4.0, 11.0]),
         calls_s=st.sampled_from([0.0, 6.0, 30.0]),
     )
-    def calls_come(self, seconds: float, calls_s: float) -> None:
-        """Let time pass, with calls or without."""
+    def submit_calls(self, seconds: float, calls_s: float) -> None:
+        """Advance time, with or without calls."""
         self.fleet.run(timedelta(seconds=seconds), calls_s)
 
     @rule(numbers=st.sets(st.integers(0, SIZE - 1), min_size=1))
-    def are_killed(self, numbers: set[int]) -> None:
-        """Let instances be killed and come back at once."""
+    def restart_instances(self, numbers: set[int]) -> None:
+        """Restart instances immediately."""
         self.fleet.restart(numbers)
 
     @rule(numbers=st.sets(st.integers(0, SIZE - 1), min_size=1))
-    def are_replaced(self, numbers: set[int]) -> None:
-        """Let instances be killed, and others begin under new names."""
+    def replace_instances(self, numbers: set[int]) -> None:
+        """Replace instances by others under new names."""
         self.fleet.replace(numbers)
 
     @rule(span=st.sampled_from([500, 2000, 2300]))
-    def links_are_held_up(self, span: int) -> None:
-        """Let what is sent again lie in the system for a while."""
+    def delay_links(self, span: int) -> None:
+        """Delay all retries in the network for a while."""
         self.fleet.hold_up(ms(span))
 
     @rule()
-    def all_calls_fail_as_links_are_held_up(self) -> None:
-        """Have each life spend its part while links are held up, and go on to fail.
+    def fail_all_calls_on_delayed_links(self) -> None:
+        """Let each instance use its share while links are delayed, and keep failing.
 
-        Time passes before, so that all have their parts, and until the window in which
-        the repeats were sent is over, but not the one in which they arrived.
+        Time passes first, so that all have their shares, and then until the window in
+        which the retries were sent is over, but not the one in which they arrived.
         """
         self.fleet.run(timedelta(seconds=12.5))
         self.fleet.hold_up(MAX_TRANSIT)
@@ -75,65 +75,64 @@
         self.fleet.run(timedelta(seconds=12.5), 30.0)
 
     @rule(parted=st.booleans())
-    def zones_are_cut(self, parted: bool) -> None:
-        """Cut the zones off from each other, or heal the cut."""
+    def partition_zones(self, parted: bool) -> None:
+        """Partition the zones or heal the partition."""
         if parted:
             self.fleet.cut_zones()
         else:
             self.fleet.network.heal()
 
     @rule()
-    def all_begin_behind_a_cut(self) -> None:
-        """Kill all while zones and the store are cut off; each hears its zone alone.
+    def restart_all_in_a_partition(self) -> None:
+        """Restart all while zones and the store are partitioned.
 
-        So much time passes that a life that knew of the others would have its part.
+        Enough time passes that an instance that knew its peers would have its share.
         """
-        self.zones_are_cut(parted=True)
-        self.store_changes(answers=False)
-        self.are_killed(set(range(SIZE)))
+        self.partition_zones(parted=True)
+        self.set_store_available(answers=False)
+        self.restart_instances(set(range(SIZE)))
         self.fleet.run(timedelta(seconds=11))
 
     @rule(answers=st.booleans())
-    def store_changes(self, answers: bool) -> None:
-        """Let the store answer those that begin, or not."""
+    def set_store_available(self, answers: bool) -> None:
+        """Make the store available or unavailable to starting instances."""
         self.fleet.store_answers = answers
 
     @rule(lag=st.sampled_from([0, 300, 2500]), loss=st.sampled_from([0.0, 0.5]))
-    def words_are_late(self, lag: int, loss: float) -> None:
-        """Let datagrams be late, or lost."""
+    def delay_datagrams(self, lag: int, loss: float) -> None:
+        """Delay or lose datagrams."""
         self.fleet.network.lag = ms(lag)
         self.fleet.network.loss = loss
 
     @invariant()
     def the_budget_is_kept(self) -> None:
-        """Check each window that begins with a repeat."""
+        """Check each window that begins with a retry."""
         over = self.fleet.worst_window()
         assert over <= 0, ("BUDGET", over)
         self.fleet.forget()
 
 
-class FewRepeatsMachine(FleetBudgetMachine):
-    """More instances than repeats in the slack: some have no part of it."""
+class SmallSlackMachine(FleetBudgetMachine):
+    """A slack smaller than the fleet: some instances have no share of it."""
 
     slack = FEW
 
 
-def test_no_order_of_troubles_breaks_the_budget() -> None:
-    """Endpoints are sent more repeats than their fleet may send.
+def test_no_sequence_of_faults_breaks_the_budget() -> None:
+    """The fleet's budget holds under any sequence of faults.
 
-    In which order instances die, lose each other and the store, and hear late, must
-    not matter: each one has its part by right.
+    Each instance has a fixed share, whatever it knows of its peers.
     """
     explore(FleetBudgetMachine, EXAMPLES, STEPS)
 
 
-def test_no_order_of_troubles_breaks_a_budget_smaller_than_the_fleet() -> None:
-    """Endpoints are sent more repeats than a fleet with a small slack may send.
+def test_no_sequence_of_faults_breaks_a_budget_smaller_than_the_fleet() -> None:
+    """The budget of a fleet with a small slack holds under any sequence of faults.
 
-    Most instances have no part of it and may save one up from what they earn, while
-    others die, come back, or are replaced under names that shift all others' ranks.
+    Most instances have no share and may save one earned retry, while others restart or
+    are replaced under names that shift all ranks.
     """
-    explore(FewRepeatsMachine, EXAMPLES, STEPS)
+    explore(SmallSlackMachine, EXAMPLES, STEPS)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_fleet_budget.py
+++ b/tests/unit/gateway/test_fleet_budget.py
@@ -1,7 +1,7 @@
-"""Tests of the budget of repeats that all instances of a fleet share.
+"""Tests of the retry budget that the instances of a fleet share.
 
-What a fleet may repeat in ten seconds is a ratio of its requests and a slack. The
-endpoints that the instances have here turn every call away.
+In ten seconds a fleet may send a ratio of its requests plus a slack as retries. All
+endpoints reject every call here.
 """
 
 from datetime import timedelta
@@ -14,7 +14,7 @@
 case = TestCase()
 
 CALM = timedelta(seconds=12)
-"""Longer than a window: whatever a life may spend only later it may spend now."""
+"""Longer than a window, after which restarted instances have their share."""
 
 FLOOD = timedelta(seconds=13)
 INSTANCES = 24
@@ -26,12 +26,11 @@
 FEW_CALLS_S = 30.0
 
 
-def test_instances_keep_their_budget_though_words_come_late() -> None:
-    """The endpoints go under in a flood, by calls that are sent again and again.
+def test_instances_keep_the_budget_with_late_peer_updates() -> None:
+    """Late peer updates do not make a fleet exceed its budget.
 
-    All engines are full and turn calls away, at instances that are busy with the flood
-    themselves. Each spent from one sum over all, of which it heard too late: 399
-    arrivals beyond the first of their call in ten seconds, where 373 are allowed.
+    With a budget computed from fleet-wide sums, which busy instances learn too late, a
+    flood caused 399 retries in ten seconds where 373 are allowed.
     """
     for lag in (ms(0), ms(600), ms(2000)):
         fleet = RetryingFleet(INSTANCES, SLACK, lag)
@@ -40,11 +39,11 @@
         case.assertLessEqual(fleet.worst_window(), 0, lag)
 
 
-def test_lives_that_begin_anew_keep_what_the_former_ones_spent() -> None:
-    """All instances are killed while their calls are turned away, and come back.
+def test_restarted_instances_do_not_use_the_slack_again() -> None:
+    """All instances restart while their calls are rejected.
 
-    Nobody remembers what was sent before; the new lives spent the whole slack a second
-    time within the same ten seconds, on engines that the returning callers had filled.
+    The retries sent before are forgotten; the new incarnations must not use the slack a
+    second time within the same ten seconds.
     """
     fleet = RetryingFleet(FEW, FEW_SLACK)
     fleet.run(CALM)
@@ -54,11 +53,10 @@
     case.assertLessEqual(fleet.worst_window(), 0)
 
 
-def test_one_life_after_another_spends_no_further_share() -> None:
-    """An instance is restarted again and again, and repeats as if it were the first.
+def test_repeated_restarts_use_no_further_share() -> None:
+    """Instances restart repeatedly within one window.
 
-    Its peers divide the budget among those that they know; each new life of the same
-    instance took its part anew, three times within one window.
+    Each new incarnation must not use the share of the instance again.
     """
     fleet = RetryingFleet(FEW, FEW_SLACK)
     fleet.run(CALM)
@@ -69,11 +67,11 @@
     case.assertLessEqual(fleet.worst_window(), 0)
 
 
-def test_parts_of_a_cut_fleet_keep_the_budget_together() -> None:
-    """Zones are cut off from each other, and each spends the budget of all.
+def test_a_partitioned_fleet_keeps_the_budget() -> None:
+    """Partitioned zones do not each use the budget of the whole fleet.
 
-    Instances that were started behind the cut never heard of the other zones. They
-    counted only those that they heard, and divided the slack among too few.
+    Instances that start in a partition know no peers of other zones and must not divide
+    the slack among too few instances.
     """
     for store_answers in (True, False):
         fleet = RetryingFleet(FEW, FEW_SLACK)
@@ -87,12 +85,11 @@
         case.assertLessEqual(fleet.worst_window(), 0, store_answers)
 
 
-def test_those_replaced_behind_a_cut_keep_the_budget_together() -> None:
-    """Machines are replaced while zones are cut off, and endpoints get too much.
+def test_instances_replaced_in_a_partition_keep_the_budget() -> None:
+    """Instances are replaced during a network partition.
 
-    The slack has fewer repeats than there are instances, and goes to the first by name.
-    Those that are killed had no part; the new ones know all by the store's rows, and
-    their names go before others that have a part and don't hear of them.
+    The slack is smaller than the fleet and goes to the first instances by rank. The new
+    instances rank before others that have a share and do not learn of them.
     """
     instances, slack = 12, 8.0
     for is_cut in (False, True):
@@ -108,11 +105,11 @@
         case.assertLessEqual(fleet.worst_window(), 0, is_cut)
 
 
-def test_a_fleet_uses_what_it_may() -> None:
-    """Calls fail though their repeats were allowed and endpoints had room.
+def test_a_fleet_uses_its_budget() -> None:
+    """A fleet uses most of its budget.
 
-    A budget that holds by giving nothing away would keep each test above. Repeats that
-    are late are spread over further windows, and none of these is full; here none is.
+    A budget that never allows a retry would pass all tests above. Late retries spread
+    over several windows and fill none of them, so no retry is late here.
     """
     fleet = RetryingFleet(FEW, FEW_SLACK)
     fleet.latest = timedelta(0)
--- a/tests/unit/gateway/test_fleet_view.py
+++ b/tests/unit/gateway/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance believes of each endpoint."""
+"""Tests of endpoint health tracking."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -23,7 +23,7 @@
     gateway_bench,
     request_of,
 )
-from ...support.gateway_kernels import listed as desk_listed
+from ...support.gateway_kernels import listed as plain_listed
 
 case = TestCase()
 
@@ -49,16 +49,16 @@
 
 
 def miss(bench: GatewayBench, request_id: str) -> None:
-    """Let a call be placed on an endpoint that can't be connected to."""
+    """Place a call on an endpoint that is unreachable."""
     first = bench.begin(request_of(bench, request_id, time=timedelta(seconds=60)))
     bench.fail(first, FailureKind.UNREACHED, Exposure.NEVER_SENT)
 
 
-def test_an_endpoint_that_is_merely_silent_is_no_suspect() -> None:
-    """A flood ends, and engines still read long prompts; short calls there wait.
+def test_a_stalled_endpoint_is_not_suspect() -> None:
+    """Engines with long prefills after a flood stall, and their calls are moved.
 
-    Their calls are tried elsewhere. Were each silent engine taken last for seconds,
-    all calls would crowd onto the few others, which would fall silent in turn.
+    If stalled engines became suspect for seconds, all calls would be placed on the few
+    other engines, which would stall in turn.
     """
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
@@ -66,44 +66,44 @@
     case.assertEqual(set(), suspects(bench))
 
 
-def test_placement_hears_what_the_list_says_anew() -> None:
-    """An engine is taken for a cold one for good, or for one with more slots.
+def test_a_changed_listing_replaces_the_cached_view() -> None:
+    """A cached view is replaced when its listing entry changes.
 
-    Views are kept between placements; one must not outlive the entry it came from.
+    Otherwise placement would use an outdated number of slots or a cold state.
     """
     bench = gateway_bench(endpoints=1)
-    belief = bench.kernel.plugin(FleetView).service_endpoints(PLAIN_SERVICE)[0]
+    health = bench.kernel.plugin(FleetView).service_endpoints(PLAIN_SERVICE)[0]
     now = bench.clock.monotonic()
-    kept = belief.view(now)
-    case.assertIs(kept, belief.view(now + MOMENT))
-    cold = replace(belief.listed, slots=3, cold_remaining=MOMENT)
-    for listed in (cold, belief.listed):
+    kept = health.view(now)
+    case.assertIs(kept, health.view(now + MOMENT))
+    cold = replace(health.listed, slots=3, cold_remaining=MOMENT)
+    for listed in (cold, health.listed):
         bench.handle(EndpointUsable(listed))
-        seen = belief.view(now)
+        seen = health.view(now)
         is_cold = listed.cold_remaining > timedelta(0)
         case.assertEqual((listed.slots, is_cold), (seen.slots, seen.cold))
 
 
-def test_an_unreached_endpoint_is_left_alone_longer_each_time() -> None:
+def test_an_unreachable_endpoint_backs_off_exponentially() -> None:
     bench = gateway_bench(endpoints=1)
-    absence = UNREACHABLE_BACKOFF
+    backoff = UNREACHABLE_BACKOFF
     for number in range(4):
         miss(bench, f"a{number}")
-        bench.handle_after(absence - MOMENT, Tick())
+        bench.handle_after(backoff - MOMENT, Tick())
         case.assertEqual(set(), usable(bench))
         bench.clock.advance(MOMENT)
         case.assertEqual({"desk-0"}, usable(bench))
-        absence = min(MAX_UNREACHABLE_BACKOFF, absence * 2)
+        backoff = min(MAX_UNREACHABLE_BACKOFF, backoff * 2)
 
 
-def test_one_at_another_address_is_left_alone() -> None:
+def test_an_endpoint_at_another_address_is_not_used() -> None:
     bench = gateway_bench(endpoints=2)
     first = bench.begin(request_of(bench, "a"))
     bench.fail(first, FailureKind.REFUSED, Exposure.REFUSED, 421, "elsewhere")
     case.assertNotIn(first.endpoint, usable(bench))
 
 
-def test_failures_make_a_suspect_for_a_while() -> None:
+def test_a_failure_makes_an_endpoint_suspect_for_a_while() -> None:
     bench = gateway_bench(endpoints=2)
     first = bench.begin(request_of(bench, "a"))
     bench.fail(first)
@@ -117,18 +117,17 @@
         )
 
 
-def test_an_answer_of_its_own_is_no_failure_of_the_endpoint() -> None:
+def test_an_error_response_is_no_failure_of_the_endpoint() -> None:
     bench = gateway_bench(endpoints=2)
     first = bench.begin(request_of(bench, "a"))
     bench.fail(first, FailureKind.ENGINE_FAILED, status=500)
     case.assertEqual(set(), suspects(bench))
 
 
-def test_a_leaving_endpoint_gets_nothing_new_whoever_says_so_first() -> None:
-    """A call reaches an endpoint that has left.
+def test_a_draining_endpoint_gets_no_new_calls_whoever_reports_it_first() -> None:
+    """An older listing does not revert a drain that was reported by a peer.
 
-    A peer told that the endpoint drains before this instance's own list did; the
-    list, older, then said that it is ready, and brought it back.
+    Otherwise calls would be sent to an endpoint that has left.
     """
     bench = gateway_bench(endpoints=2)
     bench.handle(EndpointLeaving(EndpointId("desk-0"), final=True))
@@ -139,7 +138,7 @@
     case.assertEqual({"desk-1"}, usable(bench))
 
 
-def test_one_that_was_merely_missing_may_come_back() -> None:
+def test_a_missing_endpoint_may_return() -> None:
     bench = gateway_bench(endpoints=2)
     bench.handle(EndpointLeaving(EndpointId("desk-0")))
     case.assertEqual({"desk-1"}, usable(bench))
@@ -147,28 +146,28 @@
     case.assertEqual({"desk-0", "desk-1"}, usable(bench))
 
 
-def test_an_endpoint_that_is_never_reached_again_stays_left_alone() -> None:
-    """An endpoint dies under a burst, and a hundred connections to it fail at once.
+def test_the_backoff_of_an_unreachable_endpoint_is_bounded() -> None:
+    """A hundred connections to an endpoint fail at once in a burst.
 
-    Each doubles the time for which it is left alone. Without a bound of its own the
-    doubling leaves the range of times, and the call's failure is not handled.
+    Each failure doubles the backoff; without a bound it would overflow and the failure
+    would not be handled.
     """
     bench = gateway_bench(endpoints=1)
     calls = [bench.begin(request_of(bench, f"a-{number}")) for number in range(100)]
     for first in calls:
         bench.fail(first, FailureKind.UNREACHED, Exposure.NEVER_SENT)
-    belief = bench.kernel.plugin(FleetView).endpoints[calls[0].endpoint]
-    left = belief.unusable_until - bench.clock.monotonic()
+    health = bench.kernel.plugin(FleetView).endpoints[calls[0].endpoint]
+    left = health.unusable_until - bench.clock.monotonic()
     case.assertEqual(MAX_UNREACHABLE_BACKOFF, left)
 
 
-def test_what_was_learned_of_a_life_ends_with_it() -> None:
-    """An engine fails calls, drains, and starts again under its id.
+def test_health_is_reset_with_a_new_incarnation() -> None:
+    """An engine fails calls, drains, and restarts under the same id.
 
-    The instance went on leaving it alone for what its former life had done.
+    The health of its previous incarnation must not apply to the new one.
     """
     bench = gateway_bench(endpoints=0)
-    first = replace(desk_listed("desk-0"), started_ms=1000)
+    first = replace(plain_listed("desk-0"), started_ms=1000)
     bench.handle(EndpointUsable(first))
     miss(bench, "a")
     case.assertEqual(set(), usable(bench))
--- a/tests/unit/gateway/test_full_engines.py
+++ b/tests/unit/gateway/test_full_engines.py
@@ -1,7 +1,7 @@
-"""Tests of what is learnt when an engine says that it is full.
+"""Tests of the reaction to rejections by full engines.
 
-The engines hold work that these instances have not heard of: words come late, or not
-at all from behind a cut, and an instance that has just started knows none.
+The engines run requests unknown to these instances, as load updates of peers are late,
+are lost in a network partition, or have not reached an instance that just started.
 """
 
 from collections.abc import Sequence
@@ -29,18 +29,18 @@
 case = TestCase()
 
 SHORT = 2_000
-"""Tokens of a prompt that one engine reads."""
+"""Prompt tokens of a call that fits on one engine."""
 STEP = timedelta(milliseconds=10)
 AT_ONCE = timedelta(milliseconds=80)
-"""Within it three full engines turned one call away."""
+"""Time within which three full engines rejected the same call."""
 STAYS = timedelta(seconds=2.5)
-"""Within it usual answers end, so that an engine that was full has room again."""
+"""Time within which usual responses end and a full engine has capacity again."""
 PEER = InstanceId("entry-2")
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """One arrival that an engine turned away, and when."""
+class Rejection:
+    """One rejection of a call by an engine."""
 
     at: timedelta
     instance: int
@@ -50,21 +50,21 @@
 
 @dataclass(slots=True)
 class FullFleet:
-    """Instances before engines that turn away whatever comes, as long as they are full.
+    """Instances in front of engines that reject all calls while they are full.
 
     Attributes
     ----------
     full : set of EndpointId
-        Engines without room for a single request more.
+        Engines without capacity for another request.
     """
 
     benches: Sequence[ReservingBench]
     full: set[EndpointId]
-    refused: list[Refused] = field(default_factory=list)
+    refused: list[Rejection] = field(default_factory=list)
     seen: set[tuple[int, RequestId, int]] = field(default_factory=set)
 
     def submit(self, call: str, instance: int = 0) -> None:
-        """Let a call with a short prompt come to an instance."""
+        """Submit a call with a short prompt to an instance."""
         bench = self.benches[instance]
         bench.serve(Submit(huge_request(call, bench.clock.monotonic(), SHORT)))
         self.answer()
@@ -77,27 +77,27 @@
             self.answer()
 
     def answer(self) -> None:
-        """Have full engines turn away what has reached them."""
+        """Have full engines reject the calls that reached them."""
         for instance, bench in enumerate(self.benches):
             for sent in bench.emitted(Dispatch):
                 key = (instance, sent.request_id, sent.attempt)
                 if sent.endpoint in self.full and key not in self.seen:
                     self.seen.add(key)
-                    self._turn_away(instance, sent)
+                    self._reject(instance, sent)
 
-    def _turn_away(self, instance: int, sent: Dispatch) -> None:
+    def _reject(self, instance: int, sent: Dispatch) -> None:
         bench = self.benches[instance]
         now = bench.clock.monotonic()
-        self.refused.append(Refused(now, instance, sent.request_id, sent.endpoint))
-        bench.serve(turned_away(sent))
+        self.refused.append(Rejection(now, instance, sent.request_id, sent.endpoint))
+        bench.serve(full_rejection(sent))
 
     def sent_to(self, call: str, instance: int = 0) -> list[EndpointId]:
         """Return the engines that a call was sent to."""
         return [d.endpoint for d in self.benches[instance].dispatches(call)]
 
 
-def turned_away(sent: Dispatch, fault_at: str | None = None) -> AttemptFailed:
-    """Return the word of an engine that it has not run a call as it is full."""
+def full_rejection(sent: Dispatch, fault_at: str | None = None) -> AttemptFailed:
+    """Return the rejection of a call by a full engine."""
     return AttemptFailed(
         sent.request_id,
         sent.attempt,
@@ -111,13 +111,13 @@
 
 
 def full_fleet(instances: int = 1, engines: int = 6) -> FullFleet:
-    """Return instances before engines that are all full."""
+    """Return instances in front of engines that are all full."""
     benches = [reserving_bench(engines, seed) for seed in range(1, instances + 1)]
     return FullFleet(benches, {EndpointId(f"e{n}") for n in range(engines)})
 
 
-def told(works: dict[str, int], now: timedelta) -> PeerWorkReplaced:
-    """Return a peer's word of so many answers on each engine."""
+def peer_load(works: dict[str, int], now: timedelta) -> PeerWorkReplaced:
+    """Return a peer's load update with a number of responses on each engine."""
     return PeerWorkReplaced(
         PEER,
         tuple(
@@ -137,11 +137,11 @@
     )
 
 
-def test_an_engine_that_says_full_gets_no_other_call_of_the_instance() -> None:
-    """In a flood of short prompts call after call is turned away by the same engine.
+def test_a_full_engine_gets_no_other_call_of_the_instance() -> None:
+    """A rejection counts for all calls of the instance.
 
-    Its slots are taken by calls that this instance has not heard of, so that it seems
-    to be the emptiest one. Each call learnt that for itself, and cost a repeat.
+    The slots of an engine are taken by calls unknown to this instance, so it seems
+    least loaded. Otherwise each call would be rejected there and cost a retry.
     """
     fleet = full_fleet()
     fleet.submit("first")
@@ -153,10 +153,10 @@
     case.assertEqual([refused], fleet.refused)
 
 
-def test_an_engine_that_said_full_gets_calls_again() -> None:
-    """An engine that once was full must not stand idle for good.
+def test_an_engine_that_was_full_gets_calls_again() -> None:
+    """An engine that was full must not stay idle.
 
-    Of the calls that filled it nobody may ever hear, so their ends aren't heard either.
+    The calls that filled it may never be published, and neither are their ends.
     """
     fleet = full_fleet(engines=1)
     fleet.submit("first")
@@ -166,16 +166,15 @@
     case.assertEqual(1, len(fleet.sent_to("second")))
 
 
-def test_a_call_is_not_turned_away_by_engine_after_engine() -> None:
-    """One call is turned away by three full engines within 80 ms.
+def test_a_call_is_not_rejected_by_one_engine_after_another() -> None:
+    """A rejected call is not sent to other engines with the same known load.
 
-    It had been tried at a silent engine, and as it came from there all others were
-    believed to have half of their slots free: what had filled the first had filled
-    them all. Each try took a repeat from all instances, none had a chance.
+    Their unknown load is likely the same; otherwise three full engines reject the call
+    within 80 ms, and each attempt costs a retry of the budget.
     """
     fleet = full_fleet()
     now = fleet.benches[0].clock.monotonic()
-    fleet.benches[0].serve(told({f"e{n}": 4 for n in range(6)}, now))
+    fleet.benches[0].serve(peer_load({f"e{n}": 4 for n in range(6)}, now))
     fleet.submit("call")
     fleet.run(AT_ONCE)
     case.assertEqual(1, len(fleet.sent_to("call")))
@@ -184,36 +183,36 @@
     case.assertEqual(2, len(fleet.sent_to("call")))
 
 
-def test_a_call_that_was_turned_away_goes_to_an_emptier_engine_at_once() -> None:
+def test_a_rejected_call_goes_to_a_less_loaded_engine_at_once() -> None:
     fleet = full_fleet()
     now = fleet.benches[0].clock.monotonic()
     works = {f"e{n}": 5 for n in range(5)}
     fleet.full = {EndpointId(name) for name in works}
-    # The free one seems to be as full as can be when the call is placed first.
-    fleet.benches[0].serve(told({**works, "e5": FIGURES.slots}, now))
+    # The free engine seems to be full when the call is first placed.
+    fleet.benches[0].serve(peer_load({**works, "e5": FIGURES.slots}, now))
     fleet.submit("call")
     case.assertIn(fleet.sent_to("call")[0], fleet.full)
-    fleet.benches[0].serve(told(works, now))
+    fleet.benches[0].serve(peer_load(works, now))
     fleet.run(AT_ONCE)
     case.assertEqual("e5", fleet.sent_to("call")[-1])
 
 
-def test_instances_in_a_flood_ask_a_full_engine_seldom() -> None:
-    """In an overload half of all arrivals at engines are turned away.
+def test_instances_rarely_send_to_a_full_engine() -> None:
+    """Instances rarely send calls to an engine that rejected one.
 
-    Words of running work come late, so that all instances take the same engines for
-    empty ones, and each sends one call after the other there.
+    In an overload load updates are late and all instances consider the same engines
+    idle; half of all calls were rejected.
     """
     fleet = full_fleet(instances=4, engines=4)
     for number in range(50):
         fleet.submit(f"call{number}", number % 4)
         fleet.run(2 * STEP)
-    case.assertEqual([], again_within(fleet.refused, AT_ONCE))
+    case.assertEqual([], repeated_within(fleet.refused, AT_ONCE))
     case.assertLessEqual(len(fleet.refused), 2 * 16)
 
 
-def again_within(refused: Sequence[Refused], time: timedelta) -> list[Refused]:
-    """Return what the same engine refused the same instance so soon again."""
+def repeated_within(refused: Sequence[Rejection], time: timedelta) -> list[Rejection]:
+    """Return repeated rejections by an engine of an instance within a time."""
     last: dict[tuple[int, EndpointId], timedelta] = {}
     found = []
     for each in refused:
@@ -224,31 +223,31 @@
     return found
 
 
-def sent_beside(fault_at: str) -> bool:
-    """Return whether a call goes to the only engine just after it refused another."""
+def sent_after_rejection(fault_at: str) -> bool:
+    """Return whether a call goes to the only engine after it rejected another."""
     fleet = full_fleet(engines=1)
     fleet.full.clear()
     fleet.submit("first")
     bench = fleet.benches[0]
-    bench.serve(turned_away(bench.last_dispatch("first"), fault_at))
+    bench.serve(full_rejection(bench.last_dispatch("first"), fault_at))
     fleet.submit("second")
     return bool(fleet.sent_to("second"))
 
 
 def test_an_engine_that_names_another_as_at_fault_is_not_full() -> None:
-    """A helper that is gone must not make all of its hosts seem to be full."""
-    case.assertTrue(sent_beside("10.0.0.77:80"))
+    """A failed helper must not make all of its hosts seem full."""
+    case.assertTrue(sent_after_rejection("10.0.0.77:80"))
 
 
-def test_calls_that_were_turned_away_do_not_hold_up_new_ones() -> None:
-    """Callers wait while engines are free.
+def test_rejected_calls_do_not_block_new_ones() -> None:
+    """Rejected calls that wait for a less loaded engine do not block new calls.
 
-    A few calls were turned away and wait for an emptier engine. They are older than
-    all new ones, and when three of a lane find no place the rest of it is left waiting.
+    They are older than the new ones, and a lane is skipped once three of its calls
+    cannot be placed.
     """
     fleet = full_fleet()
     now = fleet.benches[0].clock.monotonic()
-    fleet.benches[0].serve(told({f"e{n}": 4 for n in range(6)}, now))
+    fleet.benches[0].serve(peer_load({f"e{n}": 4 for n in range(6)}, now))
     for number in range(4):
         fleet.submit(f"call{number}")
     fleet.full.clear()
@@ -258,8 +257,8 @@
     case.assertEqual(1, len(fleet.sent_to("new")))
 
 
-def test_the_word_counts_though_its_call_ends_with_it() -> None:
-    """A call has no time left for another engine; those that come next have."""
+def test_a_rejection_counts_though_its_call_ends() -> None:
+    """A rejection counts for later calls even if its own call has no time left."""
     fleet = full_fleet(engines=1)
     bench = fleet.benches[0]
     now = bench.clock.monotonic()
@@ -271,8 +270,8 @@
     case.assertEqual([], fleet.sent_to("second"))
 
 
-def test_nothing_is_kept_of_calls_that_have_ended() -> None:
-    """Calls that were turned away in a flood must not fill the memory."""
+def test_no_state_is_left_of_ended_calls() -> None:
+    """Rejected calls of a flood must not leak memory."""
     fleet = full_fleet(engines=2)
     for number in range(20):
         fleet.submit(f"call{number}")
@@ -283,8 +282,8 @@
 
 
 def test_an_engine_that_names_itself_is_full() -> None:
-    case.assertFalse(sent_beside(address_of("e0")))
-    case.assertFalse(sent_beside("e0"))
+    case.assertFalse(sent_after_rejection(address_of("e0")))
+    case.assertFalse(sent_after_rejection("e0"))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_standing.py
+++ b/tests/unit/gateway/test_health_log.py
@@ -1,4 +1,4 @@
-"""Each change of the belief about an endpoint is logged once."""
+"""Tests that each change of endpoint health is logged once."""
 
 from datetime import timedelta
 from random import Random
@@ -48,7 +48,7 @@
     return Kernel(identity, ManualClock(), Random(1), create(PLUGINS))
 
 
-def belief() -> EndpointHealth:
+def endpoint_health() -> EndpointHealth:
     listed = ListedEndpoint(
         EndpointId("e1"),
         ServiceId("letters"),
@@ -60,13 +60,12 @@
     return EndpointHealth(listed)
 
 
-def test_endpoint_that_vanishes_is_told_once_and_told_back() -> None:
-    """An engine's machine dies under eight calls and is up again later.
+def test_unreachable_endpoint_is_logged_once_and_again_when_back() -> None:
+    """An engine's machine fails during eight calls and recovers later.
 
-    Eight failures tell the same; the log has one line for the belief, and one when
-    it answers again.
+    The log has one line for the ejection and one for the recovery, not one per failure.
     """
-    known = belief()
+    known = endpoint_health()
     with caught_lines() as caught:
         for _ in range(8):
             before = HealthStatus.of(known, START)
@@ -80,7 +79,7 @@
 
 
 def test_endpoint_whose_answers_break_off_is_suspected_once() -> None:
-    known = belief()
+    known = endpoint_health()
     with caught_lines() as caught:
         for _ in range(3):
             before = HealthStatus.of(known, START)
@@ -90,11 +89,10 @@
     assert (fields["endpoint"], fields["why"]) == ("e1", "broken")
 
 
-def test_content_that_is_kept_from_endpoints_is_told_once_and_told_free() -> None:
-    """A prompt crashes engine after engine, here and as a peer has seen.
+def test_quarantined_content_is_logged_once_and_again_when_cleared() -> None:
+    """A prompt crashes several engines, as seen here and by a peer.
 
-    From the third engine on its calls are refused. The log says so once, and once
-    more when a call with it has run well somewhere.
+    The quarantine is logged once, and so is its end after a completed call.
     """
     kernel = new_kernel()
     with caught_lines() as caught:
@@ -109,9 +107,9 @@
     assert caught.one(CONTENT_CLEARED)["source"] == "peer"
 
 
-def test_endpoint_that_leaves_by_a_peers_word_is_told_once() -> None:
+def test_endpoint_reported_leaving_by_a_peer_is_logged_once() -> None:
     kernel = new_kernel()
-    kernel.handle(EndpointUsable(belief().listed))
+    kernel.handle(EndpointUsable(endpoint_health().listed))
     with caught_lines() as caught:
         for _ in range(2):
             kernel.handle(EndpointLeaving(EndpointId("e1"), final=True))
--- a/tests/unit/gateway/test_placing.py
+++ b/tests/unit/gateway/test_placing.py
@@ -1,4 +1,4 @@
-"""Tests of the placer: where calls go, what is kept of them, and when it gives up."""
+"""Tests of the placer: assignment, load tracking and rejection of waiting calls."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -35,7 +35,7 @@
 MOMENT = timedelta(milliseconds=1)
 
 
-def book_of(bench: GatewayBench) -> LoadTracker:
+def load_tracker_of(bench: GatewayBench) -> LoadTracker:
     return bench.kernel.plugin(WorkPlacer).load_tracker
 
 
@@ -45,41 +45,41 @@
     case.assertEqual([3, 3, 3], sorted(used.count(name) for name in set(used)))
 
 
-def test_every_end_of_a_call_leaves_the_book() -> None:
-    """An endpoint gets less and less to do until it gets nothing.
+def test_load_is_removed_however_a_call_ends() -> None:
+    """The load of every ended call is removed, however the call ends.
 
-    The work of calls that had ended in some way stayed in the book for good.
+    Otherwise leaked load makes an endpoint receive fewer and fewer calls.
     """
     bench = gateway_bench()
     finished = bench.begin(request_of(bench, "a"))
     failed = bench.begin(request_of(bench, "b", non_idempotent=True))
     left = bench.begin(request_of(bench, "c"))
     late = bench.begin(request_of(bench, "d", time=timedelta(seconds=1)))
-    case.assertEqual(4, len(book_of(bench).own))
+    case.assertEqual(4, len(load_tracker_of(bench).own))
     bench.finish(finished)
     bench.fail(failed)
     bench.handle(CallerGone(left.request_id))
     bench.handle_after(timedelta(seconds=1), Tick())
     case.assertIsNotNone(bench.concluded(late.request_id))
-    case.assertEqual({}, book_of(bench).own)
-    case.assertFalse(any(book_of(bench).by_engine.values()))
+    case.assertEqual({}, load_tracker_of(bench).own)
+    case.assertFalse(any(load_tracker_of(bench).by_engine.values()))
     begun = {effect.work.request for effect in bench.emitted(PublishWork)}
     ended = [effect.request_id for effect in bench.emitted(PublishWorkEnd)]
     case.assertEqual(sorted(begun), sorted(ended))
 
 
-def test_a_further_attempt_is_booked_where_it_is() -> None:
+def test_load_of_a_retry_is_tracked_at_its_endpoint() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
     bench.fail(first, FailureKind.REFUSED, Exposure.REFUSED, 503, "not-run")
     second = bench.retried(first)
     assert second is not None
-    hosts = [work.host for work in book_of(bench).own.values()]
+    hosts = [work.host for work in load_tracker_of(bench).own.values()]
     case.assertEqual([second.endpoint], hosts)
     case.assertNotEqual(first.endpoint, second.endpoint)
 
 
-def test_work_of_peers_counts_until_they_are_silent() -> None:
+def test_load_of_peers_counts_until_they_are_unknown() -> None:
     bench = gateway_bench(endpoints=2)
     busy = EndpointId("desk-0")
     works = tuple(
@@ -95,7 +95,7 @@
     case.assertEqual(busy, bench.begin(request_of(bench, "b")).endpoint)
 
 
-def test_a_call_without_an_endpoint_waits_and_is_given_up_in_time() -> None:
+def test_a_call_without_an_endpoint_waits_and_is_rejected_in_time() -> None:
     bench = gateway_bench(endpoints=0)
     bench.submit(request_of(bench, "a"))
     bench.handle_after(DEADLINE * 0.25, Tick())
@@ -108,11 +108,10 @@
     case.assertIsNotNone(end.problem.retry_after)
 
 
-def test_a_call_that_breaks_late_still_waits_for_a_place() -> None:
-    """A dossier's answer breaks off after half of its caller's time.
+def test_a_call_that_fails_late_still_waits_for_an_endpoint() -> None:
+    """A call whose attempt fails late while all endpoints are full is not rejected.
 
-    All places are taken at that moment. The time that it ran was counted as waiting,
-    so that it was given up at once with seconds left.
+    Time spent running must not count as time in the queue.
     """
     bench = gateway_bench(endpoints=1)
     first = bench.begin(request_of(bench, "a"))
@@ -126,7 +125,7 @@
     case.assertEqual("desk-9", bench.dispatches("a")[-1].endpoint)
 
 
-def test_a_waiting_call_is_placed_when_an_endpoint_comes() -> None:
+def test_a_waiting_call_is_placed_when_an_endpoint_appears() -> None:
     bench = gateway_bench(endpoints=1)
     bench.handle(EndpointLeaving(EndpointId("desk-0")))
     bench.submit(request_of(bench, "a"))
@@ -136,8 +135,8 @@
     case.assertEqual(1, len(bench.dispatches("a")))
 
 
-def test_a_call_without_a_hint_is_taken_for_the_deployments_usual_one() -> None:
-    """Memory and time must be reckoned for answers as long as they are here."""
+def test_a_call_without_a_hint_uses_the_usual_answer_length() -> None:
+    """Memory and time are computed from the deployment's usual answer length."""
     bench = gateway_bench()
     silent = replace(request_of(bench, "a"), max_tokens=0)
     assert silent.terms is not None
@@ -152,11 +151,11 @@
     case.assertEqual(DEFAULT_ANSWER_TOKENS, expected_answer_tokens(silent, unstated))
 
 
-def test_peers_hear_only_of_long_readings_that_they_are_over() -> None:
-    """Words of running work crowd each other out in a flood of short prompts.
+def test_only_the_end_of_a_long_prefill_is_published() -> None:
+    """Only the end of a long prefill is published.
 
-    A third of them said that a prompt had been read, of which peers knew already when
-    it was to be; that of a long prompt is seldom foretold to the tenth of a second.
+    In a flood of short prompts a third of all load messages would report the end of a
+    prefill that peers have predicted; a long one is rarely predicted to within 0.1 s.
     """
     host, helper = EndpointId("i-1"), EndpointId("i-2")
     short = InFlightRequest(RequestId("a"), host, (PrefillPart(host, 5_000, 33.0),))
--- a/tests/unit/gateway/test_quarantining.py
+++ b/tests/unit/gateway/test_quarantining.py
@@ -1,4 +1,4 @@
-"""Tests of the quarantine: what crashes endpoints reaches no further ones."""
+"""Tests of the quarantine of contents that crash endpoints."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -29,7 +29,7 @@
 
 
 def crash(bench: GatewayBench, name: str, endpoints: int) -> None:
-    """Let requests of one content break so many endpoints, one attempt each."""
+    """Let requests of one content crash some endpoints, one attempt each."""
     for number in range(endpoints):
         request = request_of(bench, f"{name}-{number}", max_attempts=1)
         bench.fail(bench.begin(request))
@@ -44,10 +44,10 @@
     return end.problem.code is ProblemCode.QUARANTINED
 
 
-def test_a_request_that_broke_three_endpoints_is_refused() -> None:
-    """One prompt takes the fleet down.
+def test_a_request_that_crashed_three_endpoints_is_rejected() -> None:
+    """A caller resends one prompt, which crashes another endpoint each time.
 
-    Its caller sends it again and again, and each time another endpoint crashes.
+    Without quarantine it would take the fleet down.
     """
     bench = gateway_bench(endpoints=6)
     crash(bench, "bad", 2)
@@ -64,7 +64,7 @@
     case.assertFalse(refused(bench, "bad-x"))
 
 
-def test_failures_that_break_no_connection_are_no_crashes() -> None:
+def test_failures_without_a_broken_connection_are_no_crashes() -> None:
     bench = gateway_bench(endpoints=6)
     for number in range(5):
         request = request_of(bench, f"a-{number}", max_attempts=1)
@@ -72,11 +72,11 @@
     case.assertFalse(refused(bench, "a-x"))
 
 
-def test_a_run_that_ends_well_clears_its_content() -> None:
-    """A sound request is refused for a minute.
+def test_a_completed_request_clears_its_content() -> None:
+    """A content that completed elsewhere is cleared of earlier crashes.
 
-    Endpoints crash for reasons of their own under a request that many send. That it
-    ran to its end elsewhere must clear it, or it adds up until it is refused.
+    Otherwise unrelated endpoint crashes under a frequent content would add up until it
+    is rejected for a minute.
     """
     bench = gateway_bench(endpoints=6)
     crash(bench, "sound", 2)
@@ -86,7 +86,7 @@
     case.assertFalse(refused(bench, "sound-y"))
 
 
-def test_what_peers_saw_counts_and_is_cleared() -> None:
+def test_reports_of_peers_count_and_clear() -> None:
     bench = gateway_bench(endpoints=6)
     ends = frozenset(EndpointId(f"e{number}") for number in range(3))
     bench.handle(CrashSuspicionUpdated(digest_of("bad"), ends, cleared=False))
@@ -95,11 +95,10 @@
     case.assertFalse(refused(bench, "bad-y"))
 
 
-def test_suspicions_end_and_leave_nothing_behind() -> None:
-    """The instance grows until it is over its memory.
+def test_suspicions_expire() -> None:
+    """Suspicions expire without another request of the same content.
 
-    Each broken connection of a content of its own left an entry, and only a further
-    request of the same content took it away.
+    Otherwise each broken connection would leave an entry and memory would grow.
     """
     bench = gateway_bench(endpoints=6)
     crash(bench, "bad", 3)
@@ -112,11 +111,11 @@
     case.assertLessEqual(len(bench.kernel.plugin(CrashQuarantine).suspicions), 2)
 
 
-def test_what_waits_when_its_content_is_found_out_is_sent_nowhere() -> None:
-    """Many callers send one prompt that crashes endpoints.
+def test_waiting_calls_of_a_quarantined_content_are_not_sent() -> None:
+    """Waiting calls are rejected once their content is quarantined.
 
-    The first ones take all endpoints down; the others wait for one that is usable, or
-    to be sent again, and each would crash one more as soon as there is one.
+    Many callers send one prompt that crashes endpoints. Those that wait for a usable
+    endpoint would each crash one more.
     """
     bench = gateway_bench(endpoints=0)
     for number in range(4):
@@ -134,10 +133,10 @@
     case.assertEqual(1, len(bench.dispatches("other-0")))
 
 
-def test_a_call_is_not_sent_again_once_its_content_is_found_out() -> None:
-    """A prompt breaks its connection, and peers tell of two more endpoints.
+def test_a_call_of_a_quarantined_content_is_not_retried() -> None:
+    """A call is not retried if peers report that its content crashed two endpoints.
 
-    Its call may run again by its kind, but would bring down a fourth endpoint.
+    The call is repeatable, but a retry would crash a fourth endpoint.
     """
     bench = gateway_bench(endpoints=6)
     first = bench.begin(request_of(bench, "bad-0"))
--- a/tests/unit/gateway/test_reserved_memory.py
+++ b/tests/unit/gateway/test_reserved_memory.py
@@ -1,4 +1,4 @@
-"""Tests of a prompt beyond one engine, from its caller to engines that reserve."""
+"""End-to-end tests of prompts larger than one engine, with reservations."""
 
 import socket
 from collections.abc import Iterator
@@ -47,7 +47,7 @@
     return [world.add_engine(figures) for _ in range(count)]
 
 
-def tickets(engines: list[Engine]) -> list[str]:
+def reservation_ids(engines: list[Engine]) -> list[str]:
     return [
         name
         for engine in engines
@@ -56,28 +56,30 @@
 
 
 def until_free(engines: list[Engine]) -> None:
-    """Wait until nothing is reserved, for less time than a reservation lasts."""
-    eventually(lambda: not tickets(engines), within=timedelta(seconds=2))
+    """Wait until nothing is reserved, for less than the time to live."""
+    eventually(lambda: not reservation_ids(engines), within=timedelta(seconds=2))
     case.assertEqual([], [name for e in engines for name in e.shared_tickets()])
 
 
-def named_tickets(log: RunLog, request_id: str) -> list[str]:
+def sent_reservation_ids(log: RunLog, request_id: str) -> list[str]:
     run = log.of(request_id)[0]
     helpers = run.headers[HELPERS].split(",")
     return [each.partition("/")[2] for each in helpers if "/" in each]
 
 
-def test_a_prompt_beyond_one_engine_is_served_and_its_memory_freed() -> None:
+def test_a_prompt_larger_than_one_engine_is_served_and_its_memory_freed() -> None:
     with gateway_world() as world:
         engines = engines_of(world)
         result = world.running.ask("/resume/1", "huge", b"x", X_Token_Usage=HUGE)
         case.assertEqual((200, True), (result.status, result.complete))
         case.assertEqual(4, len(result.events))
-        case.assertGreaterEqual(len(named_tickets(world.platform.log, "huge")), 2)
+        case.assertGreaterEqual(
+            len(sent_reservation_ids(world.platform.log, "huge")), 2
+        )
         until_free(engines)
 
 
-def test_a_caller_that_hangs_up_frees_the_memory() -> None:
+def test_a_caller_disconnect_frees_the_memory() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         engines = engines_of(world)
         for engine in engines:
@@ -85,15 +87,15 @@
         headers = {REQUEST_ID: "huge", TOKEN_USAGE: HUGE, **BEARER}
         channel.send("POST", "/resume/1", headers, b"x")
         world.platform.log.wait_until(lambda log: bool(log.of("huge")))
-        case.assertTrue(tickets(engines))
+        case.assertTrue(reservation_ids(engines))
         channel.hang_up()
         until_free(engines)
 
 
-def test_an_engine_whose_memory_others_took_is_left_out() -> None:
-    """The memory of two engines is taken by somebody whom this instance can't know.
+def test_an_engine_whose_memory_is_taken_is_avoided() -> None:
+    """The memory of two engines is reserved by a process unknown to this instance.
 
-    What was reserved before the refusal must be freed, and the others serve.
+    Reservations made before the denial are freed, and the other engines serve.
     """
     with gateway_world() as world:
         engines = engines_of(world)
@@ -110,18 +112,18 @@
         result = world.running.ask("/resume/1", "huge", b"x", X_Token_Usage=HUGE)
         case.assertEqual((200, 4), (result.status, len(result.events)))
         until_free(engines[2:])
-        case.assertEqual(["foreign", "foreign"], tickets(engines[:2]))
+        case.assertEqual(["foreign", "foreign"], reservation_ids(engines[:2]))
 
 
 @contextmanager
 def orders() -> Iterator[tuple[LoopThread, OrderClient, list[Message]]]:
-    """Run an adapter for orders in a loop of its own."""
-    thread, told = LoopThread(), list[Message]()
+    """Run an order client in its own event loop."""
+    thread, received = LoopThread(), list[Message]()
     thread.start()
     pool = ConnectionPool(SystemClock())
     try:
-        adapter = OrderClient(SystemClock(), pool, PreparedDialect(), told.append)
-        yield thread, adapter, told
+        adapter = OrderClient(SystemClock(), pool, PreparedDialect(), received.append)
+        yield thread, adapter, received
         thread.call(pool.close)
     finally:
         thread.stop()
@@ -143,32 +145,34 @@
     return message.failure
 
 
-def test_an_order_is_carried_out_or_refused() -> None:
+def test_an_order_is_executed_or_refused() -> None:
     with one_engine(EngineFigures(memory=MEMORY)) as engine, orders() as running:
-        thread, adapter, told = running
+        thread, adapter, received = running
         for tokens in (1000, 1000):
             thread.call(lambda t=tokens: adapter.perform(reserve(engine.address, t)))  # type: ignore[misc]
             thread.run(adapter.wait_until_idle())
-        case.assertEqual([MemoryReserved(RequestId("r"), ReservationId("t"))] * 2, told)
+        case.assertEqual(
+            [MemoryReserved(RequestId("r"), ReservationId("t"))] * 2, received
+        )
         engine.thread.call(lambda: engine.reservations.release("t"))
         thread.call(lambda: adapter.perform(reserve(engine.address, MEMORY + 1)))
         thread.run(adapter.wait_until_idle())
-        case.assertIs(GangStepFailure.REFUSED, failure_of(told[-1]))
+        case.assertIs(GangStepFailure.REFUSED, failure_of(received[-1]))
 
 
-def test_a_dead_engine_is_told_from_a_silent_one() -> None:
-    """One refuses connections; the other takes them and never answers."""
-    with orders() as (thread, adapter, told), socket.socket() as silent:
+def test_an_unreachable_engine_is_distinguished_from_a_silent_one() -> None:
+    """One refuses connections; the other accepts them and never answers."""
+    with orders() as (thread, adapter, received), socket.socket() as silent:
         silent.bind(("127.0.0.1", 0))
         host, port = silent.getsockname()
         thread.call(lambda: adapter.perform(reserve(f"{host}:{port}")))
         thread.run(adapter.wait_until_idle())
-        case.assertIs(GangStepFailure.UNREACHED, failure_of(told[-1]))
+        case.assertIs(GangStepFailure.UNREACHED, failure_of(received[-1]))
         silent.listen()
         began = SystemClock().monotonic()
         thread.call(lambda: adapter.perform(reserve(f"{host}:{port}")))
         thread.run(adapter.wait_until_idle())
-        case.assertIs(GangStepFailure.LOST, failure_of(told[-1]))
+        case.assertIs(GangStepFailure.LOST, failure_of(received[-1]))
         took = SystemClock().monotonic() - began
         case.assertGreaterEqual(took, ORDER_TIMEOUT * 0.9)
 
--- a/tests/unit/gateway/test_reserved_tokens.py
+++ b/tests/unit/gateway/test_reserved_tokens.py
@@ -1,4 +1,4 @@
-"""The tokens that own calls hold on engines are told as they are known to be held."""
+"""Tests of the gauge of tokens reserved on engines by own calls."""
 
 from datetime import timedelta
 from random import Random
@@ -27,14 +27,14 @@
     return keeper.reserved_tokens(bench.clock.monotonic())[state]
 
 
-def begun(bench: ReservingBench) -> None:
+def submit_huge(bench: ReservingBench) -> None:
     bench.serve(Submit(huge_request("r", bench.clock.monotonic())))
 
 
 def test_held_tokens_are_those_that_the_engines_hold() -> None:
     bench = reserving_bench()
     assert tokens_of(bench, ReservationState.HELD) == 0
-    begun(bench)
+    submit_huge(bench)
     engines = bench.engines.values()
     held = sum(each.tokens for e in engines for each in e.reservations.values())
     assert held >= HUGE
@@ -44,32 +44,32 @@
     assert tokens_of(bench, ReservationState.HELD) == 0
 
 
-def test_tokens_whose_order_has_no_answer_are_unsure() -> None:
-    """An engine answers no order: nobody knows whether it has set memory aside.
+def test_tokens_of_an_unanswered_order_are_unsure() -> None:
+    """An engine does not answer an order, so it is unknown whether it reserved memory.
 
-    Counted as held, the page would show memory that nobody holds; left out, it would
-    hide what an engine may lack for seconds.
+    Counting it as held could report memory that is free; omitting it would hide memory
+    that an engine may lack for seconds.
     """
     bench = reserving_bench()
     for engine in bench.engines.values():
         engine.silent = True
-    begun(bench)
+    submit_huge(bench)
     (order,) = bench.unanswered_orders
     assert tokens_of(bench, ReservationState.UNSURE) == cast(Any, order).tokens
     assert tokens_of(bench, ReservationState.HELD) == 0
 
 
-def test_tokens_whose_time_may_be_over_are_unsure() -> None:
-    """The instance stands still for longer than a reservation lasts."""
+def test_tokens_of_an_expired_reservation_are_unsure() -> None:
+    """The instance is frozen for longer than the time to live."""
     bench = reserving_bench()
-    begun(bench)
+    submit_huge(bench)
     held = tokens_of(bench, ReservationState.HELD)
     bench.run(RESERVATION_TTL + timedelta(milliseconds=10), ticking=False)
     assert tokens_of(bench, ReservationState.HELD) == 0
     assert tokens_of(bench, ReservationState.UNSURE) == held
 
 
-def test_metrics_page_tells_tokens_by_state() -> None:
+def test_metrics_page_shows_tokens_by_state() -> None:
     bench = reserving_bench()
     gateway = Gateway(
         bench.kernel, cast(Any, None), bench.clock, Random(1), lambda: None
@@ -77,7 +77,7 @@
     metrics = Metrics()
     gauges = GatewayGauges(gateway, cast(Any, None), None)
     metrics.observe(MEMORY_RESERVED, gauges.reserved_tokens)
-    begun(bench)
+    submit_huge(bench)
     held = tokens_of(bench, ReservationState.HELD)
     lines = metrics.page().decode().splitlines()
     shown = [x for x in lines if x.startswith(MEMORY_RESERVED.exposed_name)]
--- a/tests/unit/gateway/test_retrying.py
+++ b/tests/unit/gateway/test_retrying.py
@@ -1,4 +1,4 @@
-"""Tests of repeats: what may run again, how often, and on whose budget."""
+"""Tests of the retry policy and its budget."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -37,15 +37,15 @@
 )
 
 
-def refuse(bench: GatewayBench, dispatch: Dispatch) -> None:
+def reject(bench: GatewayBench, dispatch: Dispatch) -> None:
     bench.fail(dispatch, FailureKind.REFUSED, Exposure.REFUSED, 503, "not-run")
 
 
-def test_what_may_have_run_and_may_run_once_is_never_repeated() -> None:
-    """A payment is made twice.
+def test_a_non_idempotent_call_that_may_have_run_is_never_retried() -> None:
+    """A non-idempotent call that may have run is not retried.
 
-    The endpoint ran the call and its answer was lost; the instance sent the call to
-    another endpoint. The caller must get an answer that promises nothing instead.
+    If the response is lost after the endpoint ran the call, a retry would execute it
+    twice; the caller gets an unknown outcome instead.
     """
     for kind in LOST:
         bench = gateway_bench()
@@ -55,7 +55,7 @@
         case.assertIs(Outcome.UNKNOWN, bench.concluded("a").outcome)
 
 
-def test_what_surely_did_not_run_is_sent_elsewhere() -> None:
+def test_a_call_that_did_not_run_is_sent_elsewhere() -> None:
     for kind, exposure in (
         (FailureKind.REFUSED, Exposure.REFUSED),
         (FailureKind.UNREACHED, Exposure.NEVER_SENT),
@@ -68,11 +68,11 @@
         case.assertNotEqual(first.endpoint, second.endpoint)
 
 
-def test_only_what_no_endpoint_ran_is_told_as_not_run() -> None:
+def test_only_a_call_that_no_endpoint_ran_is_reported_as_not_run() -> None:
     bench = gateway_bench()
     last: Dispatch | None = bench.begin(request_of(bench, "a", non_idempotent=True))
     while last is not None:
-        refuse(bench, last)
+        reject(bench, last)
         last = bench.retried(last)
     end = bench.concluded("a")
     assert end.problem is not None
@@ -82,13 +82,13 @@
     case.assertEqual(MAX_SENDS, end.attempts)
 
 
-def test_a_repeatable_call_that_ran_once_is_never_told_as_not_run() -> None:
+def test_a_repeatable_call_that_ran_is_never_reported_as_not_run() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a", max_attempts=2))
     bench.fail(first)
     last = bench.retried(first)
     while last is not None:
-        refuse(bench, last)
+        reject(bench, last)
         last = bench.retried(last)
     case.assertIs(Outcome.FAILED, bench.concluded("a").outcome)
 
@@ -112,20 +112,20 @@
     case.assertIsNotNone(bench.retried(second))
 
 
-def test_nothing_is_repeated_when_hardly_any_time_is_left() -> None:
+def test_nothing_is_retried_when_too_little_time_is_left() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a", time=timedelta(milliseconds=59)))
     bench.fail(first)
     case.assertIsNone(bench.retried(first))
 
 
-def test_an_instance_repeats_its_own_part_of_the_budget() -> None:
-    """An endpoint fails, and each instance repeats as if it were alone.
+def test_an_instance_uses_its_share_of_the_budget() -> None:
+    """Each instance uses only its share of the fleet's budget.
 
-    Together they send several times as much as is allowed, and the endpoints that
-    are left go under.
+    If each retried as if it were alone, the fleet would send several times the allowed
+    retries and overload the remaining endpoints.
     """
-    for earlier, repeats, later, instances, allowed in (
+    for earlier, retries, later, instances, allowed in (
         (0, 0, 0, 1, True),
         (0, 9, 0, 1, True),
         (0, 10, 0, 1, False),
@@ -142,26 +142,26 @@
         policy = bench.kernel.plugin(BudgetedRetry)
         policy.ratio, policy.slack = 0.1, 10.0
         policy.slack_share = lambda n=instances: SlackShare(n)  # type: ignore[misc]
-        own = policy.budget(PLAIN_SERVICE)
+        budget = policy.budget(PLAIN_SERVICE)
         for _ in range(earlier):
-            own.count_request(bench.clock.monotonic())
-        for number in range(repeats):
-            own.count_retry(RequestId(f"r{number}"), bench.clock.monotonic())
+            budget.count_request(bench.clock.monotonic())
+        for number in range(retries):
+            budget.count_retry(RequestId(f"r{number}"), bench.clock.monotonic())
         bench.clock.advance(2 * MAX_RETRY_TRANSIT)
         for _ in range(later - 1):
-            own.count_request(bench.clock.monotonic())
+            budget.count_request(bench.clock.monotonic())
         first = bench.begin(request_of(bench, "a"))
         if not later:
-            own.request_times.pop()
+            budget.request_times.pop()
         bench.fail(first)
-        told = (earlier, repeats, later, instances)
-        case.assertEqual(allowed, bench.retried(first) is not None, told)
+        setup = (earlier, retries, later, instances)
+        case.assertEqual(allowed, bench.retried(first) is not None, setup)
 
 
-def test_a_life_after_another_repeats_what_it_earns() -> None:
-    """All instances are killed in a flood, and each spends its part a second time.
+def test_a_restarted_instance_retries_only_what_it_earns() -> None:
+    """Instances that restart under load do not use their share a second time.
 
-    What the former lives sent is still in the window.
+    Retries of the previous incarnations are still in the window.
     """
     bench = gateway_bench()
     policy = bench.kernel.plugin(BudgetedRetry)
@@ -179,7 +179,7 @@
     case.assertEqual(0, policy.slack_sharers())
 
 
-def test_whole_repeats_are_shared_and_the_rest_goes_by_rank() -> None:
+def test_slack_is_shared_in_whole_retries_and_the_rest_by_rank() -> None:
     for slack, instances in ((10.0, 100), (212.0, 68), (5.9, 2), (0.0, 3), (7.0, 7)):
         parts = [
             SlackShare(instances, rank).portion_of(slack) for rank in range(instances)
@@ -190,38 +190,38 @@
     case.assertEqual(0, SlackShare(restarted_at=timedelta(0)).portion_of(100.0))
 
 
-def test_an_instance_without_a_part_repeats_what_it_has_earned_twice() -> None:
-    """A large fleet with a small slack repeats nothing at most of its instances.
+def test_an_instance_without_a_share_saves_one_earned_retry() -> None:
+    """An instance without a share of the slack may save one earned retry.
 
-    Without a part of the slack no repeat could ever be the first one.
+    Otherwise most instances of a large fleet with a small slack could never retry.
     """
     for requests, allowed in ((10, True), (9, False)):
         bench = gateway_bench()
         policy = bench.kernel.plugin(BudgetedRetry)
         policy.ratio, policy.slack = 0.2, 0.0
-        own = policy.budget(PLAIN_SERVICE)
+        budget = policy.budget(PLAIN_SERVICE)
         for _ in range(requests - 1):
-            own.count_request(bench.clock.monotonic())
+            budget.count_request(bench.clock.monotonic())
         first = bench.begin(request_of(bench, "a"))
         bench.fail(first)
         case.assertEqual(allowed, bench.retried(first) is not None, requests)
 
 
-def test_what_is_saved_up_is_paid_by_earning_half_as_fast() -> None:
-    own = ServiceRetryBudget(timedelta(seconds=10))
-    terms = RetryLimits(ratio=0.2, burst=0)
+def test_a_saved_retry_halves_the_earning_ratio() -> None:
+    budget = ServiceRetryBudget(timedelta(seconds=10))
+    limits = RetryLimits(ratio=0.2, burst=0)
     at = timedelta(seconds=100)
     for _ in range(20):
-        own.count_request(at)
-    own.count_retry(RequestId("a"), at)
+        budget.count_request(at)
+    budget.count_retry(RequestId("a"), at)
     later = at + 2 * MAX_RETRY_TRANSIT
     for number in range(10):
-        case.assertAlmostEqual(number * 0.1, own.available(terms, later))
-        own.count_request(later)
-    case.assertAlmostEqual(1.0, own.available(terms, later))
+        case.assertAlmostEqual(number * 0.1, budget.available(limits, later))
+        budget.count_request(later)
+    case.assertAlmostEqual(1.0, budget.available(limits, later))
 
 
-def test_nothing_is_repeated_where_nothing_is_allowed() -> None:
+def test_nothing_is_retried_without_a_budget() -> None:
     bench = gateway_bench()
     policy = bench.kernel.plugin(BudgetedRetry)
     policy.ratio, policy.slack = 0.0, 0.0
@@ -230,23 +230,23 @@
     case.assertIsNone(bench.retried(first))
 
 
-def test_repeats_that_follow_at_once_are_kept_together() -> None:
-    own = ServiceRetryBudget(timedelta(seconds=10))
+def test_retries_within_a_short_span_share_an_entry() -> None:
+    budget = ServiceRetryBudget(timedelta(seconds=10))
     at = timedelta(seconds=100)
     for number in range(500):
-        own.count_retry(RequestId(f"r{number}"), at)
+        budget.count_retry(RequestId(f"r{number}"), at)
         at += timedelta(milliseconds=1)
-    case.assertEqual(500, own.counted_retries())
-    case.assertLessEqual(len(own.retry_batches), 12)
-    own.refund(RequestId("r250"))
-    case.assertEqual(499, own.counted_retries())
+    case.assertEqual(500, budget.counted_retries())
+    case.assertLessEqual(len(budget.retry_batches), 12)
+    budget.refund(RequestId("r250"))
+    case.assertEqual(499, budget.counted_retries())
 
 
 def test_many_instances_that_fail_at_once_keep_the_budget_together() -> None:
-    """Engines turn away every call of a flood, at all 64 instances.
+    """Engines reject every call of a flood, on all 64 instances.
 
-    Each instance saw the same room and took all of it before it heard of the others'
-    repeats: 375 arrivals beyond the first in ten seconds, where 354 were allowed.
+    With one common budget each instance would use all of it before learning of the
+    others' retries: 375 retries in ten seconds, where 354 were allowed.
     """
     instances, slack, calls_s = 64, 204, 75
     step = timedelta(milliseconds=10)
@@ -275,7 +275,7 @@
     case.assertGreater(sent, 0.8 * (RETRY_RATIO * requests + 0.7 * slack))
 
 
-def test_what_reached_no_endpoint_costs_no_budget() -> None:
+def test_an_attempt_that_reached_no_endpoint_costs_no_budget() -> None:
     bench = gateway_bench()
     policy = bench.kernel.plugin(BudgetedRetry)
     policy.slack = 0.0
@@ -285,10 +285,10 @@
     case.assertEqual(0, policy.retries_sent(PLAIN_SERVICE))
 
 
-def test_a_repeat_that_reached_no_endpoint_is_counted_when_it_does() -> None:
-    """A service is cut off, and each call that broke is counted once for each try.
+def test_a_retry_that_reached_no_endpoint_is_counted_once() -> None:
+    """Retries that cannot connect to a partitioned service are counted only once.
 
-    None of the tries has arrived, and those of other calls found no room beside them.
+    Otherwise attempts that never arrived would use up the budget of other calls.
     """
     bench = gateway_bench()
     policy = bench.kernel.plugin(BudgetedRetry)
@@ -304,59 +304,61 @@
     case.assertEqual(1, policy.budget(PLAIN_SERVICE).counted_retries())
 
 
-def test_requests_and_repeats_are_counted() -> None:
+def test_requests_and_retries_are_counted() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
     bench.fail(first)
     second = bench.retried(first)
     assert second is not None
     bench.finish(second)
-    own = bench.kernel.plugin(BudgetedRetry).budget(PLAIN_SERVICE)
+    budget = bench.kernel.plugin(BudgetedRetry).budget(PLAIN_SERVICE)
     case.assertEqual(
-        (1, 1, 1), (len(own.request_times), own.counted_retries(), own.total_retries)
+        (1, 1, 1),
+        (len(budget.request_times), budget.counted_retries(), budget.total_retries),
     )
-    case.assertEqual((set(), {}), (own.reserved, own.sent_at))
+    case.assertEqual((set(), {}), (budget.reserved, budget.sent_at))
 
 
-def test_what_was_sent_counts_for_a_window_and_until_it_has_arrived() -> None:
-    own = ServiceRetryBudget(timedelta(seconds=10))
-    terms = RetryLimits(ratio=0.5, burst=1)
+def test_a_retry_counts_for_a_window_and_its_transit_time() -> None:
+    budget = ServiceRetryBudget(timedelta(seconds=10))
+    limits = RetryLimits(ratio=0.5, burst=1)
     at = timedelta(seconds=100)
-    own.count_request(at)
-    own.count_retry(RequestId("a"), at)
-    late = at + own.window + MAX_RETRY_TRANSIT
-    case.assertEqual(0.0, own.available(terms, late - timedelta(milliseconds=1)))
-    case.assertEqual(1.0, own.available(terms, late))
-    case.assertEqual(([], 0), (own.request_times, own.counted_retries()))
+    budget.count_request(at)
+    budget.count_retry(RequestId("a"), at)
+    late = at + budget.window + MAX_RETRY_TRANSIT
+    case.assertEqual(0.0, budget.available(limits, late - timedelta(milliseconds=1)))
+    case.assertEqual(1.0, budget.available(limits, late))
+    case.assertEqual(([], 0), (budget.request_times, budget.counted_retries()))
 
 
-def test_only_requests_of_the_same_span_earn_a_repeat() -> None:
-    """A fleet passes what its busiest window earns, as each instance had another one.
+def test_only_requests_of_the_same_span_earn_a_retry() -> None:
+    """Retries are limited by the requests of the same time span.
 
-    Each could send, after its own busiest seconds, what these had earned.
+    If each instance used what its budget busiest seconds earned, the fleet would exceed
+    what its busiest window earns, as these seconds differ between instances.
     """
-    terms = RetryLimits(ratio=0.5, burst=1)
-    own = ServiceRetryBudget(timedelta(seconds=10))
+    limits = RetryLimits(ratio=0.5, burst=1)
+    budget = ServiceRetryBudget(timedelta(seconds=10))
     at = timedelta(seconds=100)
     for _ in range(10):
-        own.count_request(at)
+        budget.count_request(at)
     now = at + timedelta(seconds=1)
-    case.assertEqual(1.0, own.available(terms, now))
-    own.count_retry(RequestId("a"), now)
-    case.assertEqual(0.0, own.available(terms, now))
-    own.count_request(now + MAX_RETRY_TRANSIT / 2)
-    own.count_request(now + MAX_RETRY_TRANSIT * 2)
-    case.assertEqual(0.5, own.available(terms, now + MAX_RETRY_TRANSIT * 2))
+    case.assertEqual(1.0, budget.available(limits, now))
+    budget.count_retry(RequestId("a"), now)
+    case.assertEqual(0.0, budget.available(limits, now))
+    budget.count_request(now + MAX_RETRY_TRANSIT / 2)
+    budget.count_request(now + MAX_RETRY_TRANSIT * 2)
+    case.assertEqual(0.5, budget.available(limits, now + MAX_RETRY_TRANSIT * 2))
 
 
-def test_repeats_that_had_to_wait_are_held_against_the_budget_again() -> None:
-    """A service is cut off, and calls that broke wait for an endpoint.
+def test_retries_that_had_to_wait_are_checked_against_the_budget_again() -> None:
+    """Retries that waited for an endpoint are checked against the budget again.
 
-    They had room when they broke. Sent when the cut is over, they arrive within one
-    window with the repeats that this one has room for: twice what is allowed.
+    After a network partition they arrive in the same window as the retries that this
+    window allows, up to twice the budget.
     """
     soon, late = timedelta(seconds=2), timedelta(seconds=10)
-    for repeats, waited, allowed in (
+    for retries, waited, allowed in (
         (0, soon, True),
         (9, soon, True),
         (10, soon, False),
@@ -372,24 +374,24 @@
         case.assertIsNone(bench.retried(first))
         case.assertEqual(0, policy.retries_sent(PLAIN_SERVICE))
         bench.handle_after(waited, Tick())
-        for number in range(repeats):
+        for number in range(retries):
             now = bench.clock.monotonic()
             policy.budget(PLAIN_SERVICE).count_retry(RequestId(f"r{number}"), now)
         bench.list_endpoint("desk-9")
         bench.handle_after(RETRY_PAUSE, Tick())
         if allowed:
             case.assertEqual(2, len(bench.dispatches("a")))
-            case.assertEqual(repeats + 1, policy.retries_sent(PLAIN_SERVICE))
+            case.assertEqual(retries + 1, policy.retries_sent(PLAIN_SERVICE))
         else:
             case.assertIs(Outcome.FAILED, bench.concluded("a").outcome)
-            case.assertEqual(repeats, policy.retries_sent(PLAIN_SERVICE))
+            case.assertEqual(retries, policy.retries_sent(PLAIN_SERVICE))
 
 
-def test_waiting_repeats_don_t_crowd_out_each_other() -> None:
-    """Three calls wait, and each is held against the budget when it is sent.
+def test_waiting_retries_do_not_displace_each_other() -> None:
+    """Three waiting retries are each checked against the budget when they are sent.
 
-    All three had their place in the room already. Were each counted as one more for
-    the next, the last would find no room beside its own place.
+    All three are already reserved; counting each as an additional one would leave no
+    budget for the last.
     """
     bench = gateway_bench(endpoints=1)
     policy = bench.kernel.plugin(BudgetedRetry)
--- a/tests/unit/gateway/test_silence.py
+++ b/tests/unit/gateway/test_silence.py
@@ -1,4 +1,4 @@
-"""Tests of silent attempts: when another endpoint is tried, and when not."""
+"""Tests of stalled attempts: when another endpoint is tried, and when not."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -39,63 +39,62 @@
 SLOTS = 8
 PEER = InstanceId("entry-2")
 OTHERS = 14
-"""Streams that take more than half of three engines' slots."""
+"""Number of streams that take more than half of three engines' slots."""
 SHORT_PROMPT = 1_000
 LONG_PROMPT = 100_000
-"""Three engines read it in some 0.5 s, and one in more than a second."""
+"""Prefill takes three engines about 0.5 s, and one more than a second."""
 
 
-def ended(bench: GatewayBench) -> list[EndSilentAttempt]:
+def end_requests(bench: GatewayBench) -> list[EndSilentAttempt]:
     return list(bench.emitted(EndSilentAttempt))
 
 
-def fall_silent(bench: GatewayBench, dispatch: Dispatch) -> None:
+def stall(bench: GatewayBench, dispatch: Dispatch) -> None:
     bench.handle(AttemptSilent(dispatch.request_id, dispatch.attempt, SILENCE))
 
 
-def test_a_silent_call_that_may_run_again_is_tried_elsewhere() -> None:
-    """A clerk waits for an answer until she gives up.
+def test_a_stalled_idempotent_call_is_tried_elsewhere() -> None:
+    """An endpoint that loses power does not close its connections.
 
-    The endpoint has lost its power and sends nothing, not even an end of the
-    connection; nothing short of its silence tells the instance so.
+    Only the stall reveals the failure, so the call is moved before its caller leaves.
     """
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
-    fall_silent(bench, first)
-    failure = ended(bench)[-1].failure
+    stall(bench, first)
+    failure = end_requests(bench)[-1].failure
     bench.handle(failure)
     second = bench.retried(first)
     assert second is not None
     case.assertNotEqual(first.endpoint, second.endpoint)
 
 
-def test_a_silent_call_that_may_run_once_goes_on() -> None:
+def test_a_stalled_non_idempotent_call_continues() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a", non_idempotent=True))
     case.assertIsNone(first.silence_timeouts)
-    fall_silent(bench, first)
-    case.assertEqual([], ended(bench))
+    stall(bench, first)
+    case.assertEqual([], end_requests(bench))
 
 
-def test_a_silent_call_goes_on_where_nothing_better_is_known() -> None:
-    """The only endpoint is slow; ending its work would lose the answer for good."""
+def test_a_stalled_call_continues_without_an_alternative() -> None:
+    """The only endpoint is slow; ending the attempt would lose the response."""
     bench = gateway_bench(endpoints=1)
     first = bench.begin(request_of(bench, "a"))
-    fall_silent(bench, first)
-    case.assertEqual([], ended(bench))
+    stall(bench, first)
+    case.assertEqual([], end_requests(bench))
     bench.finish(first)
     case.assertIsNone(bench.concluded("a").problem)
 
 
-def test_a_silent_call_goes_on_when_its_attempts_are_used() -> None:
+def test_a_stalled_call_continues_when_its_attempts_are_used() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a", max_attempts=1))
-    fall_silent(bench, first)
-    case.assertEqual([], ended(bench))
+    stall(bench, first)
+    case.assertEqual([], end_requests(bench))
 
 
-def read_for_a_peer(bench: GatewayBench, endpoint: EndpointId) -> None:
-    """Let a peer tell that an endpoint has begun to read for a call of its own."""
+def start_peer_prefill(bench: GatewayBench, endpoint: EndpointId) -> None:
+    """Let a peer publish that an endpoint has started a prefill for its call."""
     part = PrefillPart(endpoint, 100_000, READING / MILLISECOND)
     work = InFlightRequest(
         RequestId(f"{PEER}/1"), endpoint, (part,), started_at=bench.clock.monotonic()
@@ -103,65 +102,65 @@
     bench.handle(PeerWorkReplaced(PEER, (work,)))
 
 
-def hear_the_zone(bench: GatewayBench, name: str) -> None:
-    """Let an endpoint of the only zone begin an answer."""
+def answer_from_zone(bench: GatewayBench, name: str) -> None:
+    """Let an endpoint of the only zone start a response."""
     other = bench.begin(request_of(bench, name))
     bench.handle(FirstToken(other.request_id, other.attempt))
 
 
-def test_a_silent_call_goes_on_while_its_endpoint_reads() -> None:
-    """A dossier's answer comes eight seconds late, and the desk's letters with it.
+def test_a_stalled_call_continues_during_pending_prefill() -> None:
+    """A stall that is explained by pending prefill does not end the attempt.
 
-    Its engines were reading it as foretold when its silence ended the attempt; it was
-    read again from its first word elsewhere, which silenced the streams there.
+    Otherwise the prefill is repeated elsewhere, which stalls the streams there and
+    delayed responses by eight seconds.
     """
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
-    read_for_a_peer(bench, first.endpoint)
-    hear_the_zone(bench, "b")
-    fall_silent(bench, first)
-    case.assertEqual([], ended(bench))
+    start_peer_prefill(bench, first.endpoint)
+    answer_from_zone(bench, "b")
+    stall(bench, first)
+    case.assertEqual([], end_requests(bench))
     bench.handle_after(READING * (1 + OVERRUN_SHARE), Tick())
-    hear_the_zone(bench, "c")
-    fall_silent(bench, first)
-    case.assertEqual(1, len(ended(bench)))
+    answer_from_zone(bench, "c")
+    stall(bench, first)
+    case.assertEqual(1, len(end_requests(bench)))
 
 
-def test_a_zone_that_is_not_heard_is_not_waited_for() -> None:
-    """Behind a cut, calls waited for engines that seemed to read, and were lost."""
+def test_a_stalled_call_in_a_silent_zone_is_moved() -> None:
+    """Behind a network partition, pending prefill does not excuse a stall."""
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
-    read_for_a_peer(bench, first.endpoint)
-    fall_silent(bench, first)
-    case.assertEqual(1, len(ended(bench)))
+    start_peer_prefill(bench, first.endpoint)
+    stall(bench, first)
+    case.assertEqual(1, len(end_requests(bench)))
 
 
-def test_a_silent_call_goes_on_where_the_others_are_full() -> None:
-    """Letters go silent in a flood and are moved from one full engine to another.
+def test_a_stalled_call_continues_if_other_endpoints_are_full() -> None:
+    """Stalled calls are not moved from one full engine to another.
 
-    Each lost what had been read of it, was read again where others waited too, and
-    the flood lasted eight seconds longer.
+    Each would lose its prefill and repeat it on an engine with a queue, which prolonged
+    a flood by eight seconds.
     """
     bench = gateway_bench(endpoints=2)
     first = bench.begin(request_of(bench, "a"))
     for name in (f"b{n}" for n in range(2 * SLOTS - 1)):
         bench.begin(request_of(bench, name))
-    fall_silent(bench, first)
-    case.assertEqual([], ended(bench))
+    stall(bench, first)
+    case.assertEqual([], end_requests(bench))
 
 
-def test_a_silent_call_goes_on_where_the_others_read_for_long() -> None:
+def test_a_stalled_call_continues_if_others_have_a_long_prefill_backlog() -> None:
     bench = gateway_bench(endpoints=2)
     first = bench.begin(request_of(bench, "a"))
     other = bench.begin(request_of(bench, "b"))
     case.assertNotEqual(first.endpoint, other.endpoint)
-    read_for_a_peer(bench, other.endpoint)
-    fall_silent(bench, first)
-    case.assertEqual([], ended(bench))
+    start_peer_prefill(bench, other.endpoint)
+    stall(bench, first)
+    case.assertEqual([], end_requests(bench))
 
 
-def begun_stream(bench: ReservingBench, time: timedelta) -> Dispatch:
-    """Let a long prompt's answer begin among others, and time pass."""
+def started_stream(bench: ReservingBench, time: timedelta) -> Dispatch:
+    """Start the response of a long prompt among others, and let time pass."""
     for number in range(OTHERS):
         bench.serve(Submit(huge_request(f"b{number}", prompt=SHORT_PROMPT)))
     bench.serve(Submit(huge_request("a", prompt=LONG_PROMPT, time=time)))
@@ -171,27 +170,25 @@
     return first
 
 
-def test_a_begun_answer_that_can_not_be_made_again_in_time_goes_on() -> None:
-    """A caller's stream is cut in the middle though its endpoint is sound.
+def test_a_started_response_continues_if_it_cannot_be_repeated_in_time() -> None:
+    """A started stream is not ended if its prefill cannot be repeated in time.
 
-    Under load the endpoint paused for a second. The attempt was ended, as another
-    endpoint had a slot, and then refused a place: the prompt could not be read once
-    more in the time that was left. The pause would have ended by itself.
+    Another endpoint has a free slot, but the placer would reject the call, and the
+    stall of the healthy endpoint ends by itself.
     """
     bench = reserving_bench(engines=3)
-    first = begun_stream(bench, SILENCE * 1.5)
+    first = started_stream(bench, SILENCE * 1.5)
     bench.serve(AttemptSilent(first.request_id, first.attempt, SILENCE))
     case.assertEqual([], list(bench.emitted(EndSilentAttempt)))
 
 
-def test_a_begun_answer_goes_on_where_it_would_queue_behind_others() -> None:
-    """A caller's stream is cut in the middle though its endpoint is sound.
+def test_a_started_response_continues_if_it_would_queue() -> None:
+    """A started stream is not ended if it would wait behind older calls.
 
-    It was ended for a pause, had to wait behind older calls of its service, and its
-    time was over before their turn was.
+    Its deadline would pass in the queue.
     """
     bench = reserving_bench(engines=3)
-    first = begun_stream(bench, SILENCE * 9)
+    first = started_stream(bench, SILENCE * 9)
     for engine in bench.engines.values():
         engine.taken = MEMORY
     for number in range(QUEUE_MISSES):
@@ -202,32 +199,30 @@
     case.assertEqual([], list(bench.emitted(EndSilentAttempt)))
 
 
-def stays_where_it_is(bench: ReservingBench, first: Dispatch) -> None:
-    """Check that a silent attempt is not ended though another engine has room."""
+def assert_not_ended(bench: ReservingBench, first: Dispatch) -> None:
+    """Check that a stalled attempt continues though another engine has a slot."""
     bench.serve(AttemptSilent(first.request_id, first.attempt, SILENCE))
     case.assertEqual([], list(bench.emitted(EndSilentAttempt)))
 
 
-def test_a_begun_answer_goes_on_where_its_place_would_be_the_same() -> None:
-    """A caller's stream is cut in the middle though its endpoint is sound.
+def test_a_started_response_continues_if_its_engine_would_be_the_same() -> None:
+    """A started stream is not ended if it would be placed on the same engine.
 
-    Of the engines that this instance uses, all others had gone: the free slot was at
-    one that it doesn't use, and the answer would have been placed where it ran before.
+    The only free slot is on an engine outside this instance's subset.
     """
     bench = reserving_bench(engines=3)
-    first = begun_stream(bench, SILENCE * 9)
+    first = started_stream(bench, SILENCE * 9)
     placer = bench.kernel.plugin(WorkPlacer)
     placer.engine_subset = lambda views: [
         v for v in views if v.endpoint == first.endpoint
     ]
-    stays_where_it_is(bench, first)
+    assert_not_ended(bench, first)
 
 
-def test_a_begun_answer_goes_on_where_its_memory_may_be_refused() -> None:
-    """A caller's stream is cut in the middle though its endpoint is sound.
+def test_a_started_response_continues_if_its_memory_may_be_denied() -> None:
+    """A started stream is not ended if its next placement needs reservations.
 
-    Its prompt is larger than one engine. Memory was free by the book, and taken when
-    it was to be reserved; the answer had been ended by then.
+    Its prompt is larger than one engine, and memory that seems free may be denied.
     """
     bench = reserving_bench(engines=6)
     now = bench.clock.monotonic()
@@ -235,28 +230,27 @@
     first = bench.last_dispatch("a")
     bench.serve(FirstToken(first.request_id, first.attempt))
     bench.run(SILENCE)
-    stays_where_it_is(bench, first)
+    assert_not_ended(bench, first)
 
 
-def test_a_begun_answer_goes_on_where_its_content_is_poison() -> None:
-    """A caller's stream is cut in the middle though its endpoint is sound.
+def test_a_started_response_continues_if_its_content_is_quarantined() -> None:
+    """A started stream is not ended if its content has been quarantined.
 
-    Its content had brought down others, as peers told meanwhile, and the placer sends
-    such a content nowhere any more.
+    The placer would reject its next attempt.
     """
     bench = reserving_bench(engines=3)
-    first = begun_stream(bench, SILENCE * 9)
+    first = started_stream(bench, SILENCE * 9)
     record = bench.kernel.state.requests[first.request_id]
     crashed = frozenset(EndpointId(f"gone-{number}") for number in range(9))
     bench.serve(CrashSuspicionUpdated(record.request.body_digest, crashed, False))
-    stays_where_it_is(bench, first)
+    assert_not_ended(bench, first)
 
 
-def test_a_begun_answer_goes_on_where_its_prompt_is_dear_to_read_again() -> None:
-    """A caller's stream is cut in the middle though its endpoint is sound.
+def test_a_started_response_continues_if_its_prefill_is_expensive() -> None:
+    """A started stream is not ended if repeating its prefill takes too long.
 
-    Engines had room for a new call of its size, which is tried even if the time seems
-    too short. What was read once is not read for seconds again in vain, and refused.
+    A new call of its size would be tried even if time seems too short, but a call whose
+    prefill has already run is rejected.
     """
     bench = reserving_bench(engines=3)
     prompt, now = 2 * LONG_PROMPT, bench.clock.monotonic()
@@ -264,12 +258,12 @@
     first = bench.last_dispatch("a")
     bench.serve(FirstToken(first.request_id, first.attempt))
     bench.run(SILENCE)
-    stays_where_it_is(bench, first)
+    assert_not_ended(bench, first)
 
 
-def test_a_begun_answer_is_made_again_where_there_is_room_and_time() -> None:
+def test_a_started_response_is_repeated_if_capacity_and_time_allow() -> None:
     bench = reserving_bench(engines=3)
-    first = begun_stream(bench, SILENCE * 9)
+    first = started_stream(bench, SILENCE * 9)
     bench.serve(AttemptSilent(first.request_id, first.attempt, SILENCE))
     (effect,) = bench.emitted(EndSilentAttempt)
     bench.serve(effect.failure)
@@ -278,18 +272,18 @@
     case.assertNotEqual(first.endpoint, second.endpoint)
 
 
-def test_silence_of_an_earlier_attempt_is_no_news() -> None:
+def test_a_stall_of_an_earlier_attempt_is_ignored() -> None:
     bench = gateway_bench()
     first = bench.begin(request_of(bench, "a"))
-    fall_silent(bench, first)
-    bench.handle(ended(bench)[-1].failure)
+    stall(bench, first)
+    bench.handle(end_requests(bench)[-1].failure)
     second = bench.retried(first)
     assert second is not None
-    fall_silent(bench, first)
-    case.assertEqual(1, len(ended(bench)))
+    stall(bench, first)
+    case.assertEqual(1, len(end_requests(bench)))
 
 
-def test_a_streams_patience_ends_before_its_callers() -> None:
+def test_a_stream_stalls_before_its_caller_times_out() -> None:
     bench = gateway_bench()
     request = request_of(bench, "a")
     force_setattr(
@@ -303,10 +297,10 @@
             resumable=True,
         ),
     )
-    patience = stall_timeouts_for(request)
-    assert patience is not None
-    case.assertLess(patience.first_event, timedelta(seconds=1))
-    case.assertGreater(patience.between_events, timedelta(milliseconds=500))
+    timeouts = stall_timeouts_for(request)
+    assert timeouts is not None
+    case.assertLess(timeouts.first_event, timedelta(seconds=1))
+    case.assertGreater(timeouts.between_events, timedelta(milliseconds=500))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_zone_suspicion.py
+++ b/tests/unit/gateway/test_zone_suspicion.py
@@ -1,4 +1,4 @@
-"""Tests of how an instance notices that a zone is cut off from it."""
+"""Tests of the detection of unreachable zones."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -39,12 +39,12 @@
 
 
 def bench_of_zones(*zones: AvailabilityZoneId, each: int = 4) -> GatewayBench:
-    """Return a kernel that knows some endpoints in each zone."""
+    """Return a kernel with some endpoints in each zone."""
     bench = gateway_bench(endpoints=0)
     for zone in zones:
         for number in range(each):
-            told = replace(listed(f"{zone}/{number}"), zone=zone)
-            bench.handle(EndpointUsable(told))
+            entry = replace(listed(f"{zone}/{number}"), zone=zone)
+            bench.handle(EndpointUsable(entry))
     return bench
 
 
@@ -53,7 +53,7 @@
 
 
 def serve(bench: GatewayBench, calls: int, cut: str = "", name: str = "a") -> int:
-    """Let calls come in turn; return how many went to the cut zone first."""
+    """Run calls one by one; return how many went to the partitioned zone first."""
     lost = 0
     for number in range(calls):
         bench.clock.advance(BETWEEN)
@@ -68,12 +68,11 @@
     return lost
 
 
-def test_calls_leave_a_zone_that_is_cut_off() -> None:
-    """Callers wait for endpoints of a zone that is cut off, one after the other.
+def test_calls_avoid_a_partitioned_zone() -> None:
+    """Calls avoid all endpoints of a partitioned zone after a few failures.
 
-    Each endpoint there was left alone only once it had failed calls of its own, and
-    was tried again soon; with several behind the cut, many calls went to one of them
-    first and lost the time that it took to notice.
+    If each endpoint were ejected only by its own failures and retried soon, many calls
+    would first wait for a connection timeout.
     """
     bench = bench_of_zones(FAR, OTHER, each=6)
     with caught_lines() as lines:
@@ -83,7 +82,7 @@
     case.assertEqual(FAR, lines.one(ZONE_SUSPECTED)["zone"])
 
 
-def test_a_zone_that_answers_again_is_taken_again() -> None:
+def test_a_zone_that_answers_again_is_used_again() -> None:
     bench = bench_of_zones(FAR, OTHER)
     serve(bench, 40, FAR)
     with caught_lines() as lines:
@@ -97,7 +96,7 @@
 def suspicion_after(
     *failing: str, kind: FailureKind = FailureKind.UNREACHED
 ) -> tuple[ZoneSuspicion, timedelta]:
-    """Return what is believed once some endpoints were not heard at one moment."""
+    """Return the suspicion after simultaneous failures of some endpoints."""
     zones, now = ZoneSuspicion(), timedelta(seconds=100)
     for endpoint in failing:
         zones.note_failure(far(endpoint), kind, now)
@@ -108,7 +107,7 @@
     return replace(listed(name), zone=FAR)
 
 
-def test_one_endpoint_that_is_gone_does_not_speak_for_its_zone() -> None:
+def test_one_unreachable_endpoint_does_not_make_its_zone_suspect() -> None:
     zones, now = suspicion_after("a", "a", "a")
     case.assertFalse(zones.suspected(FAR, now))
     later = now + FAILURE_WINDOW + MOMENT
@@ -116,26 +115,25 @@
     case.assertFalse(zones.suspected(FAR, later))
 
 
-def test_endpoints_that_are_silent_together_may_read_a_long_prompt() -> None:
-    """A sound zone is left for seconds.
+def test_a_few_stalled_endpoints_do_not_make_their_zone_suspect() -> None:
+    """Stalls of a few endpoints do not make a healthy zone suspect.
 
-    Several engines read a prompt of 270,000 tokens together, and what they wrote
-    before stood still so long that its calls were tried elsewhere. Two such engines
-    of a zone were taken for a cut.
+    Engines that share the prefill of a prompt of 270,000 tokens stall their other
+    streams; two such engines of a zone must not look like a network partition.
     """
     for count, suspected in ((3, False), (4, True)):
         zones, now = suspicion_after(*"abcd"[:count], kind=FailureKind.STALLED)
         case.assertEqual(suspected, zones.suspected(FAR, now))
 
 
-def test_an_answer_between_two_that_are_gone_speaks_for_the_zone() -> None:
+def test_an_answer_between_two_failures_clears_the_zone() -> None:
     zones, now = suspicion_after("a")
     zones.note_answer(FAR, now)
     zones.note_failure(far("b"), FailureKind.UNREACHED, now)
     case.assertFalse(zones.suspected(FAR, now))
 
 
-def test_a_suspicion_expires_and_one_more_renews_it() -> None:
+def test_a_suspicion_expires_and_one_failure_renews_it() -> None:
     zones, now = suspicion_after("a", "b")
     case.assertTrue(zones.suspected(FAR, now + SUSPICION_PERIOD - MOMENT))
     case.assertFalse(zones.suspected(OTHER, now))
