--- a/src/mimosafork/__init__.py
+++ b/src/mimosafork/__init__.py
@@ -1,3 +1,3 @@
-"""Serving layer for prompts of very unlike lengths, run by declarations."""
+"""Serving layer for prompts of very different lengths, configured declaratively."""
 
 __version__ = "0.1.0"
--- a/src/mimosafork/__main__.py
+++ b/src/mimosafork/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m mimosafork`` run the command line."""
+"""Entry point of ``python -m mimosafork``."""
 
 from .cli.main import main
 
--- a/src/mimosafork/clock.py
+++ b/src/mimosafork/clock.py
@@ -1,4 +1,4 @@
-"""Time as an interface.
+"""Clock interface and implementations.
 
 Monotonic instants are `datetime.timedelta` values since an arbitrary origin that
 is fixed for one process; wall time is an aware `datetime.datetime` in UTC.
@@ -11,10 +11,10 @@
 
 
 class Clock(Protocol):
-    """Source of time for everything that decides by it."""
+    """Source of time for code that makes time-based decisions."""
 
     def monotonic(self) -> timedelta:
-        """Return the time since this clock's origin; it never goes back."""
+        """Return the time since this clock's origin; it never decreases."""
         ...
 
     def now(self) -> datetime:
@@ -35,7 +35,7 @@
 
 
 class ManualClock:
-    """Clock that moves only when told to, for tests and virtual time.
+    """Clock that moves only when advanced, for tests and virtual time.
 
     Parameters
     ----------
@@ -54,11 +54,11 @@
         self.epoch = epoch
 
     def monotonic(self) -> timedelta:
-        """Return the instant that was set last."""
+        """Return the current manual instant."""
         return self.instant
 
     def now(self) -> datetime:
-        """Return the wall time that belongs to the instant."""
+        """Return the wall time that corresponds to the current instant."""
         return self.epoch + self.instant
 
     def advance(self, step: timedelta) -> None:
--- a/src/mimosafork/errors.py
+++ b/src/mimosafork/errors.py
@@ -6,4 +6,4 @@
 
 
 class MimosaforkError(Exception):
-    """Base of every error that this project raises on purpose."""
+    """Base class of all errors that this project raises deliberately."""
--- a/src/mimosafork/ids.py
+++ b/src/mimosafork/ids.py
@@ -1,7 +1,7 @@
 """Identifier types.
 
-Each kind of identifier has a type of its own, so that the type checker refuses
-an endpoint where a request is meant.
+Each kind of identifier has its own type, so that the type checker rejects
+an endpoint id where a request id is expected.
 """
 
 from typing import NewType
@@ -26,8 +26,8 @@
 """Lower-case hexadecimal digest."""
 
 Incarnation = NewType("Incarnation", int)
-"""Counts the lives of an instance or endpoint under the same id; only grows."""
+"""Number of a process start of an instance or endpoint id; strictly increasing."""
 Revision = NewType("Revision", int)
-"""Number of an accepted configuration; only grows."""
+"""Number of an accepted configuration; strictly increasing."""
 FencingNumber = NewType("FencingNumber", int)
 AttemptNumber = NewType("AttemptNumber", int)
--- a/src/mimosafork/kernel/__init__.py
+++ b/src/mimosafork/kernel/__init__.py
@@ -1,6 +1,5 @@
-"""Decisions without I/O.
+"""Request lifecycle and scheduling decisions, without I/O.
 
-`core.Kernel` takes typed messages and the time and returns typed effects. What is
-decided lives in plug-ins (`mimosafork.policies`) that register themselves in
-`registry`.
+`core.Kernel` takes typed messages and the current time and returns typed effects.
+Policies are plug-ins (`mimosafork.policies`) that register themselves in `registry`.
 """
--- a/src/mimosafork/kernel/attempts.py
+++ b/src/mimosafork/kernel/attempts.py
@@ -1,4 +1,4 @@
-"""How an attempt is made of a request and the place found for it."""
+"""Construction of attempts from a request and its placement."""
 
 from datetime import timedelta
 
@@ -10,7 +10,7 @@
 
 
 def new_attempt(record: RequestRecord, place: PlaceOn, now: timedelta) -> Attempt:
-    """Return the next attempt of a request; the record is left as it is."""
+    """Return the next attempt of a request without changing the record."""
     number = AttemptNumber(len(record.attempts) + 1)
     stream_id = place.stream_id
     if stream_id is None:
@@ -26,8 +26,8 @@
     )
 
 
-def dispatch_of(record: RequestRecord, attempt: Attempt, place: PlaceOn) -> Dispatch:
-    """Return the effect that sends an attempt."""
+def build_dispatch(record: RequestRecord, attempt: Attempt, place: PlaceOn) -> Dispatch:
+    """Return the effect that dispatches an attempt."""
     request = record.request
     return Dispatch(
         request_id=request.request_id,
@@ -50,8 +50,8 @@
     )
 
 
-def own_dispatch_of(record: RequestRecord, now: timedelta) -> OwnDispatch:
-    """Return what the fleet's view keeps of a dispatched request."""
+def build_own_dispatch(record: RequestRecord, now: timedelta) -> OwnDispatch:
+    """Return the entry that the fleet view keeps for a dispatched request."""
     request = record.request
     return OwnDispatch(
         request.request_id, request.prompt_tokens, request.max_tokens, now
--- a/src/mimosafork/kernel/configuration.py
+++ b/src/mimosafork/kernel/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration in force, as the kernel sees it.
+"""Active configuration, as the kernel sees it.
 
 `mimosafork.manifest` builds it from an accepted manifest. It is immutable: a new
-revision replaces the old one whole.
+revision replaces the old one as a whole.
 """
 
 from collections.abc import Mapping
@@ -13,12 +13,12 @@
 
 
 class ModelPolicy(msgspec.Struct, frozen=True):
-    """How one model is served.
+    """Serving policy of one model.
 
     Attributes
     ----------
     max_prompt_tokens, max_output_tokens : int
-        Longest prompt and answer that are accepted.
+        Longest accepted prompt and answer.
     """
 
     model: ModelId
@@ -29,7 +29,7 @@
 
 
 class ServicePolicy(msgspec.Struct, frozen=True):
-    """How one plain service is served.
+    """Serving policy of one plain service.
 
     Attributes
     ----------
@@ -43,20 +43,20 @@
 
 
 class AccountPolicy(msgspec.Struct, frozen=True):
-    """Rights and limits of one client account.
+    """Permissions and limits of one client account.
 
     Attributes
     ----------
     key_hashes : tuple of Digest
         SHA-256 of each API key.
     tokens_per_second : float
-        Long-run limit of prompt plus answer tokens, over all entry instances.
+        Sustained limit of prompt plus answer tokens across all entry instances.
     burst_tokens : int
-        What may be taken at once.
+        Burst size of the token bucket.
     weight : float
-        Share of a contended fleet against other accounts.
+        Weight relative to other accounts when the fleet is contended.
     models : tuple of ModelId
-        Empty: all.
+        Models that the account may use; empty allows all.
     """
 
     account: AccountId
@@ -68,22 +68,22 @@
 
 
 class FleetPolicy(msgspec.Struct, frozen=True):
-    """Settings that hold for the whole deployment.
+    """Settings of the whole deployment.
 
     Attributes
     ----------
     long_prompt_tokens : int
         A prompt of at least this length counts as long.
     long_share : float
-        Part of an endpoint's prefill and memory that long prompts may hold while
-        short ones want it, in (0, 1): the one value that trades the slowdown of
-        short requests against the first token of long ones.
+        Share of an endpoint's prefill and memory that long prompts may use while
+        short ones compete for it, in (0, 1). Trades the latency of short requests
+        against the time to first token of long ones.
     default_deadline, longest_deadline : timedelta
-        Time that a request gets when it names none, and the most it may name.
+        Deadline of a request that specifies none, and the longest allowed one.
     retry_budget : float
-        Further attempts for each first attempt, in the long run.
+        Sustained ratio of retries to first attempts.
     ejected_share : float
-        Largest part of a model's endpoints that may be ejected at once.
+        Largest share of a model's endpoints that may be ejected at once.
     """
 
     long_prompt_tokens: int = 32_768
@@ -101,9 +101,9 @@
     Attributes
     ----------
     revision : Revision
-        Grows by one with each accepted change.
+        Incremented by one for each accepted change.
     digest : Digest
-        SHA-256 of the canonical manifest, which operators compare.
+        SHA-256 of the canonical manifest, for comparison by operators.
     """
 
     revision: Revision
--- a/src/mimosafork/kernel/context.py
+++ b/src/mimosafork/kernel/context.py
@@ -1,4 +1,4 @@
-"""What a plug-in may see and do while it handles one message."""
+"""State and operations available to a plug-in while it handles a message."""
 
 from collections import deque
 from datetime import timedelta
@@ -16,7 +16,7 @@
 
 
 class InstanceIdentity(msgspec.Struct, frozen=True):
-    """Who this entry instance is."""
+    """Identity of this entry instance."""
 
     instance: InstanceId
     incarnation: Incarnation
@@ -24,14 +24,15 @@
 
 
 class KernelState(msgspec.Struct):
-    """All state that plug-ins share; each keeps its own beside it.
+    """State shared by all plug-ins; each also keeps private state.
 
     Attributes
     ----------
     draining : bool
-        A graceful shutdown has begun: duties pass on, requests are still let in.
+        A graceful shutdown has begun: duties are handed over, requests are still
+        accepted.
     stopping : bool
-        There is no time left: no request is let in.
+        The shutdown grace period is over: requests are rejected.
     """
 
     identity: InstanceIdentity
@@ -44,16 +45,16 @@
 
 
 class Context(msgspec.Struct):
-    """Handed to plug-ins with each message.
+    """Passed to plug-ins with each message.
 
     Attributes
     ----------
     now : timedelta
-        Monotonic instant at which the message is handled.
+        Monotonic time at which the message is handled.
     random : random.Random
-        The kernel's only source of chance, seeded by its maker.
+        The kernel's only source of randomness, seeded by the caller.
     faults : list of Exception
-        What plug-ins and the kernel's own part raised while it was handled.
+        Exceptions raised by plug-ins and the kernel while the message was handled.
     """
 
     now: timedelta
@@ -64,13 +65,13 @@
     faults: list[Exception] = msgspec.field(default_factory=list)
 
     def emit(self, effect: Effect) -> None:
-        """Have an adapter do something."""
+        """Add an effect for an adapter to execute."""
         self.effects.append(effect)
 
     def post(self, message: Message) -> None:
-        """Have the kernel handle a message right after this one."""
+        """Queue a message for handling right after the current one."""
         self.posted.append(message)
 
     def wake_after(self, pause: timedelta, message: Message) -> None:
-        """Have the kernel handle a message after a pause."""
+        """Schedule a message for handling after a delay."""
         self.emit(WakeAt(self.now + pause, message))
--- a/src/mimosafork/kernel/core.py
+++ b/src/mimosafork/kernel/core.py
@@ -1,4 +1,4 @@
-"""The kernel: one object that owns the state and turns messages into effects."""
+"""Kernel: owns the state and turns messages into effects."""
 
 from collections.abc import Callable, Sequence
 from datetime import timedelta
@@ -49,15 +49,15 @@
 logger = getLogger(__name__)
 
 TICK = timedelta(milliseconds=50)
-"""How often adapters send `Tick`."""
+"""Interval at which adapters send `Tick`."""
 
 P = TypeVar("P", bound=Plugin)
 
 
 class Kernel:
-    """Owns all decisions of one entry instance.
+    """Makes all scheduling decisions of one entry instance.
 
-    Not safe for threads: one task owns it.
+    Not thread-safe: one task owns it.
 
     Parameters
     ----------
@@ -92,9 +92,9 @@
             discipline=_only_one_of(plugins, QueueDiscipline),
             finishers=_all_of(plugins, Finisher),
         )
-        # Bound once: each look at a method that dispatches by type makes a function
-        # anew, as costly as the dispatch. Here, in Gateway and in Gossip together these
-        # were 7,972 of 66,152 calls of functions a second in a flood among 64 instances
+        # Bound once: each attribute access of a singledispatchmethod creates a new
+        # function, which costs as much as the dispatch. With Gateway and Gossip this
+        # was 7,972 of 66,152 function calls a second under overload with 64 instances
         # (`python -m benchmarks.instance_cost`).
         self.step: Callable[[Message, Context], None] = self.advance
         self.listeners: dict[type[Message], list[Callable[..., None]]] = {}
@@ -102,15 +102,15 @@
             plugin.resolve_dependencies(self.find)
 
     def handle(self, message: Message) -> list[Effect]:
-        """Handle a message and all that it gives rise to; return the effects.
+        """Handle a message and the messages that it triggers; return the effects.
 
         Messages that plug-ins post are handled in order before this returns.
 
-        Guard: an exception that went further would take with it the effects of all
-        that had been decided before, such as final answers: callers would wait for
-        ever and endpoints go on working for nobody. Here it costs only the step that
-        raised it. The other plug-ins hear the message, what was decided is carried
-        out, and a request that nothing would move on any more is ended.
+        Exceptions are caught for each step. A propagated exception would discard the
+        effects decided before it, such as final answers: callers would wait forever
+        and endpoints would keep running abandoned requests. The other plug-ins still
+        receive the message, the effects are still returned, and a request that could
+        not make progress any more is concluded.
         """
         context = Context(self.clock.monotonic(), self.random, self.state)
         context.post(message)
@@ -118,7 +118,7 @@
             current = context.posted.popleft()
             self._advance(current, context)
             for listener in self._listeners_of(type(current)):
-                self._tell(listener, current, context)
+                self._deliver(listener, current, context)
         for fault in context.faults:
             kind = type(message).__name__
             log_event(logger, KERNEL_FAULT, exc_info=fault, message=kind)
@@ -131,7 +131,7 @@
             context.faults.append(error)
             self.lifecycle.end_faulted(_request_of(message), context)
 
-    def _tell(
+    def _deliver(
         self, listener: Callable[..., None], message: Message, context: Context
     ) -> None:
         try:
@@ -145,7 +145,7 @@
         return _only_one_of(self.plugins, kind)
 
     def find(self, kind: type[P]) -> P | None:
-        """Return the plug-in of a class; None if settings left it out."""
+        """Return the plug-in of a class; None if it is not enabled."""
         found = _all_of(self.plugins, kind)
         return found[0] if found else None
 
@@ -158,7 +158,7 @@
 
     @singledispatchmethod
     def advance(self, message: Message, context: Context) -> None:
-        """Do the kernel's own part of handling a message, before the plug-ins."""
+        """Update the kernel's own state for a message, before the plug-ins run."""
 
     @advance.register
     def _(self, message: Submit, context: Context) -> None:
@@ -248,15 +248,15 @@
     @advance.register
     def _(self, message: ConfigurationReceived, context: Context) -> None:
         known = self.state.configuration
-        # A stale read or a slow peer may bring an older revision after a newer
-        # one; taking it would revert an accepted change. Revisions only grow.
+        # A stale read or a slow peer may deliver an older revision after a newer
+        # one. Applying it would revert an accepted change.
         if known is None or message.configuration.revision > known.revision:
             self.state.configuration = message.configuration
             context.emit(ConfigurationChanged(message.configuration))
 
 
 def _request_of(message: Message) -> RequestId | None:
-    """Return the id of the request that a message is about, if it is about one."""
+    """Return the id of the request that a message refers to, if any."""
     if isinstance(message, Submit):
         return message.request.request_id
     return getattr(message, "request_id", None)
@@ -269,19 +269,21 @@
 def _only_one_of(plugins: Sequence[Plugin], kind: type[P]) -> P:
     found = _all_of(plugins, kind)
     if len(found) != 1:
-        raise KernelError(f"{len(found)} plug-ins are a {kind.__name__}, not one")
+        raise KernelError(
+            f"{len(found)} plug-ins are a {kind.__name__}, expected exactly one"
+        )
     return found[0]
 
 
 def _handles(plugin: Plugin, kind: type[Message]) -> bool:
     """Return whether a plug-in registered a handler for a message type.
 
-    A plug-in that inherits its handlers is heard too: the nearest `handle` in the
-    order of base classes counts, as it does in a call.
+    Inherited handlers count: the first `handle` in the method resolution order is
+    used, as in a call.
     """
     owner = next(cls for cls in type(plugin).__mro__ if "handle" in vars(cls))
     method = vars(owner)["handle"]
     if not isinstance(method, singledispatchmethod):
-        raise KernelError(f"handle of {owner.__name__} is no singledispatchmethod")
+        raise KernelError(f"handle of {owner.__name__} is not a singledispatchmethod")
     registered = set(method.dispatcher.registry) - {object}
     return any(issubclass(kind, known) for known in registered)
--- a/src/mimosafork/kernel/errors.py
+++ b/src/mimosafork/kernel/errors.py
@@ -4,12 +4,12 @@
 
 
 class KernelError(MimosaforkError):
-    """Base of the kernel's errors."""
+    """Base class of the kernel's errors."""
 
 
 class DuplicatePluginError(KernelError):
-    """Two plug-ins registered under the same name."""
+    """Two plug-ins are registered under the same name."""
 
 
 class UnknownPluginError(KernelError):
-    """Settings name a plug-in that nobody registered."""
+    """Settings name a plug-in that is not registered."""
--- a/src/mimosafork/kernel/fleet.py
+++ b/src/mimosafork/kernel/fleet.py
@@ -19,19 +19,19 @@
 from .messages.watch import EndpointKey, endpoint_key
 
 DISTANT_PAST = timedelta(days=-36_500)
-"""Before any instant; far enough from the limits for sums and differences."""
+"""Earlier than any instant, without overflow in sums and differences."""
 
-OWN_PROBE_HOLDS = timedelta(seconds=5)
-"""For so long after a failed probe of its own an instance does not believe peers
-that the endpoint answers: it may answer them and not be reachable from here."""
+OWN_PROBE_FAILURE_HOLD = timedelta(seconds=5)
+"""Time after a failed own probe during which reports from peers that the endpoint
+answers are ignored: it may be reachable from them and not from here."""
 
-SEQUENCE_RESTARTED = timedelta(seconds=5)
-"""A report that describes a so much later instant than the known one is newer
-whatever its number says."""
+SEQUENCE_RESTART_GAP = timedelta(seconds=5)
+"""A report that is later than the known one by at least this much is newer
+regardless of its sequence number."""
 
 
 class OwnDispatch(msgspec.Struct):
-    """A request of this instance that runs on an endpoint."""
+    """A request of this instance that is in flight on an endpoint."""
 
     request_id: RequestId
     prompt_tokens: int
@@ -41,32 +41,32 @@
 
 
 class Endpoint(msgspec.Struct):
-    """What is known of one endpoint.
+    """State of one endpoint.
 
     Attributes
     ----------
     report : LoadReport or None
-        Newest report; None before the first.
+        Newest load report; None before the first.
     reported_at : timedelta
-        Instant that the report describes: its arrival less its lag.
+        Time that the report describes: its arrival minus its lag.
     unreachable_since : timedelta or None
-        First word that it does not answer, since the last that it does.
+        Time of the first failure since the last successful probe.
     failed_at : timedelta
-        Newest such word, of this instance's probes or of a peer's.
+        Time of the newest failure seen by this instance or a peer.
     answered_at : timedelta
-        Newest instant described by an answer.
+        Newest time described by a probe answer.
     own_failed_at : timedelta
-        Newest failed probe of this instance itself.
+        Time of this instance's newest failed probe.
     ejected_until : timedelta or None
-        Set by ejection of slow endpoints.
+        End of the ejection as a slow endpoint.
     isolated_until : timedelta or None
-        Kept free for a request that runs alone.
+        End of the isolation for a request that must run alone.
     draining : bool
-        Its own word that it is leaving.
+        The endpoint reports that it is draining.
     draining_at : timedelta
-        Instant of that word.
+        Time of that report.
     own : dict of RequestId to OwnDispatch
-        This instance's running requests there.
+        This instance's in-flight requests there.
     """
 
     entry: EndpointEntry
@@ -89,14 +89,14 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the list or the endpoint itself says that it is leaving."""
+        """Whether the platform's list or the endpoint reports that it is leaving."""
         return self.draining or self.entry.state is LifecycleState.LEAVING
 
     def accepts_new_requests(self, now: timedelta) -> bool:
-        """Return whether new requests may be sent there.
+        """Return whether new requests may be sent to the endpoint.
 
-        The strictest word wins: a lagging list must not send work to an endpoint
-        that itself, or a peer, has said is leaving.
+        The most restrictive source wins: a stale list must not route requests to an
+        endpoint that itself, or through a peer, has reported that it is leaving.
         """
         if self.leaving:
             return False
@@ -107,7 +107,7 @@
         return self.ejected_until is None or self.ejected_until <= now
 
     def start_incarnation(self, entry: EndpointEntry) -> None:
-        """Forget what was known of the endpoint's former life."""
+        """Discard the state of the endpoint's previous incarnation."""
         self.entry = entry
         self.report = None
         self.draining = False
@@ -117,25 +117,25 @@
         self.own_failed_at = DISTANT_PAST
 
     def is_newer(self, report: LoadReport, described_at: timedelta) -> bool:
-        """Return whether a report of this life is newer than the known one.
+        """Return whether a report of this incarnation is newer than the known one.
 
-        A process that was started again without raising its incarnation counts its
-        reports from one. Ordered by number alone they would be passed over for as
-        long as its former life had lasted.
+        A process that restarts without incrementing its incarnation numbers its
+        reports from one. Ordered by sequence number alone, they would be ignored
+        for as long as the previous process ran.
         """
         if self.report is None or report.sequence > self.report.sequence:
             return True
-        return described_at - self.reported_at >= SEQUENCE_RESTARTED
+        return described_at - self.reported_at >= SEQUENCE_RESTART_GAP
 
     def apply_probe_answer(self, described_at: timedelta, own: bool) -> None:
-        """Note that the endpoint answered a probe, which may make it usable again.
+        """Record a probe answer, which may make the endpoint reachable again.
 
-        This instance's own probe says that it can be reached from here. A peer's
-        word counts if it is newer than the failures, and only once this instance's
-        own probes do not fail any more.
+        An answer to this instance's own probe proves that the endpoint is reachable
+        from here. A peer's answer counts only if it is newer than the failures and
+        this instance's own probes no longer fail.
         """
         self.answered_at = max(self.answered_at, described_at)
-        holds = described_at - OWN_PROBE_HOLDS < self.own_failed_at
+        holds = described_at - OWN_PROBE_FAILURE_HOLD < self.own_failed_at
         if own or (described_at > self.failed_at and not holds):
             self.unreachable_since = None
             self.failed_at = DISTANT_PAST
@@ -149,13 +149,12 @@
 
 
 class Fleet:
-    """All endpoints and entry instances that this instance knows.
+    """All known endpoints and entry instances.
 
-    `by_target` is an index kept up to date with reports, so that routing never
-    scans endpoints which do not serve the target. `by_key` finds an endpoint by its
-    short name in what peers tell. `instances` are those of the
-    platform's list, `members` those of the own availability zone as peers hear of
-    them.
+    `by_target` is an index updated with load reports, so that routing never scans
+    endpoints that do not serve the target. `by_key` maps the short endpoint keys of
+    peer messages to endpoints. `instances` come from the platform's list, `members`
+    are the instances of the own availability zone known from peer exchanges.
     """
 
     def __init__(self) -> None:
@@ -167,13 +166,13 @@
         self.by_target: dict[ModelId | ServiceId, dict[EndpointId, Endpoint]] = {}
 
     def apply_list(self, listed: InstancesListed, now: timedelta) -> None:
-        """Take over the platform's list, which may be old.
+        """Apply the platform's list, which may be stale.
 
-        Two lists are passed over. One older than the list in force comes from a
-        platform that answers from several copies: it would bring back endpoints
-        that have gone. One without any endpoint, after one with some, comes from a
-        platform that lost its entries: taken at its word it would stop all work,
-        while the endpoints go on answering their probes.
+        Two kinds of lists are ignored. A list older than the current one comes from a
+        stale replica of the platform and would restore removed endpoints. An empty
+        list after a non-empty one comes from a platform that lost its entries:
+        applying it would stop all traffic although the endpoints still answer
+        probes.
         """
         as_of = now - listed.age
         if as_of < self.listed_at or (self.endpoints and not listed.endpoints):
@@ -187,11 +186,11 @@
         self.instances = {entry.instance: entry for entry in listed.instances}
 
     def apply_entry(self, entry: EndpointEntry) -> None:
-        """Add an endpoint or renew what is known of it.
+        """Add or update an endpoint.
 
-        An entry of an older incarnation than the known one is passed over: the
-        list lags, and an endpoint that came back must not be taken for its former
-        self.
+        An entry with an older incarnation than the known one is ignored: the list is
+        stale, and a restarted endpoint must not be confused with its previous
+        incarnation.
         """
         known = self.endpoints.get(entry.endpoint)
         if known is None:
@@ -206,23 +205,23 @@
         self.index(known)
 
     def apply_report(self, report: LoadReport, now: timedelta, own: bool) -> bool:
-        """Take over a load report; return whether it was news.
+        """Apply a load report; return whether it was newer than the known one.
 
         Parameters
         ----------
         own : bool
-            This instance asked the endpoint itself, just now.
+            This instance has just probed the endpoint itself.
         """
         known = self.endpoints.get(report.endpoint)
         if known is None or report.incarnation < known.entry.incarnation:
             return False
         if report.incarnation > known.entry.incarnation:
-            # The list lags: the endpoint is already in its next life, and what the
-            # list says (leaving, perhaps) was about the one before.
-            life = replace(
+            # The list is stale: the endpoint has a newer incarnation, and the state
+            # in the list (such as leaving) belongs to the previous one.
+            next_entry = replace(
                 known.entry, incarnation=report.incarnation, state=LifecycleState.LIVE
             )
-            known.start_incarnation(life)
+            known.start_incarnation(next_entry)
         described_at = now - report.lag
         known.apply_probe_answer(described_at, own)
         if not known.is_newer(report, described_at):
@@ -236,12 +235,13 @@
         return True
 
     def apply_failure(self, endpoint: EndpointId, at: timedelta, own: bool) -> None:
-        """Note that an endpoint did not answer at an instant.
+        """Record that an endpoint did not answer at a given time.
 
         Parameters
         ----------
         own : bool
-            This instance's own probe failed; otherwise a peer says so.
+            This instance's own probe failed; otherwise a peer or a failed
+            connection reports it.
         """
         known = self.endpoints.get(endpoint)
         if known is None:
@@ -255,10 +255,10 @@
             known.unreachable_since = at
 
     def mark_draining(self, endpoint: EndpointId, now: timedelta) -> None:
-        """Note that an endpoint has just refused work because it is leaving.
+        """Record that an endpoint has just refused work because it is draining.
 
-        Its load reports lag; one that describes an earlier instant must not make
-        it usable again.
+        Load reports lag; one that describes an earlier time must not make it usable
+        again.
         """
         known = self.endpoints.get(endpoint)
         if known is not None:
@@ -266,7 +266,7 @@
             known.draining_at = now
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Forget an endpoint."""
+        """Remove an endpoint."""
         known = self.endpoints.pop(endpoint, None)
         if known is None:
             return
@@ -275,7 +275,7 @@
             group.pop(endpoint, None)
 
     def index(self, endpoint: Endpoint) -> None:
-        """Bring `by_target` up to date for one endpoint."""
+        """Update `by_target` for one endpoint."""
         targets: set[ModelId | ServiceId] = set()
         if endpoint.entry.service is not None:
             targets.add(endpoint.entry.service)
@@ -289,17 +289,17 @@
             group[endpoint.endpoint_id] = endpoint
 
     def add_own_request(self, endpoint: EndpointId, dispatch: OwnDispatch) -> None:
-        """Note a request that this instance sends to an endpoint."""
+        """Add an in-flight request of this instance."""
         known = self.endpoints.get(endpoint)
         if known is not None:
             known.own_requests[dispatch.request_id] = dispatch
 
     def remove_own_request(self, endpoint: EndpointId, request_id: RequestId) -> None:
-        """Forget a request that no longer runs there."""
+        """Remove a request that is no longer in flight on an endpoint."""
         known = self.endpoints.get(endpoint)
         if known is not None:
             known.own_requests.pop(request_id, None)
 
     def serving(self, target: ModelId | ServiceId) -> Iterable[Endpoint]:
-        """Return the endpoints that serve a target, whatever their state."""
+        """Return all endpoints that serve a target, regardless of their state."""
         return self.by_target.get(target, {}).values()
--- a/src/mimosafork/kernel/hedging.py
+++ b/src/mimosafork/kernel/hedging.py
@@ -1,46 +1,46 @@
-"""Silent attempts that stay open until another one has answered.
+"""Hedged requests: a silent attempt stays open until another one has answered.
 
-Guard: an attempt that was ended for its silence, and whose place elsewhere was then
-refused, left its caller with an answer cut in the middle, though its endpoint was sound
-and went on a moment later. So it is left only for one that answers.
+If a silent attempt were cancelled before its replacement answers, and the replacement
+were then refused, the caller would get a truncated answer although the first endpoint
+was healthy and resumed a moment later.
 """
 
 from ..ids import AttemptNumber
-from .attempts import own_dispatch_of
+from .attempts import build_own_dispatch
 from .context import Context
 from .messages.attempts import AttemptFailed, AttemptRestored, FailureKind
 from .messages.dispatch import CancelAttempt, RestoreAttempt
 from .messages.problems import Problem, ProblemCode
 from .records import Attempt, RequestRecord, RequestState
 
-FINAL = frozenset(
+FINAL_PROBLEMS = frozenset(
     {
         ProblemCode.CALLER_GONE,
         ProblemCode.DEADLINE_PASSED,
         ProblemCode.SHUTTING_DOWN,
     }
 )
-"""Problems that end a request whatever is still open of it."""
+"""Problems that end a request even if a hedged attempt is still open."""
 
-RESTORABLE = frozenset(
+RESTORABLE_STATES = frozenset(
     {RequestState.RUNNING, RequestState.PAUSED, RequestState.WAITING}
 )
 
 
 def is_hedged(record: RequestRecord, number: AttemptNumber) -> bool:
-    """Return whether an attempt is the one that is hedged."""
+    """Return whether an attempt is the hedged one of its request."""
     return record.hedged is not None and record.hedged.number == number
 
 
-def goes_on(record: RequestRecord, problem: Problem | None) -> bool:
-    """Return whether a hedged attempt goes on in place of the request's end."""
+def hedged_attempt_continues(record: RequestRecord, problem: Problem | None) -> bool:
+    """Return whether a hedged attempt continues instead of ending the request."""
     if problem is None or record.hedged is None:
         return False
-    return problem.code not in FINAL
+    return problem.code not in FINAL_PROBLEMS
 
 
 def restore(record: RequestRecord, context: Context) -> None:
-    """Let the hedged attempt go on, and end what was tried beside it."""
+    """Make the hedged attempt the current one and cancel its replacement."""
     hedged, record.hedged = record.hedged, None
     if hedged is None:
         return
@@ -53,21 +53,21 @@
     record.attempts.remove(hedged)
     record.attempts.append(hedged)
     record.state = RequestState.RUNNING
-    own = own_dispatch_of(record, context.now)
+    own = build_own_dispatch(record, context.now)
     context.state.fleet.add_own_request(hedged.endpoint, own)
     context.emit(RestoreAttempt(record.request_id, hedged.number))
     context.post(AttemptRestored(record.request_id, hedged.number))
 
 
 def cancel_hedged(record: RequestRecord, context: Context) -> None:
-    """End the hedged attempt, as another one answers or the request ends."""
+    """Cancel the hedged attempt because another one answered or the request ended."""
     hedged, record.hedged = record.hedged, None
     if hedged is not None:
-        context.emit(cancellation_of(record, hedged))
+        context.emit(build_cancellation(record, hedged))
 
 
-def cancellation_of(record: RequestRecord, attempt: Attempt) -> CancelAttempt:
-    """Return the effect that ends an attempt."""
+def build_cancellation(record: RequestRecord, attempt: Attempt) -> CancelAttempt:
+    """Return the effect that cancels an attempt."""
     return CancelAttempt(
         record.request_id,
         attempt.number,
@@ -79,7 +79,7 @@
 
 def _supersede(record: RequestRecord, attempt: Attempt, context: Context) -> None:
     context.state.fleet.remove_own_request(attempt.endpoint, record.request_id)
-    context.emit(cancellation_of(record, attempt))
+    context.emit(build_cancellation(record, attempt))
     if attempt.failure is not None:
         return
     attempt.failure = AttemptFailed(
--- a/src/mimosafork/kernel/lifecycle.py
+++ b/src/mimosafork/kernel/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of a request: review, queue, attempts, conclusion.
+"""Request lifecycle: review, queue, attempts, conclusion.
 
-The only module that changes a record's state. What to decide at each step is the
-plug-ins' business.
+The only module that changes a record's state. The decisions at each step are made by
+plug-ins.
 """
 
 from collections import Counter
@@ -10,7 +10,7 @@
 
 from ..ids import AttemptNumber, ModelId, RequestId, ServiceId
 from . import hedging
-from .attempts import dispatch_of, new_attempt, own_dispatch_of
+from .attempts import build_dispatch, build_own_dispatch, new_attempt
 from .context import Context
 from .messages.attempts import (
     AttemptFailed,
@@ -50,31 +50,33 @@
 )
 from .records import Attempt, RequestRecord, RequestState
 
-COME_BACK = timedelta(seconds=1)
+SHUTDOWN_RETRY_AFTER = timedelta(seconds=1)
 DEADLINE_PASSED = Problem(ProblemCode.DEADLINE_PASSED, "the deadline has passed")
-FAULT = Problem(ProblemCode.INTERNAL, "a fault in this program")
-STOPPED = Problem(ProblemCode.SHUTTING_DOWN, "this instance had to stop", COME_BACK)
+INTERNAL_FAULT = Problem(ProblemCode.INTERNAL, "a fault in this program")
+STOPPED = Problem(
+    ProblemCode.SHUTTING_DOWN, "this instance had to stop", SHUTDOWN_RETRY_AFTER
+)
 
 HELD_BY_PLUGINS = frozenset(
     {RequestState.HELD, RequestState.PLACING, RequestState.FINISHING}
 )
-"""Where a request is moved on by a plug-in's word alone."""
+"""States that a request leaves only by a message from a plug-in."""
 
 QUEUE_SCAN = 64
-"""Waiting requests of one target that are tried at a time: the best ranked ones.
-More would make a decision's cost grow with the backlog."""
+"""Highest-ranked waiting requests of one target that are tried in one pass. Without
+a limit the cost of a decision would grow with the backlog."""
 
 QUEUE_MISSES = 3
-"""Placements in a row that may fail before the rest of a lane is left waiting."""
+"""Consecutive failed placements after which the rest of a lane is skipped."""
 
 
 class Lifecycle:
-    """Drives requests through the plug-ins.
+    """Runs requests through the plug-ins.
 
     Parameters
     ----------
     stages, placers : sequences
-        In any order; their `order` decides.
+        In any order; they are sorted by their `order`.
     retry : RetryPolicy
     discipline : QueueDiscipline
     finishers : sequence of Finisher, optional
@@ -95,7 +97,7 @@
         self.finishers = list(finishers)
 
     def submit(self, request: Request, context: Context) -> None:
-        """Begin a request's life."""
+        """Create the record of a request and review it."""
         record = RequestRecord(request, submitted_at=context.now)
         context.state.requests[request.request_id] = record
         self._review(record, context)
@@ -103,42 +105,42 @@
     def _review(self, record: RequestRecord, context: Context) -> None:
         while record.stage_index < len(self.stages):
             stage = self.stages[record.stage_index]
-            verdict = stage.review(record, context)
-            if not self._passed(record, verdict, context):
+            decision = stage.review(record, context)
+            if not self._apply_decision(record, decision, context):
                 return
         self._enqueue(record, context)
 
-    def _passed(
-        self, record: RequestRecord, verdict: ReviewDecision, context: Context
+    def _apply_decision(
+        self, record: RequestRecord, decision: ReviewDecision, context: Context
     ) -> bool:
-        """Apply a stage's verdict; return whether the review goes on."""
-        if isinstance(verdict, Refuse):
-            outcome = verdict.outcome
+        """Apply a stage's decision; return whether the review continues."""
+        if isinstance(decision, Refuse):
+            outcome = decision.outcome
             if outcome is Outcome.NOT_RUN:
                 outcome = record.outcome_if_ended()
-            self.conclude(record, outcome, verdict.problem, context)
+            self.conclude(record, outcome, decision.problem, context)
             return False
-        if isinstance(verdict, Hold):
+        if isinstance(decision, Hold):
             record.state = RequestState.HELD
             return False
-        if isinstance(verdict, Answered):
+        if isinstance(decision, Answered):
             self.conclude(record, Outcome.COMPLETED, None, context)
             return False
-        if isinstance(verdict, Bypass):
+        if isinstance(decision, Bypass):
             record.stage_index = len(self.stages)
             return True
         record.stage_index += 1
         return True
 
     def stage_cleared(self, cleared: StageCleared, context: Context) -> None:
-        """Go on with a request that a stage held."""
+        """Continue the review of a request that a stage held."""
         record = context.state.requests.get(RequestId(cleared.request_id))
         if record is None or record.state is not RequestState.HELD:
             return
         if self.stages[record.stage_index].name != cleared.stage:
             return
         record.state = RequestState.REVIEWING
-        if self._passed(record, cleared.decision, context):
+        if self._apply_decision(record, cleared.decision, context):
             self._review(record, context)
 
     def _enqueue(self, record: RequestRecord, context: Context) -> None:
@@ -151,10 +153,10 @@
             self.place_waiting(record.request.target, context)
 
     def place_waiting(self, target: ModelId | ServiceId, context: Context) -> None:
-        """Place as many waiting requests of a target as endpoints take.
+        """Place as many waiting requests of a target as possible.
 
-        Guard: a request for which a plug-in raises is ended by itself. Left in the
-        queue it would raise at each tick, and all others would wait behind it.
+        A request for which a plug-in raises is ended. If it stayed queued, it would
+        raise at each tick and block all requests behind it.
         """
         misses: Counter[str] = Counter()
         for record in self._ranked(target, context)[:QUEUE_SCAN]:
@@ -213,13 +215,13 @@
         return False
 
     def placed(self, placed: Placed, context: Context) -> None:
-        """Dispatch a request that a placer had in hand."""
+        """Dispatch a request whose placement was pending."""
         record = context.state.requests.get(RequestId(placed.request_id))
         if record is not None and record.state is RequestState.PLACING:
             self._dispatch(record, placed.place, context)
 
     def placement_failed(self, failed: PlacementFailed, context: Context) -> None:
-        """Take a request back from a placer."""
+        """Queue or refuse a request whose pending placement failed."""
         record = context.state.requests.get(RequestId(failed.request_id))
         if record is None or record.state is not RequestState.PLACING:
             return
@@ -233,19 +235,19 @@
     def _dispatch(
         self, record: RequestRecord, place: PlaceOn, context: Context
     ) -> None:
-        # The process may have been frozen since the request was reviewed, for
-        # longer than its deadline: the tick that would have ended it waits in the
-        # mailbox behind the message that leads here. Sending now would run a
-        # request whose caller has been told, or will be told, that it was not.
+        # The process may have been suspended past the deadline since the review, and
+        # the tick that would have expired the request is still queued behind the
+        # current message. Dispatching now would run a request that is reported to its
+        # caller as not run.
         if record.request.deadline <= context.now:
             self._end(record, DEADLINE_PASSED, context)
             return
         attempt = new_attempt(record, place, context.now)
         record.attempts.append(attempt)
         record.state = RequestState.RUNNING
-        own = own_dispatch_of(record, context.now)
+        own = build_own_dispatch(record, context.now)
         context.state.fleet.add_own_request(attempt.endpoint, own)
-        context.emit(dispatch_of(record, attempt, place))
+        context.emit(build_dispatch(record, attempt, place))
 
     def _forget_own_dispatch(self, record: RequestRecord, context: Context) -> None:
         if record.current is not None:
@@ -255,13 +257,13 @@
     def note_sending(
         self, message: ConnectionOpening | AttemptSent, context: Context
     ) -> None:
-        """Note whether anything of an attempt may have been sent."""
+        """Record whether anything of an attempt may have been sent."""
         record = self._running(message.request_id, message.attempt, context)
         if record is not None and record.current is not None:
             record.current.unsent = isinstance(message, ConnectionOpening)
 
     def first_token(self, message: FirstToken, context: Context) -> None:
-        """Note that an attempt's prefill is over."""
+        """Record the end of an attempt's prefill."""
         record = self._running(message.request_id, message.attempt, context)
         if record is None or record.current is None:
             return
@@ -272,13 +274,13 @@
             endpoint.own_requests[record.request_id].prefilled = True
 
     def attempt_finished(self, message: AttemptFinished, context: Context) -> None:
-        """Conclude a request whose answer is whole, unless a finisher holds it."""
+        """Conclude a request whose answer is complete, unless a finisher holds it."""
         self._finish_hedged(message, context)
         record = self._running(message.request_id, message.attempt, context)
         if record is None:
             return
-        # Before the finishers are asked: where one raises, the caller has a whole
-        # answer all the same, and must not be told that it failed.
+        # Set before the finishers run: if one raises, the caller still has a complete
+        # answer, which must not be reported as failed.
         record.state = RequestState.FINISHING
         for finisher in self.finishers:
             if isinstance(finisher.finish(record, context), Hold):
@@ -286,7 +288,7 @@
         self.conclude(record, Outcome.COMPLETED, None, context)
 
     def completion_cleared(self, cleared: CompletionCleared, context: Context) -> None:
-        """Conclude a request whose end a finisher held."""
+        """Conclude a request whose completion a finisher held."""
         record = context.state.requests.get(RequestId(cleared.request_id))
         if record is not None and record.state is RequestState.FINISHING:
             self._complete(record, cleared.retention, context)
@@ -307,18 +309,18 @@
             self._fail(record, message, context)
 
     def attempt_hedged(self, message: AttemptHedged, context: Context) -> None:
-        """Try another attempt beside one that is silent."""
+        """Start another attempt while a silent one stays open."""
         record = self._running(message.request_id, message.attempt, context)
         if record is not None:
             record.hedged = record.current
             self._fail(record, message, context)
 
     def hedged_resumed(self, message: HedgedAttemptResumed, context: Context) -> None:
-        """Go on with an attempt that was only silent."""
+        """Continue a hedged attempt that has sent an event again."""
         self._restore(message.request_id, message.attempt, context)
 
     def _finish_hedged(self, message: AttemptFinished, context: Context) -> None:
-        """Go on with a hedged attempt whose answer is whole, whatever is under way."""
+        """Restore a hedged attempt whose answer is complete, in any request state."""
         record = context.state.requests.get(message.request_id)
         if record is not None and hedging.is_hedged(record, message.attempt):
             hedging.restore(record, context)
@@ -329,7 +331,7 @@
         record = context.state.requests.get(request_id)
         if record is None or not hedging.is_hedged(record, attempt):
             return
-        if record.state in hedging.RESTORABLE:
+        if record.state in hedging.RESTORABLE_STATES:
             hedging.restore(record, context)
 
     def _fail(
@@ -341,7 +343,7 @@
         record.current.failure = message
         record.avoid.add(record.current.endpoint)
         record.delivered_tokens = message.delivered_tokens
-        self._note_unreached(record.current, message, context)
+        self._mark_unreachable(record.current, message, context)
         decision = self.retry.decide(record, message, context)
         if isinstance(decision, GiveUp):
             outcome = record.outcome_if_ended()
@@ -352,61 +354,61 @@
             record.state = RequestState.PAUSED
             context.wake_after(decision.pause, RetryDue(record.request_id))
 
-    def _note_unreached(
+    def _mark_unreachable(
         self, attempt: Attempt, failure: AttemptFailed, context: Context
     ) -> None:
-        """Send nothing more to an endpoint that could not be connected to.
+        """Mark an endpoint as unreachable after a failed connection.
 
-        When an engine has just died, attempt after attempt would go there until
-        the next probe tells of it, and use up all that its callers have. The next
-        answered probe, here or of a peer, brings the endpoint back.
+        Otherwise, after an engine crash, attempts would be sent there until the next
+        probe fails, and would use up the callers' retries. The next answered probe,
+        here or at a peer, makes the endpoint reachable again.
         """
         if failure.kind is FailureKind.UNREACHED:
             fleet = context.state.fleet
             fleet.apply_failure(attempt.endpoint, context.now, own=False)
 
     def dispatch_faulted(self, failure: AttemptFailed, context: Context) -> None:
-        """End a request whose attempt this program itself could not make."""
+        """End a request whose attempt failed because of an internal fault."""
         record = self._running(failure.request_id, failure.attempt, context)
         if record is None or record.current is None:
             return
         record.current.failure = failure
-        self._end(record, FAULT, context)
+        self._end(record, INTERNAL_FAULT, context)
 
     def end_faulted(self, request_id: RequestId | None, context: Context) -> None:
-        """End a request, if it is open, after a fault in what decides about it."""
+        """End a request, if it is open, after a fault in a decision about it."""
         record = _open_request(request_id, context)
         if record is not None:
-            self._end(record, FAULT, context)
+            self._end(record, INTERNAL_FAULT, context)
 
     def end_held(self, request_id: RequestId | None, context: Context) -> None:
-        """End a request after a fault in a plug-in that may have had it in hand.
+        """End a request after a fault in a plug-in that may have been holding it.
 
-        One that runs, waits or pauses goes on without the plug-in's word.
+        A running, waiting or paused request continues without the plug-in.
         """
         record = _open_request(request_id, context)
         if record is not None and record.state in HELD_BY_PLUGINS:
-            self._end(record, FAULT, context)
+            self._end(record, INTERNAL_FAULT, context)
 
     def retry_due(self, message: RetryDue, context: Context) -> None:
-        """Queue a further attempt."""
+        """Queue a request for its next attempt."""
         record = context.state.requests.get(message.request_id)
         if record is not None and record.state is RequestState.PAUSED:
             self._enqueue(record, context)
 
     def caller_gone(self, request_id: RequestId, context: Context) -> None:
-        """End a request whose caller has hung up."""
+        """End a request whose caller has disconnected."""
         record = context.state.requests.get(request_id)
         if record is None:
             return
-        if record.state is RequestState.FINISHING or _runs_for_its_key(record):
+        if record.state is RequestState.FINISHING or _continues_without_caller(record):
             record.caller_gone = True
             return
         problem = Problem(ProblemCode.CALLER_GONE, "the caller closed its connection")
         self.conclude(record, record.outcome_if_ended(), problem, context)
 
     def expire(self, context: Context) -> None:
-        """Give up every request whose deadline has passed."""
+        """End every request whose deadline has passed."""
         late = [
             record
             for record in context.state.requests.values()
@@ -416,12 +418,12 @@
             self._end(record, DEADLINE_PASSED, context)
 
     def end_all(self, context: Context) -> None:
-        """End every request now: this instance has no time left."""
+        """End every request because the shutdown grace period is over."""
         for record in list(context.state.requests.values()):
             self._end(record, STOPPED, context)
 
     def _end(self, record: RequestRecord, problem: Problem, context: Context) -> None:
-        """End a request with what is known of it; a whole answer stays whole."""
+        """End a request with its known outcome; a complete answer stays completed."""
         if record.state is RequestState.FINISHING:
             self._complete(record, Retention.NOT_KEPT, context)
             return
@@ -435,22 +437,22 @@
         context: Context,
         retention: Retention = Retention.NOT_ASKED,
     ) -> None:
-        """End a request's life; its caller gets the final answer at once.
+        """End a request and send its caller the final answer.
 
-        Unless a silent attempt of it is still open, which then goes on.
+        If a hedged attempt of it is still open, that attempt continues instead.
         """
-        if hedging.goes_on(record, problem):
+        if hedging.hedged_attempt_continues(record, problem):
             hedging.restore(record, context)
             return
         hedging.cancel_hedged(record, context)
         context.state.waiting.remove(record)
         self._forget_own_dispatch(record, context)
         current = record.current
-        # A shared run belongs to another call under the same key: cancelling it
-        # because this caller left would cut that one's answer.
+        # An attached run belongs to another call with the same key: cancelling it
+        # because this caller disconnected would truncate the other call's answer.
         own = record.state is RequestState.RUNNING and record.attached_run is None
         if own and current is not None and outcome is not Outcome.COMPLETED:
-            context.emit(hedging.cancellation_of(record, current))
+            context.emit(hedging.build_cancellation(record, current))
         context.state.requests.pop(record.request_id, None)
         conclusion = Conclude(
             record.request_id, outcome, len(record.attempts), problem, retention
@@ -463,8 +465,8 @@
     ) -> RequestRecord | None:
         """Return the record if this attempt is its current, running one.
 
-        Guards against late messages of an earlier attempt: they would be taken
-        for the present one's and end a request that still runs.
+        Late messages of an earlier attempt must not be attributed to the current
+        one: they would end a request that is still running.
         """
         record = context.state.requests.get(request_id)
         if record is None or record.state is not RequestState.RUNNING:
@@ -482,10 +484,10 @@
     return context.state.requests.get(request_id)
 
 
-def _runs_for_its_key(record: RequestRecord) -> bool:
-    """Return whether a run goes on when its caller hangs up.
+def _continues_without_caller(record: RequestRecord) -> bool:
+    """Return whether a run continues after its caller disconnects.
 
-    The caller of a claimed request may come back with its key, and a run that may
-    not be repeated would be lost for good if it were cancelled.
+    The caller of a claimed request may reconnect with its key, and the answer of a
+    non-idempotent run would be lost for good if the run were cancelled.
     """
     return record.state is RequestState.RUNNING and record.claim is not None
--- a/src/mimosafork/kernel/messages/__init__.py
+++ b/src/mimosafork/kernel/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages into the kernel and typed effects out of it, by concern."""
+"""Typed input messages and output effects of the kernel, by topic."""
--- a/src/mimosafork/kernel/messages/attempts.py
+++ b/src/mimosafork/kernel/messages/attempts.py
@@ -1,4 +1,4 @@
-"""How an attempt at a request goes on and ends."""
+"""Messages about the progress and end of attempts."""
 
 from datetime import timedelta
 from enum import Enum
@@ -10,14 +10,14 @@
 
 
 class Exposure(Enum):
-    """How far an attempt can have reached its endpoint."""
+    """Whether an attempt may have run on its endpoint."""
 
     NEVER_SENT = "never-sent"
-    """No byte left this process."""
+    """No byte was sent."""
     REFUSED = "refused"
-    """The endpoint itself said that it did not run it."""
+    """The endpoint reported that it did not run it."""
     POSSIBLE = "possible"
-    """It may have run, wholly or in part."""
+    """It may have run, completely or in part."""
 
 
 class FailureKind(Enum):
@@ -26,20 +26,20 @@
     UNREACHED = "unreached"
     REFUSED = "refused"
     BROKEN = "broken"
-    """The connection ended before the answer did."""
+    """The connection closed before the answer was complete."""
     STALLED = "stalled"
-    """No byte for longer than the stall timeout."""
+    """No byte was received within the stall timeout."""
     INVALID = "invalid"
-    """The endpoint's answer does not follow its protocol."""
+    """The endpoint's answer violates its protocol."""
     ENGINE_FAILED = "engine-failed"
-    """The engine ended the stream as failed."""
+    """The engine reported the stream as failed."""
     DEADLINE = "deadline"
     SUPERSEDED = "superseded"
-    """An earlier attempt that was silent has gone on before it."""
+    """A hedged attempt resumed before this one answered."""
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What an engine says a stream has cost, in tokens."""
+    """Token usage of a stream as reported by the engine."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -56,8 +56,8 @@
 class ConnectionOpening(Message, frozen=True):
     """An attempt waits for a connection: nothing of it has been sent yet.
 
-    An adapter that says so says `AttemptSent` before the first byte goes out. Of an
-    attempt of which nothing is said, anything may have been sent.
+    The adapter that reports this reports `AttemptSent` before it sends the first byte.
+    Without either message, any part of the attempt may have been sent.
     """
 
     request_id: RequestId
@@ -80,21 +80,21 @@
 
 
 class AttemptFailed(Message, frozen=True):
-    """An attempt ended without its whole answer.
+    """An attempt ended without a complete answer.
 
     Attributes
     ----------
     delivered_tokens : int
-        Tokens of the answer, over all attempts, that the caller has been sent.
+        Tokens of the answer sent to the caller, over all attempts.
     refusal : str or None
-        The endpoint's own reason, when it refused.
+        Reason given by the endpoint, if it refused.
     status : int or None
-        Of the endpoint's whole answer, when that tells of a failure.
+        Status of the endpoint's answer, if it indicates a failure.
     fault_at : str or None
-        Address of the endpoint at fault, if the one that answered names another.
+        Address of the failed endpoint, if the answering one names another.
     endpoint : EndpointId or None
-        Where the attempt was made, and `digest` of the request: the record may be
-        gone when plug-ins hear of the failure.
+        Endpoint of the attempt. Like `digest` of the request it is included because
+        the record may be gone when plug-ins receive the failure.
     """
 
     request_id: RequestId
@@ -110,9 +110,9 @@
 
 
 class AttemptHedged(AttemptFailed, frozen=True):
-    """An attempt is silent, and another may be tried beside it.
+    """An attempt is silent, and another may be started in parallel.
 
-    It stays open until the other one answers, and goes on if that fails.
+    It stays open until the other one answers, and continues if that one fails.
     """
 
 
@@ -124,34 +124,34 @@
 
 
 class AttemptRestored(Message, frozen=True):
-    """A hedged attempt goes on as the current one of its request."""
+    """A hedged attempt is the current one of its request again."""
 
     request_id: RequestId
     attempt: AttemptNumber
 
 
 class DispatchFaulted(Message, frozen=True):
-    """An attempt could not be made for a fault in the code that makes it.
+    """An attempt could not be started because of an internal fault.
 
     Attributes
     ----------
     failure : AttemptFailed
-        Its exposure says whether anything may have been sent.
+        Its exposure shows whether anything may have been sent.
     """
 
     failure: AttemptFailed
 
 
 class RetryDue(Message, frozen=True):
-    """The pause before a further attempt is over."""
+    """The delay before a retry is over."""
 
     request_id: RequestId
 
 
 class AttemptSilent(Message, frozen=True):
-    """An attempt has been silent for longer than its patience.
+    """An attempt has been silent for longer than its silence timeout.
 
-    It goes on meanwhile: silence alone proves nothing.
+    It continues: silence alone does not prove a failure.
     """
 
     request_id: RequestId
@@ -160,9 +160,10 @@
 
 
 class EndSilentAttempt(Effect, frozen=True):
-    """Report an attempt as failed, or as hedged, so that another may follow.
+    """Report a silent attempt as failed or hedged, so that another may be started.
 
-    One whose answer the caller has begun to get is left open beside the next one.
+    If part of the answer has been sent to the caller, the attempt stays open as the
+    hedged one.
     """
 
     failure: AttemptFailed
--- a/src/mimosafork/kernel/messages/base.py
+++ b/src/mimosafork/kernel/messages/base.py
@@ -1,18 +1,18 @@
-"""Base classes of what goes into the kernel and what comes out."""
+"""Base classes of the kernel's messages and effects."""
 
 import msgspec
 
 
 class Message(msgspec.Struct, frozen=True):
-    """Something that happened, told to the kernel."""
+    """An event that the kernel handles."""
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """Something that the kernel wants done by an adapter."""
+    """An operation that an adapter executes for the kernel."""
 
 
 class Tick(Message, frozen=True):
-    """Time has passed; timers are looked at.
+    """Timer tick, at which deadlines and queues are checked.
 
     Adapters send it every `mimosafork.kernel.core.TICK`.
     """
--- a/src/mimosafork/kernel/messages/cache.py
+++ b/src/mimosafork/kernel/messages/cache.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of engines' prefix caches."""
+"""Values and messages about engines' prefix caches, exchanged between instances."""
 
 import msgspec
 
@@ -9,14 +9,15 @@
 
 
 class CacheChanges(PeerValue, msgspec.Struct, frozen=True):
-    """Prefixes that entered or left an engine's cache since the last batch.
+    """Prefixes stored in or evicted from an engine's cache since the last batch.
 
     Attributes
     ----------
     batch : int
-        Counts the writer's batches of this engine; a gap shows that one was missed.
+        Sequence number of the writer's batches for this engine; a gap means that a
+        batch was missed.
     stored, evicted : bytes
-        Short marks, four bytes each.
+        Short prefix marks, four bytes each.
     """
 
     incarnation: Incarnation
@@ -26,7 +27,7 @@
 
 
 class CacheSummary(PeerValue, msgspec.Struct, frozen=True):
-    """All prefixes of an engine that its watcher has told, as of a batch."""
+    """All prefixes published by an engine's watcher up to a batch."""
 
     incarnation: Incarnation
     batch: int
@@ -34,13 +35,13 @@
 
 
 class CacheSummaryRequest(PeerValue, msgspec.Struct, frozen=True):
-    """The writer has missed something of an engine's cache; a summary, please."""
+    """Request for a summary: the writer has missed changes of an engine's cache."""
 
     batch: int
 
 
 class CacheChangesReceived(Message, frozen=True):
-    """A peer has told news of an engine's cache."""
+    """Changes of an engine's cache were received from a peer."""
 
     key: EndpointKey
     changes: CacheChanges
@@ -48,7 +49,7 @@
 
 
 class CacheSummaryReceived(Message, frozen=True):
-    """A peer has told what an engine's cache holds."""
+    """A summary of an engine's cache was received from a peer."""
 
     key: EndpointKey
     summary: CacheSummary
@@ -56,7 +57,7 @@
 
 
 class CacheSummaryRequestReceived(Message, frozen=True):
-    """A peer wants a summary of an engine's cache."""
+    """A peer requested a summary of an engine's cache."""
 
     key: EndpointKey
     origin: Origin
--- a/src/mimosafork/kernel/messages/claims.py
+++ b/src/mimosafork/kernel/messages/claims.py
@@ -1,8 +1,8 @@
 """Messages and effects about claims on idempotency keys and kept answers.
 
-A claim is a row of the table service that names the one instance which may run
-what a key stands for. The kernel says what a row is to become; the adapter
-(`mimosafork.claims`) batches the writes and settles those of unknown result.
+A claim is a row of the table service that names the only instance allowed to run the
+request of a key. The kernel decides the content of the row; the adapter
+(`mimosafork.claims`) batches the writes and resolves those of unknown result.
 """
 
 from datetime import timedelta
@@ -25,18 +25,18 @@
 
 
 class ClaimState(Enum):
-    """What a claim row says."""
+    """State of a claim row."""
 
     CLAIMED = "claimed"
-    """The owner may have dispatched it."""
+    """The owner may have dispatched the request."""
     DONE = "done"
-    """It has ended; `outcome` says how."""
+    """The request has ended with `outcome`."""
     RELEASED = "released"
-    """It surely never ran; the key is free."""
+    """The request definitely never ran; the key is free."""
 
 
 class StreamLocation(msgspec.Struct, frozen=True):
-    """Where a stream runs."""
+    """Location of a stream."""
 
     stream_id: StreamId
     endpoint: EndpointId
@@ -45,20 +45,20 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A claim as its row has it.
+    """Content of a claim row.
 
     Attributes
     ----------
     body_digest : Digest
-        What the key was first used with.
+        Body digest of the key's first use.
     generation : int
-        How often the key has been claimed anew; part of its streams' ids.
+        Number of times that the key was reclaimed; part of its stream ids.
     time_left : timedelta
         Until the request's deadline; negative when that has passed.
-    place : StreamPlace or None
-        Last one noted; notes are not waited for.
+    place : StreamLocation or None
+        Last recorded location; may lag, as these writes are asynchronous.
     answer_kept : bool
-        The whole answer can be read from the store.
+        The complete answer is available from the store.
     """
 
     claim_id: ClaimId
@@ -74,12 +74,12 @@
 
 
 class WriteClaim(Effect, frozen=True):
-    """Claim a key unless another call has it.
+    """Claim a key unless another call holds it.
 
     Attributes
     ----------
     required : bool
-        The request waits for it; else it is only worth an attempt.
+        The request must not run without the claim; otherwise it is best effort.
     replaces : ClaimId or None
         A claim that may be taken over; None for a key that is free.
     """
@@ -92,7 +92,7 @@
 
 
 class RecordStreamLocation(Effect, frozen=True):
-    """Note in the claim's row where its stream runs."""
+    """Record the location of a stream in its claim row."""
 
     key: ClaimKey
     claim_id: ClaimId
@@ -100,14 +100,14 @@
 
 
 class ReleaseClaim(Effect, frozen=True):
-    """Free the key: what it stands for surely did not run under this claim."""
+    """Release the key: the request definitely did not run under this claim."""
 
     key: ClaimKey
     claim_id: ClaimId
 
 
 class EndClaim(Effect, frozen=True):
-    """Write down that the run has ended without an answer to keep."""
+    """Record that the run has ended without an answer to keep."""
 
     key: ClaimKey
     claim_id: ClaimId
@@ -115,7 +115,7 @@
 
 
 class KeepAnswer(Effect, frozen=True):
-    """Store the captured whole answer and end the claim with it."""
+    """Store the captured complete answer and end the claim."""
 
     request_id: RequestId
     key: ClaimKey
@@ -128,7 +128,7 @@
     Attributes
     ----------
     offset : int
-        First token that the caller lacks.
+        First token that the caller has not received.
     """
 
     request_id: RequestId
@@ -137,12 +137,12 @@
 
 
 class PaceClaims(Effect, frozen=True):
-    """Share what the store takes among the entry instances.
+    """Divide the store's write capacity among the entry instances.
 
     Attributes
     ----------
     instances : int
-        Live entry instances that are known.
+        Number of known live entry instances.
     """
 
     instances: int
@@ -157,12 +157,12 @@
 
 
 class FindStream(Effect, frozen=True):
-    """Ask endpoints for a stream under any of some ids; nothing is run.
+    """Search endpoints for a stream with one of several ids, without running anything.
 
     Attributes
     ----------
-    noted : StreamPlace or None
-        Asked first.
+    noted : StreamLocation or None
+        Recorded location, which is asked first.
     """
 
     request_id: RequestId
@@ -177,7 +177,7 @@
     Attributes
     ----------
     generation : int
-        That of the row, which may follow a released one.
+        Generation of the row, incremented if it replaced a released claim.
     """
 
     request_id: RequestId
@@ -186,7 +186,7 @@
 
 
 class ClaimLost(Message, frozen=True):
-    """Another call has the key."""
+    """Another call holds the key."""
 
     request_id: RequestId
     claim_id: ClaimId
@@ -194,26 +194,26 @@
 
 
 class ClaimUnavailable(Message, frozen=True):
-    """The store can't be asked now, or did not say what became of the claim."""
+    """The store is unavailable, or the result of the claim is unknown."""
 
     request_id: RequestId
     claim_id: ClaimId
 
 
 class ClaimTimedOut(Message, frozen=True):
-    """A claim has not been settled in the time that its request waits for it."""
+    """A claim was not confirmed within the time that its request waits for it."""
 
     request_id: RequestId
     claim_id: ClaimId
 
 
 class StreamSearched(Message, frozen=True):
-    """Endpoints have been asked for a stream.
+    """The search for a stream has finished.
 
     Attributes
     ----------
-    place : StreamPlace or None
-        None if none of those that answered knows it.
+    place : StreamLocation or None
+        None if no endpoint that answered has the stream.
     """
 
     request_id: RequestId
@@ -221,31 +221,31 @@
 
 
 class SearchTimedOut(Message, frozen=True):
-    """A search for a stream has taken too long."""
+    """The search for a stream has timed out."""
 
     request_id: RequestId
 
 
 class AnswerKept(Message, frozen=True):
-    """What became of `KeepAnswer`."""
+    """Result of `KeepAnswer`."""
 
     request_id: RequestId
     kept: bool
 
 
 class KeepAnswerTimedOut(Message, frozen=True):
-    """An answer's end has been held as long as it may be."""
+    """The time limit for holding an answer's completion has passed."""
 
     request_id: RequestId
 
 
 class AnswerReplayed(Message, frozen=True):
-    """What became of `ReplayAnswer`.
+    """Result of `ReplayAnswer`.
 
     Attributes
     ----------
     delivered : bool
-        False: the kept answer could not be read.
+        False if the kept answer could not be read.
     """
 
     request_id: RequestId
--- a/src/mimosafork/kernel/messages/configuration.py
+++ b/src/mimosafork/kernel/messages/configuration.py
@@ -1,16 +1,16 @@
-"""Messages about the configuration in force."""
+"""Messages about the active configuration."""
 
 from ..configuration import Configuration
 from .base import Effect, Message
 
 
 class ConfigurationReceived(Message, frozen=True):
-    """An accepted configuration was read from the store or heard from a peer."""
+    """An accepted configuration was read from the store or received from a peer."""
 
     configuration: Configuration
 
 
 class ConfigurationChanged(Effect, frozen=True):
-    """Another configuration is in force from now on."""
+    """A new configuration is active."""
 
     configuration: Configuration
--- a/src/mimosafork/kernel/messages/dispatch.py
+++ b/src/mimosafork/kernel/messages/dispatch.py
@@ -1,4 +1,4 @@
-"""Effects that send an attempt to an endpoint and stop it there."""
+"""Effects that dispatch and cancel attempts."""
 
 from datetime import timedelta
 
@@ -16,12 +16,12 @@
 
 
 class PrefillHelper(msgspec.Struct, frozen=True):
-    """An endpoint that reads a part of a prompt for the one that answers.
+    """An endpoint that prefills a part of a prompt for the one that answers.
 
     Attributes
     ----------
     reservation : ReservationId or None
-        Memory set aside there for the part.
+        Memory reserved there for the part.
     """
 
     endpoint: EndpointId
@@ -30,14 +30,14 @@
 
 
 class SilenceTimeouts(msgspec.Struct, frozen=True):
-    """How long an attempt may be silent before that is worth a thought.
+    """Silence of an attempt after which it is reported.
 
     Attributes
     ----------
     first : timedelta
-        Until the answer begins.
+        Time until the first event of the answer.
     further : timedelta
-        Between two events after that.
+        Time between two later events.
     """
 
     first_event: timedelta
@@ -45,30 +45,30 @@
 
 
 class Dispatch(Effect, frozen=True):
-    """Send an attempt to an endpoint.
+    """Dispatch an attempt to an endpoint.
 
     Attributes
     ----------
     attach : bool
-        Attach to the stream that already runs there instead of starting one.
+        Attach to a stream that is already running there instead of starting one.
     offset : int
-        First token wanted.
+        First token to receive.
     priority : int
         Lower runs first.
     imports : tuple of ReservationId
-        KV parts imported before, joined in front of the prompt.
+        Previously imported KV parts, prepended to the prompt.
     imported_tokens : int
-        Length of those parts.
-    keep : bool
-        The answer is to be kept: the relay captures it, over all attempts, and
-        hands it to the answer keeper before it reports the attempt as finished.
+        Total length of the imported parts.
+    keep_answer : bool
+        The relay captures the answer over all attempts and passes it to the answer
+        keeper before it reports the attempt as finished.
     shared : bool
-        Another call under the same key may be answered by the stream: only
-        `CancelAttempt` ends it, not that this attempt failed.
+        The stream may answer another call with the same key: only `CancelAttempt`
+        ends it, not the failure of this attempt.
     helpers : tuple of PrefillHelper
-        Endpoints that read the prompt in even parts with this one.
-    patience : Patience or None
-        A longer silence is told by `AttemptSilent`; None asks for no word.
+        Endpoints that prefill the prompt in equal parts together with this one.
+    silence_timeouts : SilenceTimeouts or None
+        A longer silence is reported by `AttemptSilent`; None disables the reports.
     """
 
     request_id: RequestId
@@ -91,14 +91,14 @@
 
 
 class RestoreAttempt(Effect, frozen=True):
-    """Take a hedged attempt for the current one again."""
+    """Make a hedged attempt the current one again."""
 
     request_id: RequestId
     attempt: AttemptNumber
 
 
 class CancelAttempt(Effect, frozen=True):
-    """Stop an attempt; its endpoint frees what it holds."""
+    """Cancel an attempt; its endpoint frees the resources that it holds."""
 
     request_id: RequestId
     attempt: AttemptNumber
--- a/src/mimosafork/kernel/messages/fleet.py
+++ b/src/mimosafork/kernel/messages/fleet.py
@@ -19,7 +19,7 @@
 
 
 class EndpointKind(Enum):
-    """What an endpoint runs."""
+    """Kind of back end that an endpoint runs."""
 
     MODEL_ENGINE = "model-engine"
     PLAIN_SERVICE = "plain-service"
@@ -33,14 +33,14 @@
 
 
 class FencingMode(Enum):
-    """What an endpoint does with an order's fencing number."""
+    """Whether an endpoint checks the fencing number of orders."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
 
 
 class EndpointEntry(msgspec.Struct, frozen=True):
-    """An endpoint as the platform lists it.
+    """An endpoint in the platform's list.
 
     Attributes
     ----------
@@ -60,13 +60,13 @@
 
 
 class EntryInstance(msgspec.Struct, frozen=True):
-    """An entry instance as the platform lists it.
+    """An entry instance in the platform's list.
 
     Attributes
     ----------
     address, peer_address, operations_address : str
-        ``IP:PORT`` for callers, for peers, and for operators; the last is empty if
-        it is not listed.
+        ``IP:PORT`` for callers, peers and operators; the last is empty if it is not
+        listed.
     """
 
     instance: InstanceId
@@ -84,7 +84,7 @@
     Attributes
     ----------
     age : timedelta
-        How old the list was, as the platform itself says.
+        Age of the list as reported by the platform.
     """
 
     endpoints: tuple[EndpointEntry, ...]
@@ -93,16 +93,16 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """An endpoint's own report of its load, `lag` old when it was made.
+    """Load reported by an endpoint; the data were `lag` old at that time.
 
     Attributes
     ----------
     waiting_prefill_tokens : int
-        Prompt tokens that wait for their prefill.
+        Prompt tokens waiting for prefill.
     kv_used, kv_capacity : int
         KV memory in tokens.
     prefill_rate : float
-        Prompt tokens a second.
+        Prefill throughput in prompt tokens per second.
     """
 
     endpoint: EndpointId
@@ -122,12 +122,12 @@
 
 
 class LoadReported(Message, frozen=True):
-    """A load report arrived, from the endpoint or by way of a peer.
+    """A load report was received from an endpoint, directly or through a peer.
 
     Attributes
     ----------
-    heard_from : InstanceId or None
-        The instance that asked the endpoint; None: this one.
+    probed_by : InstanceId or None
+        Instance that probed the endpoint; None for this instance.
     """
 
     report: LoadReport
@@ -135,13 +135,13 @@
 
 
 class ProbeFailed(Message, frozen=True):
-    """An endpoint does not answer this instance's load probes."""
+    """An endpoint did not answer a load probe of this instance."""
 
     endpoint: EndpointId
 
 
 class CacheEventKind(Enum):
-    """What happened to a prefix in an engine's cache."""
+    """Kind of change to an engine's prefix cache."""
 
     STORED = "stored"
     EVICTED = "evicted"
@@ -157,12 +157,12 @@
 
 
 class CacheEventsReported(Message, frozen=True):
-    """Cache events of an engine, possibly late and with gaps.
+    """Cache events of an engine; they may be late and have gaps.
 
     Attributes
     ----------
     after : int
-        The sequence number that was asked after.
+        Sequence number after which events were requested.
     newest : int
         The engine's newest sequence number at that time.
     """
@@ -175,7 +175,7 @@
 
 
 class CacheSnapshotReported(Message, frozen=True):
-    """The whole prefix cache of an engine at one sequence number."""
+    """Complete prefix cache of an engine at one sequence number."""
 
     endpoint: EndpointId
     incarnation: Incarnation
--- a/src/mimosafork/kernel/messages/leases.py
+++ b/src/mimosafork/kernel/messages/leases.py
@@ -1,4 +1,4 @@
-"""Messages about the leases that this instance holds."""
+"""Leases held by this instance, and messages about them."""
 
 from datetime import timedelta
 from enum import Enum
@@ -10,12 +10,12 @@
 
 
 class Duty(Enum):
-    """What one instance of an availability zone does at a time."""
+    """Task that only one instance of an availability zone performs at a time."""
 
     ORDERS = "orders"
-    """Sends orders to the zone's endpoints."""
+    """Sending orders to the zone's endpoints."""
     CLEANING = "cleaning"
-    """Frees what dead instances have left on the zone's engines."""
+    """Freeing resources that dead instances left on the zone's engines."""
 
 
 class Lease(msgspec.Struct, frozen=True):
@@ -24,11 +24,11 @@
     Attributes
     ----------
     fencing : FencingNumber
-        Larger than that of every earlier holder.
+        Greater than the number of every earlier holder.
     since, valid_until : timedelta
-        Monotonic instants of this instance.
+        Monotonic times of this instance.
     taken_over : bool
-        The last holder did not release it: orders of its may still be on the way.
+        The previous holder did not release it: its orders may still be in flight.
     """
 
     duty: Duty
@@ -38,10 +38,10 @@
     taken_over: bool = False
 
     def covers(self, until: timedelta) -> bool:
-        """Return whether the lease still holds at an instant.
+        """Return whether the lease is still valid at a given time.
 
-        Whoever acts under a lease asks with the instant at which the act is over
-        at the latest. A pause between this question and the act is not covered.
+        Pass the latest time at which the operation under the lease will have ended. A
+        pause of the process between this check and the operation is not covered.
         """
         return until < self.valid_until
 
--- a/src/mimosafork/kernel/messages/lifecycle.py
+++ b/src/mimosafork/kernel/messages/lifecycle.py
@@ -1,4 +1,4 @@
-"""Messages about the life of this instance itself."""
+"""Messages about the lifecycle of this instance."""
 
 from .base import Message
 
@@ -6,10 +6,10 @@
 class DrainBegun(Message, frozen=True):
     """A graceful shutdown has begun.
 
-    Requests are still let in: the balancer has not noticed yet. Duties pass on to
-    other instances.
+    Requests are still accepted, because the load balancer has not reacted yet. Duties
+    are handed over to other instances.
     """
 
 
 class StopNow(Message, frozen=True):
-    """There is no time left: every open request gets its final answer now."""
+    """The grace period is over: every open request gets its final answer now."""
--- a/src/mimosafork/kernel/messages/limits.py
+++ b/src/mimosafork/kernel/messages/limits.py
@@ -11,30 +11,30 @@
 
 INSTANCE_DEMAND = "demand"
 ZONE_DEMAND = "zone-demand"
-"""Keys of what is published; an instance has one value under each."""
+"""Keys of the published values; an instance has one value for each key."""
 
 AccountKey = NewType("AccountKey", int)
-"""Short name of a client account in what peers tell."""
+"""Short key of a client account in peer messages."""
 
 KEY_BYTES = 4
-"""Two of 2,100 accounts share a key in one of 2,000 fleets. Their demands are then
-added up, so that each gets less than its limit, never more."""
+"""With 2,100 accounts, two share a key in one of 2,000 fleets. Their demands are then
+added, so that each gets less than its limit, never more."""
 
 
 def account_key(account: AccountId) -> AccountKey:
-    """Return a client account's short name."""
+    """Return the short key of a client account."""
     digest = blake2b(account.encode(), digest_size=KEY_BYTES).digest()
     return AccountKey(int.from_bytes(digest))
 
 
 class AccountDemand(PeerValue, msgspec.Struct, frozen=True):
-    """Recent demand of the accounts that want most of their limits.
+    """Recent demand of the accounts that use the largest share of their limits.
 
     Attributes
     ----------
     accounts : tuple of AccountKey
     tokens_per_second : tuple of int
-        Demand of each, refused requests included, up to the account's limit.
+        Demand of each account, including refused requests, capped at its limit.
     """
 
     accounts: tuple[AccountKey, ...]
@@ -42,16 +42,16 @@
 
     def __post_init__(self) -> None:
         if len(self.accounts) != len(self.tokens_per_second):
-            raise ValueError("a demand for each account is needed")
+            raise ValueError("accounts and tokens_per_second differ in length")
 
 
 class AccountDemandReceived(Message, frozen=True):
-    """An entry instance has told its own demand, or a zone's speaker its zone's.
+    """Demand of an entry instance, or of a zone by its publisher, was received.
 
     Attributes
     ----------
     of_zone : bool
-        The demand of the whole availability zone.
+        The demand covers the whole availability zone.
     """
 
     demand: AccountDemand
--- a/src/mimosafork/kernel/messages/orders.py
+++ b/src/mimosafork/kernel/messages/orders.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints, and what endpoints say of their state."""
+"""Orders to endpoints, and the state that endpoints report."""
 
 from datetime import timedelta
 from enum import Enum
@@ -10,11 +10,11 @@
 from .fleet import FencingMode
 
 ORDER_TIMEOUT = timedelta(seconds=3)
-"""Longest time from the look at the lease to the end of an order's call."""
+"""Longest time from the lease check to the end of an order's call."""
 
 
 class OrderKind(Enum):
-    """What an endpoint is told to become."""
+    """Kind of state change requested from an endpoint."""
 
     LOAD_MODEL = "load-model"
     UNLOAD_MODEL = "unload-model"
@@ -22,7 +22,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """A desired state; sent twice, it is still one order."""
+    """A desired state; resending an order is idempotent."""
 
     order_id: OrderId
     kind: OrderKind
@@ -37,11 +37,11 @@
     Attributes
     ----------
     fencing_mode : FencingMode
-        What the endpoint does with the number; IGNORED when that is not known.
+        Whether the endpoint checks the fencing number; IGNORED if unknown.
     fencing : FencingNumber
-        Of the lease under which the order was decided.
+        Number of the lease under which the order was issued.
     fetches_weights : bool
-        The endpoint will read from the weight store.
+        The endpoint will load weights from the weight store.
     """
 
     endpoint: EndpointId
@@ -53,21 +53,21 @@
 
 
 class OrderResult(Enum):
-    """What became of an order."""
+    """Result of an order."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
-    """The endpoint said no."""
+    """The endpoint refused the order."""
     STALE = "stale"
-    """The endpoint has seen a larger fencing number."""
+    """The endpoint has seen a greater fencing number."""
     NOT_SENT = "not-sent"
-    """The lease had too little time left, or the endpoint was not reached."""
+    """The lease was about to expire, or the endpoint was unreachable."""
     UNKNOWN = "unknown"
-    """No answer; a look at the endpoint's state tells."""
+    """No answer; the endpoint's state shows whether the order took effect."""
 
 
 class OrderAnswered(Message, frozen=True):
-    """An order has ended, in whatever way."""
+    """An order has ended with a result."""
 
     endpoint: EndpointId
     order: Order
@@ -77,7 +77,7 @@
 
 
 class ReadState(Effect, frozen=True):
-    """Ask an endpoint for its state."""
+    """Read the state of an endpoint."""
 
     endpoint: EndpointId
     address: str
@@ -98,7 +98,7 @@
 
 
 class StateRead(Message, frozen=True):
-    """An endpoint's own word on its state."""
+    """The state of an endpoint was read."""
 
     endpoint: EndpointId
     incarnation: Incarnation
@@ -107,6 +107,6 @@
 
 
 class StateReadFailed(Message, frozen=True):
-    """An endpoint did not tell its state."""
+    """The state of an endpoint could not be read."""
 
     endpoint: EndpointId
--- a/src/mimosafork/kernel/messages/outcomes.py
+++ b/src/mimosafork/kernel/messages/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told at the end of its request."""
+"""Final outcome of a request as reported to its caller."""
 
 from enum import Enum
 
@@ -8,9 +8,9 @@
 
 
 class Outcome(Enum):
-    """What the caller is told about the fate of a request.
+    """Outcome of a request as reported to its caller.
 
-    ``NOT_RUN`` is a promise: no endpoint can have run any part of it.
+    ``NOT_RUN`` guarantees that no endpoint can have run any part of it.
     """
 
     COMPLETED = "completed"
@@ -20,23 +20,23 @@
 
 
 class Retention(Enum):
-    """Whether a resend under the same key gets the answer from the store."""
+    """Whether a resend with the same key is answered from the store."""
 
     NOT_ASKED = "not-asked"
     KEPT = "kept"
     NOT_KEPT = "not-kept"
-    """It should have been kept, but the store could not take it in time."""
+    """The answer should have been kept, but could not be stored in time."""
 
 
 class Conclude(Effect, frozen=True):
-    """Give the caller its final answer now.
+    """Send the caller its final answer.
 
     Attributes
     ----------
     problem : Problem or None
-        None when the whole answer has been delivered.
+        None if the complete answer has been delivered.
     retention : Retention
-        Told to the caller with the final marker.
+        Reported to the caller with the final marker.
     """
 
     request_id: RequestId
--- a/src/mimosafork/kernel/messages/peers.py
+++ b/src/mimosafork/kernel/messages/peers.py
@@ -1,4 +1,4 @@
-"""Messages about what entry instances tell each other."""
+"""Messages about the exchange between entry instances."""
 
 from datetime import timedelta
 from enum import Enum
@@ -11,16 +11,16 @@
 
 
 class Scope(Enum):
-    """How far a value travels."""
+    """Propagation scope of a published value."""
 
     ZONE = 1
-    """To the instances of its writer's availability zone."""
+    """Instances of the writer's availability zone."""
     FLEET = 2
-    """To all instances, by a few links between the availability zones."""
+    """All instances, over a few links between the availability zones."""
 
 
 class PeerValue:
-    """Base of the values that instances tell each other.
+    """Base class of the values that instances exchange.
 
     A subclass is a frozen slotted dataclass; its codec registers itself in
     `mimosafork.peers.kinds`.
@@ -30,14 +30,14 @@
 
 
 class Origin(msgspec.Struct, frozen=True):
-    """Where a value heard from peers comes from.
+    """Origin of a value received from peers.
 
     Attributes
     ----------
     instance, incarnation, availability_zone
-        The entry instance that wrote it, whoever passed it on.
+        Entry instance that wrote the value, regardless of who forwarded it.
     age : timedelta
-        Time since it was written, as added up on its way.
+        Time since it was written, accumulated along its path.
     """
 
     instance: InstanceId
@@ -47,15 +47,15 @@
 
 
 class Publish(Effect, frozen=True):
-    """Tell a value to the other instances.
+    """Publish a value to the other instances.
 
-    The newest value of each key replaces this instance's earlier one in the same
-    scope; values of other instances under the same key stand beside it.
+    A new value replaces this instance's earlier value with the same key and scope.
+    Values of other instances with the same key are kept separately.
 
     Attributes
     ----------
     urgent : bool
-        Do not wait for the next round of exchanges.
+        Send at once instead of in the next round of exchanges.
     """
 
     key: str
@@ -65,22 +65,22 @@
 
 
 class MemberState(Enum):
-    """What peers know of an entry instance."""
+    """State of an entry instance as seen by its peers."""
 
     LIVE = "live"
     DRAINING = "draining"
     SUSPECT = "suspect"
-    """Not heard of for a while. It may be dead, frozen or cut off; silence does
-    not tell which."""
+    """No recent heartbeat. The instance may be dead, suspended or partitioned; these
+    cannot be distinguished."""
 
 
 class Member(msgspec.Struct, frozen=True):
-    """An entry instance as its peers hear of it.
+    """An entry instance as seen by its peers.
 
     Attributes
     ----------
     revision : Revision
-        Configuration in force there; 0 before its first.
+        Revision of its active configuration; 0 before the first.
     """
 
     instance: InstanceId
@@ -97,9 +97,9 @@
     Attributes
     ----------
     members : tuple of Member
-        Of this instance's own availability zone, itself included.
+        Instances of the own availability zone, including this one.
     silent_zones : tuple of AvailabilityZoneId
-        Other availability zones of which nothing has been heard for a while.
+        Other availability zones without recent messages.
     """
 
     members: tuple[Member, ...]
@@ -107,10 +107,10 @@
 
 
 class AddPeerCandidates(Effect, frozen=True):
-    """Exchange with these instances; from the platform's list."""
+    """Add instances of the platform's list as exchange partners."""
 
     instances: tuple[EntryInstance, ...]
 
 
 class AnnounceDrain(Effect, frozen=True):
-    """Tell the peers that this instance is stopping."""
+    """Announce to the peers that this instance is draining."""
--- a/src/mimosafork/kernel/messages/placement.py
+++ b/src/mimosafork/kernel/messages/placement.py
@@ -1,4 +1,4 @@
-"""Messages and effects of prompts that are spread over several engines."""
+"""Messages and effects for prompts that are split across several engines (gangs)."""
 
 from datetime import timedelta
 from enum import Enum
@@ -13,18 +13,18 @@
     """Why a step of a gang failed."""
 
     NO_MEMORY = "no-memory"
-    """The engine refused: it has not enough free memory."""
+    """The engine refused for lack of free memory."""
     REFUSED = "refused"
     """The engine refused for another reason."""
     UNREACHED = "unreached"
     LOST = "lost"
-    """The answer did not come; the step may have taken effect."""
+    """No answer was received; the step may have taken effect."""
     FAILED = "failed"
-    """The engine began and ended the step as failed."""
+    """The engine started the step and reported a failure."""
 
 
 class ReserveMemory(Effect, frozen=True):
-    """Have an engine set memory aside for a while."""
+    """Reserve memory on an engine for a limited time."""
 
     request_id: RequestId
     reservation: ReservationId
@@ -35,14 +35,14 @@
 
 
 class MemoryReserved(Message, frozen=True):
-    """An engine has set the memory aside."""
+    """An engine has reserved the memory."""
 
     request_id: RequestId
     reservation: ReservationId
 
 
 class ReservationFailed(Message, frozen=True):
-    """An engine has not set the memory aside, as far as is known."""
+    """An engine has not reserved the memory, as far as is known."""
 
     request_id: RequestId
     reservation: ReservationId
@@ -50,12 +50,12 @@
 
 
 class PrefillSegment(Effect, frozen=True):
-    """Have an engine prefill a part of a prompt and keep its KV for others.
+    """Prefill a part of a prompt on an engine and keep its KV cache for export.
 
     Attributes
     ----------
     first : int
-        Prompt token with which the part begins; those before it are imported.
+        First prompt token of the part; the tokens before it are imported.
     tokens : int
         Length of the part.
     """
@@ -74,12 +74,12 @@
 
 
 class SegmentPrefilled(Message, frozen=True):
-    """A part of a prompt is prefilled.
+    """A part of a prompt has been prefilled.
 
     Attributes
     ----------
     handle : str
-        By which other engines import its KV.
+        Handle by which other engines import its KV cache.
     """
 
     request_id: RequestId
@@ -99,7 +99,7 @@
 
 
 class ImportKv(Effect, frozen=True):
-    """Have an engine pull another one's exported KV."""
+    """Import the exported KV cache of another engine."""
 
     request_id: RequestId
     import_id: ReservationId
@@ -111,14 +111,14 @@
 
 
 class KvImported(Message, frozen=True):
-    """An engine has the exported KV."""
+    """An engine has imported the KV cache."""
 
     request_id: RequestId
     import_id: ReservationId
 
 
 class ImportFailed(Message, frozen=True):
-    """An engine has not got the exported KV, as far as is known."""
+    """An engine has not imported the KV cache, as far as is known."""
 
     request_id: RequestId
     import_id: ReservationId
@@ -126,7 +126,7 @@
 
 
 class FreeOwnHolding(Effect, frozen=True):
-    """Free what an engine holds for a request of ours; it need not be there."""
+    """Free a holding of this instance's request on an engine, if it exists."""
 
     endpoint: EndpointId
     address: str
--- a/src/mimosafork/kernel/messages/problems.py
+++ b/src/mimosafork/kernel/messages/problems.py
@@ -1,4 +1,4 @@
-"""Why a request ends without its answer."""
+"""Problems that end a request without its answer."""
 
 from datetime import timedelta
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class ProblemCode(Enum):
-    """Why a request was refused or failed; the last part of the problem's type."""
+    """Reason of a refusal or failure; the last component of the problem type."""
 
     MALFORMED = "malformed"
     UNAUTHORIZED = "unauthorized"
@@ -25,7 +25,7 @@
     KEY_REUSED = "idempotency-key-reused"
     KEY_IN_PROGRESS = "idempotency-key-in-progress"
     OUTCOME_UNKNOWN = "outcome-unknown"
-    """An earlier call with the key may have run; it is never run again."""
+    """An earlier call with the key may have run; the request is not run again."""
     STORE_UNAVAILABLE = "store-unavailable"
     QUARANTINED = "quarantined"
     SHUTTING_DOWN = "shutting-down"
@@ -40,7 +40,7 @@
     Attributes
     ----------
     retry_after : timedelta or None
-        When it makes sense to come back; None when it does not.
+        Delay after which a retry makes sense; None if it does not.
     """
 
     code: ProblemCode
--- a/src/mimosafork/kernel/messages/quarantine.py
+++ b/src/mimosafork/kernel/messages/quarantine.py
@@ -1,4 +1,4 @@
-"""Suspicion that a request's body crashes the engines that run it."""
+"""Suspicion that a request body crashes the engines that run it."""
 
 from datetime import timedelta
 
@@ -10,23 +10,24 @@
 
 
 class EndpointIncarnation(msgspec.Struct, frozen=True):
-    """One life of an endpoint."""
+    """One incarnation of an endpoint."""
 
     endpoint: EndpointId
     incarnation: Incarnation
 
 
 class CrashEvidence(msgspec.Struct, frozen=True):
-    """A body was in progress when an endpoint's life ended.
+    """A request body was in flight when an endpoint incarnation ended.
 
     Attributes
     ----------
     weight : float
-        One part of the requests that were in progress there, as far as known.
+        Share of the blame, divided among the requests known to be in flight there.
     is_sole : bool
-        It ran alone.
+        It was the only request in flight.
     is_confirmed : bool
-        The life has surely ended; until then the connection may just have broken.
+        The incarnation has definitely ended; otherwise only the connection may have
+        failed.
     """
 
     endpoint: EndpointId
@@ -37,18 +38,18 @@
 
     @property
     def endpoint_incarnation(self) -> EndpointIncarnation:
-        """The life that has ended, or seemed to."""
+        """Incarnation that has ended, or is suspected to have ended."""
         return EndpointIncarnation(self.endpoint, self.incarnation)
 
 
 class Suspicion(PeerValue, msgspec.Struct, frozen=True):
-    """What the writer knows against a body; the key is its digest.
+    """Evidence of the writer against a request body; the key is its digest.
 
     Attributes
     ----------
-    dropped : tuple of Life
-        Evidence that counts no more, whoever still tells it: the life went on, or
-        the body has run to its end since.
+    dropped : tuple of EndpointIncarnation
+        Incarnations whose evidence is no longer valid, whoever still publishes it:
+        the incarnation continued, or the body has since run to completion.
     """
 
     evidence: tuple[CrashEvidence, ...]
@@ -56,7 +57,7 @@
 
 
 class SuspicionReceived(Message, frozen=True):
-    """A peer has told a suspicion."""
+    """A suspicion was received from a peer."""
 
     digest: Digest
     suspicion: Suspicion
@@ -64,19 +65,19 @@
 
 
 class EndpointIsolation(PeerValue, msgspec.Struct, frozen=True):
-    """An endpoint is kept free for a suspect; the key is the endpoint.
+    """An endpoint is isolated for a suspect request; the key is the endpoint.
 
     Attributes
     ----------
     left_ms : int
-        For how long from when it was written; 0 ends it.
+        Remaining time when the value was written; 0 ends the isolation.
     """
 
     remaining_ms: int
 
 
 class EndpointIsolationReceived(Message, frozen=True):
-    """A peer keeps an endpoint free, or no longer does."""
+    """A peer has isolated an endpoint or ended the isolation."""
 
     endpoint: EndpointId
     isolation: EndpointIsolation
@@ -84,25 +85,25 @@
 
 
 class StoreSuspicion(Effect, frozen=True):
-    """Add evidence to what the table service keeps of a body."""
+    """Add evidence to the stored suspicion of a request body."""
 
     digest: Digest
     evidence: tuple[CrashEvidence, ...]
 
 
 class DropSuspicion(Effect, frozen=True):
-    """Drop what the table service keeps of a body."""
+    """Delete the stored suspicion of a request body."""
 
     digest: Digest
 
 
 class StoredSuspicion(msgspec.Struct, frozen=True):
-    """What the table service keeps of a body.
+    """Suspicion of a request body as stored in the table service.
 
     Attributes
     ----------
     age : timedelta
-        Since it was written last.
+        Time since the last write.
     """
 
     digest: Digest
@@ -111,6 +112,6 @@
 
 
 class SuspicionsRead(Message, frozen=True):
-    """The kept suspicions were read from the table service."""
+    """The stored suspicions were read from the table service."""
 
     suspicions: tuple[StoredSuspicion, ...]
--- a/src/mimosafork/kernel/messages/recovery.py
+++ b/src/mimosafork/kernel/messages/recovery.py
@@ -1,4 +1,4 @@
-"""What instances hold on engines, and freeing what nobody will free."""
+"""Resources held on engines, and recovery of abandoned ones."""
 
 from datetime import timedelta
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class HoldingKind(Enum):
-    """What takes an engine's memory."""
+    """Kind of resource that occupies engine memory."""
 
     STREAM = "stream"
     RESERVATION = "reservation"
@@ -18,14 +18,14 @@
 
 
 class Holding(msgspec.Struct, frozen=True):
-    """A part of an engine's memory, and whose it is.
+    """Engine memory that is held by an instance.
 
     Attributes
     ----------
     tokens : int
-        Memory that it takes.
+        Occupied memory in tokens.
     time_left : timedelta
-        Until the engine should free it by itself; negative when that has passed.
+        Time until the engine should free it by itself; negative when that has passed.
     """
 
     kind: HoldingKind
@@ -37,12 +37,12 @@
 
 
 class ListHoldings(Effect, frozen=True):
-    """Ask an engine what is held there.
+    """List the holdings on an engine.
 
     Attributes
     ----------
     owner : InstanceId or None
-        Only what belongs to any life of this instance.
+        Only holdings of this instance, of any incarnation; None for all.
     """
 
     endpoint: EndpointId
@@ -51,14 +51,14 @@
 
 
 class HoldingsListed(Message, frozen=True):
-    """An engine has told what is held there."""
+    """The holdings on an engine were listed."""
 
     endpoint: EndpointId
     holdings: tuple[Holding, ...]
 
 
 class FreeReason(Enum):
-    """Why a holding may be freed by somebody else than its owner."""
+    """Reason why a holding may be freed by another instance than its owner."""
 
     PAST_DEADLINE = "past its deadline"
     OWNER_REPLACED = "its owner has begun a new life"
@@ -66,7 +66,7 @@
 
 
 class FreeHolding(Effect, frozen=True):
-    """Free a holding that its owner can't free any more."""
+    """Free a holding whose owner can no longer free it."""
 
     endpoint: EndpointId
     address: str
--- a/src/mimosafork/kernel/messages/reports.py
+++ b/src/mimosafork/kernel/messages/reports.py
@@ -1,4 +1,4 @@
-"""Effects that only tell: what operators count and read."""
+"""Effects that report metrics and state to operators."""
 
 from datetime import timedelta
 from enum import Enum
@@ -23,25 +23,25 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended that did not fail."""
+    """End of an attempt that did not fail."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
 
 
 class RequestReport(Effect, frozen=True):
-    """A request's life has ended.
+    """A request has ended.
 
     Attributes
     ----------
     code : ProblemCode or None
-        Why it has no answer.
+        Reason why it has no answer.
     attempts : tuple
-        How each of its attempts ended, in their order.
+        End of each attempt, in order.
     first_token_after : timedelta or None
-        From its arrival; None if no token came.
+        Time from arrival to first token; None if there was none.
     duration : timedelta
-        From its arrival to its end.
+        Time from arrival to end.
     """
 
     request_id: RequestId
@@ -56,25 +56,25 @@
 
 
 class EndpointCondition(Enum):
-    """Whether an endpoint gets new requests, and if not, why."""
+    """Whether an endpoint receives new requests, and the reason if not."""
 
     LIVE = "live"
     UNREPORTED = "unreported"
-    """It is listed, and no load report of it has come yet."""
+    """It is listed, but no load report has been received yet."""
     EJECTED = "ejected"
     UNREACHABLE = "unreachable"
     LEAVING = "leaving"
 
 
 class EndpointView(msgspec.Struct, frozen=True):
-    """One endpoint as operators see it."""
+    """State of one endpoint as reported to operators."""
 
     incarnation: Incarnation
     condition: EndpointCondition
 
 
 class FleetReport(Effect, frozen=True):
-    """What the kernel knows of its surroundings, told now and then."""
+    """Periodic report of the kernel's view of the fleet."""
 
     endpoints: dict[EndpointId, EndpointView]
     peers: dict[InstanceId, MemberState]
@@ -83,7 +83,7 @@
 
 
 class OrderReport(Effect, frozen=True):
-    """An order to an endpoint has ended, in whatever way."""
+    """An order to an endpoint has ended with a result."""
 
     kind: OrderKind
     result: OrderResult
--- a/src/mimosafork/kernel/messages/requests.py
+++ b/src/mimosafork/kernel/messages/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request: what it asks for, how it arrives, and that its caller left."""
+"""Requests of callers, and messages about their arrival and disconnection."""
 
 from datetime import timedelta
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class RequestKind(Enum):
-    """What sort of endpoint serves a request."""
+    """Kind of endpoint that serves a request."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -24,14 +24,14 @@
 
 
 class PrefixMark(msgspec.Struct, frozen=True):
-    """Digest of a prompt's beginning at one length.
+    """Digest of a prompt prefix of a given length.
 
     Attributes
     ----------
     digest : Digest
         16 hexadecimal digits.
     tokens : int
-        Length of the beginning.
+        Length of the prefix.
     """
 
     digest: Digest
@@ -39,24 +39,24 @@
 
 
 class CallTerms(msgspec.Struct, frozen=True):
-    """What a route and its caller say about a call that is passed on as it is.
+    """Parameters, set by route and caller, of a call that is forwarded unchanged.
 
     Attributes
     ----------
     max_attempts : int
-        Endpoints that it may be sent to.
+        Largest number of endpoints that it may be sent to.
     objective : timedelta
-        An answer (a stream's first event) within it is on time.
+        Latency within which an answer, or the first event of a stream, is on time.
     longest_pause : timedelta or None
-        Between two events of a stream that is on time.
+        Longest time between two events of a stream that is on time.
     priority : int
         0 is the highest.
     streams : bool
-        The answer is a series of events.
+        The answer is an event stream.
     resumable : bool
-        Another endpoint may go on with a broken stream.
+        Another endpoint may resume a broken stream.
     expected_tokens : int
-        The caller's estimate of the answer's length; 0 if it gave none.
+        Answer length estimated by the caller; 0 if not given.
     """
 
     max_attempts: int
@@ -69,21 +69,21 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """What the kernel knows of a caller's request; never its text.
+    """Metadata of a caller's request, without its text.
 
     Attributes
     ----------
     deadline : timedelta
-        Monotonic instant by which it finishes or fails.
+        Monotonic time by which it finishes or fails.
     body_digest : Digest
-        Digest of what decides the answer (target and body), for idempotency and
-        quarantine.
+        Digest of target and body, which determine the answer; used for idempotency
+        and quarantine.
     idempotency_key : str or None
         The caller's key.
     resume_offset : int
-        Tokens that the caller already has, when it comes back with its key.
+        Tokens that the caller has already received, when it resumes with its key.
     terms : CallTerms or None
-        Of a call that is passed on as it is.
+        Set for a call that is forwarded unchanged.
     """
 
     request_id: RequestId
@@ -111,9 +111,8 @@
 class CallerGone(Message, frozen=True):
     """The caller closed its connection.
 
-    The relay goes on reading the endpoint until it is told otherwise by
-    `CancelAttempt` or `Conclude`: the answer to a request with a claim is kept for
-    the caller's return.
+    The relay continues to read from the endpoint until `CancelAttempt` or `Conclude`:
+    the answer to a request with a claim is kept in case the caller reconnects.
     """
 
     request_id: RequestId
--- a/src/mimosafork/kernel/messages/routing.py
+++ b/src/mimosafork/kernel/messages/routing.py
@@ -1,4 +1,4 @@
-"""Messages about what is routed: the table in force, endpoints, peers' work."""
+"""Messages about routing: routing table, endpoints, in-flight work of peers."""
 
 from datetime import timedelta
 
@@ -10,24 +10,25 @@
 
 
 class RoutingTableChanged(Message, frozen=True):
-    """A newer version of the routing table is in force."""
+    """A newer version of the routing table is active."""
 
     table: RoutingTable
 
 
 class EndpointUsable(Message, frozen=True):
-    """An endpoint takes new work."""
+    """An endpoint accepts new requests."""
 
     listed: ListedEndpoint
 
 
 class EndpointLeaving(Message, frozen=True):
-    """An endpoint takes no new work any more; what runs there goes on.
+    """An endpoint accepts no new requests; those in flight continue.
 
     Attributes
     ----------
     final : bool
-        It has said so itself; otherwise it is merely missing, and may be listed again.
+        The endpoint reported it itself; otherwise it is only missing from the list, and
+        may be listed again.
     """
 
     endpoint: EndpointId
@@ -35,14 +36,14 @@
 
 
 class PeerWorkReplaced(Message, frozen=True):
-    """A peer's whole running work, in times of this instance's clock."""
+    """The complete in-flight work of a peer, in times of this instance's clock."""
 
     instance: InstanceId
     works: tuple[InFlightRequest, ...]
 
 
 class PeerWorkChanged(Message, frozen=True):
-    """Some of a peer's works have begun, changed or ended.
+    """Parts of a peer's in-flight work have started, changed or ended.
 
     Attributes
     ----------
@@ -57,18 +58,18 @@
 
 
 class PeerWorkUnknown(Message, frozen=True):
-    """Nothing is known any more of a peer's work."""
+    """The in-flight work of a peer is no longer known."""
 
     instance: InstanceId
 
 
 class ZoneUnreachable(Message, frozen=True):
-    """Nothing is received from an availability zone.
+    """No messages are received from an availability zone.
 
     Attributes
     ----------
     since : timedelta
-        Monotonic instant of the latest sign of it.
+        Monotonic time of the last message from it.
     """
 
     zone: AvailabilityZoneId
@@ -76,6 +77,6 @@
 
 
 class ZoneReachable(Message, frozen=True):
-    """An availability zone that was unreachable is received again."""
+    """Messages from an unreachable availability zone are received again."""
 
     zone: AvailabilityZoneId
--- a/src/mimosafork/kernel/messages/sharing.py
+++ b/src/mimosafork/kernel/messages/sharing.py
@@ -1,4 +1,4 @@
-"""What the kernel has peers told, and what it hears from them."""
+"""In-flight work and crash suspicions, published to and received from peers."""
 
 from ...ids import Digest, EndpointId, RequestId
 from ...placement.load_tracker import InFlightRequest
@@ -6,32 +6,32 @@
 
 
 class PublishWork(Effect, frozen=True):
-    """Own work was sent, or has written its first token."""
+    """Publish that own work was dispatched or has produced its first token."""
 
     work: InFlightRequest
 
 
 class PublishWorkEnd(Effect, frozen=True):
-    """Own work has ended."""
+    """Publish that own work has ended."""
 
     request_id: RequestId
 
 
 class PublishCrashSuspicion(Effect, frozen=True):
-    """An endpoint's connection broke under a request."""
+    """Publish that an endpoint's connection broke while it ran a request."""
 
     digest: Digest
     endpoint: EndpointId
 
 
 class PublishCrashClearance(Effect, frozen=True):
-    """A request that was suspected has run to its end."""
+    """Publish that a suspected request has run to completion."""
 
     digest: Digest
 
 
 class CrashSuspicionUpdated(Message, frozen=True):
-    """What all instances together know of a suspected request."""
+    """The combined suspicion of all instances against a request has changed."""
 
     digest: Digest
     endpoints: frozenset[EndpointId]
--- a/src/mimosafork/kernel/messages/timers.py
+++ b/src/mimosafork/kernel/messages/timers.py
@@ -1,4 +1,4 @@
-"""Effects that ask the kernel's task for time."""
+"""Timer effects."""
 
 from datetime import timedelta
 
@@ -8,7 +8,7 @@
 
 
 class WakeAt(Effect, frozen=True):
-    """Send `message` back to the kernel at the monotonic instant `at`."""
+    """Send `message` to the kernel at the monotonic time `at`."""
 
     at: timedelta
     message: Message = msgspec.field(default_factory=Message)
--- a/src/mimosafork/kernel/messages/watch.py
+++ b/src/mimosafork/kernel/messages/watch.py
@@ -1,4 +1,4 @@
-"""Messages about watching endpoints and passing on what is seen."""
+"""Messages about probing endpoints and publishing the results."""
 
 from base64 import urlsafe_b64encode
 from hashlib import blake2b
@@ -12,14 +12,14 @@
 from .peers import Origin, PeerValue
 
 EndpointKey = NewType("EndpointKey", str)
-"""Short name of an endpoint in what peers tell, eight letters."""
+"""Short key of an endpoint in peer messages, eight characters."""
 
 KEY_BYTES = 6
-"""Of 600 endpoints two share a key once in some billion fleets."""
+"""With 600 endpoints, two share a key in one of some billion fleets."""
 
 
 def endpoint_key(endpoint: EndpointId) -> EndpointKey:
-    """Return an endpoint's short name."""
+    """Return the short key of an endpoint."""
     digest = blake2b(endpoint.encode(), digest_size=KEY_BYTES).digest()
     return EndpointKey(urlsafe_b64encode(digest).decode())
 
@@ -29,9 +29,9 @@
 
     Attributes
     ----------
-    first : bool
-        This instance is the first of its watchers: the one that reads its cache
-        events and tells the others of its load.
+    is_primary : bool
+        This instance is the primary watcher: it reads the cache events and publishes
+        the load.
     """
 
     endpoint: EndpointId
@@ -41,21 +41,21 @@
 
 
 class WatchEndpoints(Effect, frozen=True):
-    """Probe exactly these endpoints from now on."""
+    """Replace the set of probed endpoints."""
 
     endpoints: tuple[WatchedEndpoint, ...]
 
 
 class FetchCacheSnapshot(Effect, frozen=True):
-    """Read an engine's whole prefix cache, as what is known of it has a gap."""
+    """Read an engine's complete prefix cache after missed events."""
 
     endpoint: EndpointId
 
 
 class PublishForZone(Message, frozen=True):
-    """Speak for the availability zone now; posted every second to whom it falls.
+    """Publish for the availability zone; posted every second on its publisher.
 
-    Plug-ins then publish to the whole fleet what the other zones should know of
+    Plug-ins then publish to the whole fleet what the other zones need to know about
     this one.
     """
 
@@ -67,12 +67,12 @@
 
 
 class EndpointProfile(PeerValue, msgspec.Struct, frozen=True):
-    """What seldom changes of an endpoint.
+    """Rarely changing properties of an endpoint.
 
     Attributes
     ----------
     prefill_rate : int
-        Prompt tokens a second.
+        Prefill throughput in prompt tokens per second.
     """
 
     incarnation: Incarnation
@@ -84,18 +84,18 @@
 
 
 class EndpointLoad(PeerValue, msgspec.Struct, frozen=True):
-    """What always changes of an endpoint, in few bytes.
+    """Frequently changing load of an endpoint, in a compact form.
 
     Attributes
     ----------
-    life : int
-        Last 32 bits of its incarnation.
+    incarnation_bits : int
+        Low 32 bits of its incarnation.
     lag_ms : int
         Age of the report when the value was written.
     prefill_units : int
-        Prompt tokens that wait, in `PREFILL_UNIT` each.
+        Prompt tokens waiting for prefill, in units of `PREFILL_UNIT_TOKENS`.
     kv_share : int
-        Used KV memory in parts of `KV_WHOLE` of the capacity.
+        Used KV memory as a fraction of the capacity, scaled by `KV_SHARE_SCALE`.
     """
 
     incarnation_bits: int
@@ -109,7 +109,7 @@
 
 
 class EndpointProbeFailure(PeerValue, msgspec.Struct, frozen=True):
-    """An endpoint does not answer the writer's probes.
+    """An endpoint did not answer the writer's probes.
 
     Attributes
     ----------
@@ -122,7 +122,7 @@
 
 
 class EndpointProfileReceived(Message, frozen=True):
-    """A peer has told an endpoint's profile."""
+    """An endpoint's profile was received from a peer."""
 
     key: EndpointKey
     profile: EndpointProfile
@@ -130,7 +130,7 @@
 
 
 class EndpointLoadReceived(Message, frozen=True):
-    """A peer has told an endpoint's load."""
+    """An endpoint's load was received from a peer."""
 
     key: EndpointKey
     load: EndpointLoad
@@ -138,7 +138,7 @@
 
 
 class EndpointProbeFailureReceived(Message, frozen=True):
-    """A peer can't reach an endpoint."""
+    """A failed probe of an endpoint was reported by a peer."""
 
     key: EndpointKey
     failure: EndpointProbeFailure
--- a/src/mimosafork/kernel/plugins.py
+++ b/src/mimosafork/kernel/plugins.py
@@ -1,9 +1,9 @@
-"""What a plug-in can be.
+"""Plug-in base class and roles.
 
 Every plug-in may handle messages: its `handle` is a
 `functools.singledispatchmethod` whose registered types the kernel reads once, so
-that a message costs only the plug-ins that want it. A plug-in takes part in a
-request's life by deriving from one of the roles below.
+that a message is delivered only to the plug-ins that handle it. A plug-in takes part
+in the request lifecycle by deriving from one of the roles below.
 """
 
 from functools import singledispatchmethod
@@ -29,35 +29,35 @@
 
 
 class PluginFinder(Protocol):
-    """Looks up another plug-in of the same kernel."""
+    """Finds another plug-in of the same kernel."""
 
     def __call__(self, kind: type[P]) -> P | None:
-        """Return the plug-in of a class; None if settings left it out."""
+        """Return the plug-in of a class; None if it is not enabled."""
 
 
 class Plugin:
-    """Base of all plug-ins."""
+    """Base class of all plug-ins."""
 
     name: ClassVar[str] = ""
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the other plug-ins that this one asks; called once, at the start."""
+        """Look up the plug-ins that this one depends on; called once at startup."""
 
     @singledispatchmethod
     def handle(self, message: Message, context: "Context") -> None:
-        """React to a message; types that nobody registered are not delivered."""
+        """Handle a message; unregistered types are not delivered."""
 
 
 class Proceed(msgspec.Struct, frozen=True):
-    """The stage has no objection."""
+    """The stage accepts the request."""
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """The stage waits for something and will post `StageCleared`."""
+    """The stage needs more time and will post `StageCleared`."""
 
 
 class Refuse(msgspec.Struct, frozen=True):
-    """The request ends here.
+    """The request is rejected.
 
     `outcome` is NOT_RUN unless the stage knows of an earlier run.
     """
@@ -67,21 +67,21 @@
 
 
 class Bypass(msgspec.Struct, frozen=True):
-    """The request goes to the placers at once; later stages don't review it.
+    """The request goes straight to the placers; later stages are skipped.
 
-    For a request that brings no new work: it is answered by a run that exists.
+    For a request that adds no load because an existing run answers it.
     """
 
 
 class Answered(msgspec.Struct, frozen=True):
-    """The stage has had the whole answer delivered; the request ends here."""
+    """The stage has delivered the whole answer; the request is complete."""
 
 
 ReviewDecision = Proceed | Hold | Refuse | Bypass | Answered
 
 
 class StageCleared(Message, frozen=True):
-    """A stage that held a request has come to its verdict."""
+    """A stage has decided on a request that it held."""
 
     request_id: str
     stage: str
@@ -89,30 +89,30 @@
 
 
 class Stage(Plugin):
-    """Looks at each new request once, in the order of `order`."""
+    """Reviews each new request once, in ascending `order`."""
 
     order: ClassVar[int] = 50
 
     def review(self, record: "RequestRecord", context: "Context") -> ReviewDecision:
-        """Return whether the request goes on."""
+        """Return the decision on the request."""
         raise NotImplementedError
 
 
 class NotApplicable(msgspec.Struct, frozen=True):
-    """The placer leaves this request to the next one."""
+    """The placer does not handle this request; the next one is asked."""
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """No endpoint should take the request now; it stays in the queue.
+    """No endpoint should run the request now; it stays queued.
 
-    `reason` tells which queue bound was met, for metrics.
+    `reason` names the queue limit that was reached, for metrics.
     """
 
     reason: str
 
 
 class PlaceOn(msgspec.Struct, frozen=True):
-    """Dispatch to this endpoint now."""
+    """Dispatch the request to this endpoint now."""
 
     endpoint: EndpointId
     incarnation: Incarnation
@@ -128,44 +128,44 @@
 
 
 class PlacementPending(msgspec.Struct, frozen=True):
-    """The placer works on it and will post `Placed` or `PlacementFailed`."""
+    """The placement is asynchronous; `Placed` or `PlacementFailed` will follow."""
 
 
 Placement = NotApplicable | Wait | PlaceOn | PlacementPending | Refuse
 
 
 class Placed(Message, frozen=True):
-    """A placer that had a request in hand has found its place."""
+    """A pending placement has succeeded."""
 
     request_id: str
     place: PlaceOn
 
 
 class PlacementFailed(Message, frozen=True):
-    """A placer gives a request that it had in hand back to the queue."""
+    """A pending placement has failed; the request is queued again or refused."""
 
     request_id: str
     refuse: Refuse | None = None
 
 
 class Placer(Plugin):
-    """Chooses where a waiting request runs, in the order of `order`."""
+    """Chooses an endpoint for a waiting request, in ascending `order`."""
 
     order: ClassVar[int] = 50
 
     def place(self, record: "RequestRecord", context: "Context") -> Placement:
-        """Return the placement, or that another placer should decide."""
+        """Return the placement, or `NotApplicable` to ask the next placer."""
         raise NotImplementedError
 
 
 class RetryLater(msgspec.Struct, frozen=True):
-    """Run a further attempt after a pause."""
+    """Retry after a delay."""
 
     pause: "timedelta"
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """Answer the caller at once."""
+    """Do not retry; report the problem to the caller."""
 
     problem: Problem
 
@@ -174,31 +174,31 @@
 
 
 class RetryPolicy(Plugin):
-    """Decides what follows a failed attempt."""
+    """Decides whether a failed attempt is retried."""
 
     def decide(
         self, record: "RequestRecord", failure: AttemptFailed, context: "Context"
     ) -> RetryDecision:
-        """Return whether and when to try again."""
+        """Return whether and when to retry."""
         raise NotImplementedError
 
 
 class RequestConcluded(Message, frozen=True):
-    """A request's life has ended; told to plug-ins that learn or clean up."""
+    """A request has ended; for plug-ins that collect statistics or clean up."""
 
     record: "RequestRecord"
     conclusion: Conclude
 
 
 class CompletionCleared(Message, frozen=True):
-    """A finisher that held a whole answer lets its end go out."""
+    """A finisher that held a whole answer releases its completion."""
 
     request_id: str
     retention: Retention
 
 
 class Finisher(Plugin):
-    """May hold the end of a whole answer, after its last token went out."""
+    """May delay the completion of an answer after its last token was sent."""
 
     def finish(self, record: "RequestRecord", context: "Context") -> Proceed | Hold:
         """Return whether the request may be concluded now.
@@ -212,14 +212,15 @@
     """Orders the requests that wait for an endpoint."""
 
     def rank(self, record: "RequestRecord", now: "timedelta") -> float:
-        """Return the request's place; lower goes first."""
+        """Return the request's rank; the lowest goes first."""
         raise NotImplementedError
 
     def lane(self, record: "RequestRecord") -> str:
-        """Return a name for the requests that wait for the same kind of room.
+        """Return the name of the group that competes for the same kind of capacity.
 
-        When some of a lane find no room, the rest of it is not tried just then; the
-        other lanes are. Otherwise a few long prompts at the head would keep all
-        short ones behind them waiting beside idle endpoints.
+        When several requests of a lane can't be placed, the rest of the lane is
+        skipped in this pass and the other lanes are tried. Otherwise a few long
+        prompts at the head of the queue would block short ones although endpoints
+        are idle.
         """
         return ""
--- a/src/mimosafork/kernel/queue.py
+++ b/src/mimosafork/kernel/queue.py
@@ -9,24 +9,24 @@
 class WaitingQueue:
     """Waiting requests, grouped by target in order of arrival.
 
-    A discipline ranks them when they are taken; a request's rank changes with
-    time, so no heap is kept.
+    The queue discipline ranks them at placement time. Ranks change over time, so no
+    heap is kept.
     """
 
     def __init__(self) -> None:
         self.by_target: dict[ModelId | ServiceId, dict[RequestId, RequestRecord]] = {}
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(len(group) for group in self.by_target.values())
 
     def add(self, record: RequestRecord) -> None:
-        """Put a request at the end of its target's group."""
+        """Append a request to its target's group."""
         group = self.by_target.setdefault(record.request.target, {})
         group[record.request_id] = record
 
     def remove(self, record: RequestRecord) -> None:
-        """Take a request out; it need not be in."""
+        """Remove a request, if it is queued."""
         group = self.by_target.get(record.request.target)
         if group is None:
             return
--- a/src/mimosafork/kernel/records.py
+++ b/src/mimosafork/kernel/records.py
@@ -1,4 +1,4 @@
-"""Records of requests that the kernel has not concluded."""
+"""Records of open requests."""
 
 from datetime import timedelta
 from enum import Enum
@@ -21,7 +21,7 @@
 
 
 class RequestState(Enum):
-    """Where a request is in its life."""
+    """Lifecycle state of a request."""
 
     REVIEWING = "reviewing"
     HELD = "held"
@@ -31,16 +31,16 @@
     PAUSED = "paused"
     """Between two attempts."""
     FINISHING = "finishing"
-    """The whole answer went out; a finisher holds its end."""
+    """The whole answer was sent; a finisher delays its completion."""
 
 
 class Attempt(msgspec.Struct):
-    """One try of a request on an endpoint.
+    """One attempt of a request on an endpoint.
 
     Attributes
     ----------
     unsent : bool
-        It is known that nothing of it has been sent yet.
+        Nothing of it has been sent yet, for certain.
     """
 
     number: AttemptNumber
@@ -55,19 +55,19 @@
 
     @property
     def exposure(self) -> Exposure:
-        """How far the attempt can have reached; POSSIBLE while it runs."""
+        """How far the attempt may have got; POSSIBLE once anything may be sent."""
         if self.failure is None:
             return Exposure.NEVER_SENT if self.unsent else Exposure.POSSIBLE
         return self.failure.exposure
 
 
 class HeldClaim(msgspec.Struct):
-    """The claim on a request's key that this instance holds.
+    """Claim on a request's idempotency key that this instance holds.
 
     Attributes
     ----------
     settled : bool
-        The store has confirmed it.
+        The store has confirmed the claim.
     """
 
     key: ClaimKey
@@ -76,32 +76,32 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """A request and what has happened to it so far.
+    """A request and its progress so far.
 
     Attributes
     ----------
     submitted_at : timedelta
-        Monotonic instant.
+        Monotonic time of arrival.
     predicted_first_token : timedelta or None
-        What admission expected, counted from `submitted_at`.
+        Time to first token expected by admission, relative to `submitted_at`.
     avoid : set of EndpointId
         Endpoints on which an attempt failed.
     claim : HeldClaim or None
-        Set while this instance owns the run under the request's key.
-    shared_run : PlaceOn or None
-        Where a run that another call started under the same key is attached to.
-        It is not this request's to cancel.
-    run_elsewhere : bool
-        Another call under the same key may have run it.
-    stream_base : str or None
-        Beginning of the ids of its streams, which every instance derives from its
-        key; None for a request without one, whose own id stands in.
+        Set while this instance owns the run for the request's key.
+    attached_run : PlaceOn or None
+        Location of a run that another call with the same key started and this
+        request is attached to. This request must not cancel it.
+    may_have_run_elsewhere : bool
+        Another call with the same key may have run it.
+    stream_id_prefix : str or None
+        Prefix of its stream ids, which every instance derives from the key; None
+        for a request without a key, which uses its request id.
     caller_gone : bool
-        The run goes on for its kept answer.
-    part_run : bool
+        The caller disconnected; the run continues so that its answer is kept.
+    prefill_may_have_run : bool
         A part of the prompt may have been prefilled before any attempt.
     hedged : Attempt or None
-        An earlier attempt that is silent and stays open until a later one answers.
+        An earlier, silent attempt that stays open until a later one answers.
     """
 
     request: Request
@@ -132,31 +132,31 @@
 
     @property
     def is_shareable(self) -> bool:
-        """Whether the run may answer other calls under the same key.
+        """Whether the run may answer other calls with the same key.
 
-        That of another call does. So does the one run of a non-idempotent request:
-        its caller may come back for it, and there will be no other.
+        True for an attached run, and for a claimed non-idempotent request: its caller
+        may reconnect for the answer, and the request is never run again.
         """
         once = self.request.repeatability is Repeatability.NON_IDEMPOTENT
         return self.attached_run is not None or (once and self.claim is not None)
 
     @property
     def has_received_token(self) -> bool:
-        """Whether a token of the answer is known to have come.
+        """Whether a token of the answer is known to have arrived.
 
-        How many an open attempt has delivered is told only when it ends; that its
-        first one came is told at once.
+        The token count of an open attempt is reported only at its end; its first token
+        is reported immediately.
         """
         begun = any(attempt.first_token_at is not None for attempt in self.attempts)
         return begun or self.delivered_tokens > 0
 
     def outcome_if_ended(self) -> Outcome:
-        """Return the honest outcome if the request ended now without its answer.
+        """Return the outcome to report if the request ends now without its answer.
 
-        NOT_RUN needs every attempt to be surely unexposed, and no run of another
-        call behind this one. A possible run of a non-idempotent request is
-        UNKNOWN: "failed" would invite its caller to send it again. So is one whose
-        attempt is still open and silent.
+        NOT_RUN requires that no attempt can have run, and that no other call with the
+        same key may have run it. A possible run of a non-idempotent request is
+        UNKNOWN, because FAILED would invite the caller to resend it. A request with
+        an open attempt that has not sent a token is UNKNOWN too.
         """
         if self.may_have_run_elsewhere or self.attached_run is not None:
             return Outcome.UNKNOWN
--- a/src/mimosafork/kernel/registry.py
+++ b/src/mimosafork/kernel/registry.py
@@ -1,7 +1,7 @@
-"""Registry in which plug-ins enter themselves.
+"""Plug-in registry.
 
-A plug-in module decorates its class; importing the module is registering it.
-`mimosafork.policies` imports the ones that ship with the product.
+A plug-in class is registered by its decorator when its module is imported.
+`mimosafork.policies` imports the built-in plug-ins.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,18 +16,18 @@
 
 
 def register(name: str) -> Callable[[P], P]:
-    """Return a decorator that enters a plug-in class under `name`.
+    """Return a decorator that registers a plug-in class under `name`.
 
     Raises
     ------
     DuplicatePluginError
-        If another class has that name.
+        If another class is registered under that name.
     """
 
     def enter(plugin: P) -> P:
         known = _PLUGINS.get(name)
         if known is not None and known is not plugin:
-            raise DuplicatePluginError(f"two plug-ins are called {name!r}")
+            raise DuplicatePluginError(f"two plug-ins are registered as {name!r}")
         _PLUGINS[name] = plugin
         plugin.name = name
         return plugin
@@ -36,12 +36,12 @@
 
 
 def create(names: Iterable[str]) -> list[Plugin]:
-    """Make one plug-in of each name, in the order given.
+    """Create one plug-in for each name, in the given order.
 
     Raises
     ------
     UnknownPluginError
-        If nobody registered a name.
+        If a name is not registered.
     """
     plugins = []
     for name in names:
--- a/tests/support/kernels.py
+++ b/tests/support/kernels.py
@@ -1,4 +1,4 @@
-"""Kernels with a small fleet and a clock that moves only when told to."""
+"""Kernel test harness with a small fleet and a manual clock."""
 
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
@@ -58,12 +58,12 @@
 
 @dataclass
 class Bench:
-    """A kernel and what it has emitted.
+    """A kernel, its clock and its emitted effects.
 
     Attributes
     ----------
     effects : list of Effect
-        Everything emitted so far, oldest first.
+        All emitted effects, oldest first.
     """
 
     kernel: Kernel
@@ -72,7 +72,7 @@
     sequence: int = 0
 
     def handle(self, message: Message) -> list[Effect]:
-        """Handle a message; return and keep the effects."""
+        """Handle a message; record and return the effects."""
         emitted = self.kernel.handle(message)
         self.effects.extend(emitted)
         return emitted
@@ -82,16 +82,16 @@
         return self.handle(Submit(request))
 
     def handle_after(self, step: timedelta, message: Message) -> list[Effect]:
-        """Let time pass, then handle a message."""
+        """Advance the clock, then handle a message."""
         self.clock.advance(step)
         return self.handle(message)
 
     def emitted(self, kind: type[E]) -> list[E]:
-        """Return all effects of a type so far."""
+        """Return all recorded effects of a type."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
     def conclusion(self, request_id: str) -> Conclude | None:
-        """Return the final answer of a request, which must be at most one."""
+        """Return the final answer of a request; fail if there are several."""
         found = [
             effect
             for effect in self.emitted(Conclude)
@@ -101,7 +101,7 @@
         return found[0] if found else None
 
     def dispatches(self, request_id: str) -> list[Dispatch]:
-        """Return the attempts of a request."""
+        """Return the dispatched attempts of a request."""
         return [
             effect
             for effect in self.emitted(Dispatch)
@@ -109,14 +109,14 @@
         ]
 
     def report(self, endpoint: str, **changes: object) -> list[Effect]:
-        """Deliver a load report of an idle engine, with changes."""
+        """Deliver a load report of an idle engine with some fields changed."""
         self.sequence += 1
         base = load_report(endpoint, self.sequence)
         return self.handle(LoadReported(replace(base, **changes)))
 
 
 def load_report(endpoint: str, sequence: int) -> LoadReport:
-    """Return the report of an idle engine that serves the model."""
+    """Return a load report of an idle engine that serves the model."""
     return LoadReport(
         endpoint=EndpointId(endpoint),
         incarnation=Incarnation(1),
@@ -136,7 +136,7 @@
 def engine_entry(
     endpoint: str, zone: str = ZONE, incarnation: int = 1
 ) -> EndpointEntry:
-    """Return a live model engine as the platform lists it."""
+    """Return the list entry of a live model engine."""
     return EndpointEntry(
         endpoint=EndpointId(endpoint),
         kind=EndpointKind.MODEL_ENGINE,
@@ -148,7 +148,7 @@
 
 
 def service_entry(endpoint: str) -> EndpointEntry:
-    """Return a live plain service as the platform lists it."""
+    """Return the list entry of a live plain service."""
     engine = engine_entry(endpoint)
     return replace(engine, kind=EndpointKind.PLAIN_SERVICE, service=SERVICE)
 
@@ -196,7 +196,7 @@
     exposure: Exposure = Exposure.POSSIBLE,
     delivered_tokens: int = 0,
 ) -> AttemptFailed:
-    """Return the message that an attempt of a request has failed."""
+    """Return a failure message for an attempt of a request."""
     return AttemptFailed(
         RequestId(name), AttemptNumber(attempt), kind, exposure, delivered_tokens
     )
@@ -209,9 +209,9 @@
     settings: Configuration | None = None,
     seed: int = 7,
 ) -> Iterator[Bench]:
-    """Give a kernel that knows its configuration and endpoints.
+    """Yield a kernel that has its configuration and endpoints.
 
-    Model engines have reported that they are idle.
+    All model engines have reported that they are idle.
     """
     clock = ManualClock()
     identity = InstanceIdentity(InstanceId("i1"), Incarnation(1), ZONE)
--- a/tests/support/policies.py
+++ b/tests/support/policies.py
@@ -1,4 +1,4 @@
-"""Kernels with the shipped policies, in whatever choice a test needs."""
+"""Kernels with a selection of the built-in policies."""
 
 from collections.abc import Sequence
 from contextlib import AbstractContextManager
@@ -31,16 +31,16 @@
     settings: Configuration | None = None,
     seed: int = 7,
 ) -> AbstractContextManager[Bench]:
-    """Give a kernel with plug-ins made by name."""
+    """Return a context manager of a kernel with the named plug-ins."""
     return running_kernel(registry.create(names), endpoints, settings, seed)
 
 
 def only_dispatch(bench: Bench, name: str) -> Dispatch:
-    """Return the one attempt of a request, which must be there."""
+    """Return the attempt of a request; fail unless there is exactly one."""
     (dispatch,) = bench.dispatches(name)
     return dispatch
 
 
 def tick(bench: Bench, seconds: float = 0.05) -> None:
-    """Let time pass and the kernel look at its timers."""
+    """Advance the clock and send a timer tick."""
     bench.handle_after(timedelta(seconds=seconds), Tick())
--- a/tests/support/recorder.py
+++ b/tests/support/recorder.py
@@ -1,4 +1,4 @@
-"""Record how each test of a ``unittest`` run ended."""
+"""Record the outcome of each test of a ``unittest`` run."""
 
 import faulthandler
 import sys
@@ -12,7 +12,7 @@
 
 
 class TestStatus(Enum):
-    """How one test ended."""
+    """Status of a finished test."""
 
     PASSED = "passed"
     FAILED = "failed"
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TestOutcome:
-    """One test that ran.
+    """Outcome of one test.
 
     Parameters
     ----------
     test : str
         The identifier, ``module.function``.
-    status : Status
-        How it ended.
+    status : TestStatus
+        Its status.
     duration_s : float
-        Seconds it took.
+        Duration in seconds.
     detail : str
         The traceback or the reason, empty if it passed.
     """
@@ -42,21 +42,21 @@
 
     @property
     def passed(self) -> bool:
-        """Say whether the test counts as passed; a skipped one does not."""
+        """Whether the test passed; a skipped test did not."""
         return self.status is TestStatus.PASSED
 
 
 class TestRecorder(unittest.TestResult):
-    """Report an `Outcome` for each test as soon as it ends.
+    """Report a `TestOutcome` for each test as soon as it ends.
 
-    A test that hangs would keep the whole run from ending: once a test exceeds
-    ``TEST_LIMIT_S`` the stacks of all threads are printed and its worker process
-    exits, which the parent counts as a failure.
+    A hanging test would block the whole run. Once a test exceeds ``TEST_LIMIT_S``, the
+    stacks of all threads are printed and its worker process exits, which the parent
+    process counts as a failure.
 
     Parameters
     ----------
     report : Callable
-        Is given each outcome.
+        Called with each outcome.
     """
 
     def __init__(self, report: Callable[[TestOutcome], None]) -> None:
@@ -72,7 +72,7 @@
         self.problem_details = []
         self.skip_reason = None
         self.started = time.monotonic()
-        # The buffer of this class has no descriptor to dump to; the real one has.
+        # The buffered stderr has no file descriptor; the original one has.
         faulthandler.dump_traceback_later(
             TEST_LIMIT_S, exit=True, file=sys.__stderr__ or 2
         )
@@ -83,19 +83,19 @@
         self.report(self.outcome_of(test.id(), time.monotonic() - self.started))
 
     def outcome_of(self, test: str, duration_s: float) -> TestOutcome:
-        """Sum up what the test reported while it ran.
+        """Return the outcome of a test from its recorded problems.
 
         Parameters
         ----------
         test : str
             The identifier.
         duration_s : float
-            Seconds it took.
+            Duration in seconds.
 
         Returns
         -------
-        Outcome
-            Failed if anything failed, even if a part was skipped too.
+        TestOutcome
+            Failed if any part failed, even if another part was skipped.
         """
         if self.problem_details:
             detail = "\n".join(self.problem_details)
@@ -109,7 +109,7 @@
         detail = self.errors[-1][1]
         if isinstance(test, unittest.TestCase):
             self.problem_details.append(detail)
-        else:  # a module's or class's own set-up, which no test stands for
+        else:  # set-up of a module or class, which belongs to no test
             self.report(TestOutcome(test.id(), TestStatus.FAILED, detail=detail))
 
     def addFailure(self, test, err) -> None:  # type: ignore[no-untyped-def] # noqa: N802, D102
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -1,4 +1,4 @@
-"""Requests for tests that only care for some of their members."""
+"""Factory of requests for tests that need only some of the fields."""
 
 from datetime import timedelta
 
@@ -14,16 +14,16 @@
     repeatability: Repeatability = Repeatability.IDEMPOTENT,
     prompt_tokens: int = 1000,
 ) -> Request:
-    """Return a request for a model.
+    """Return a model request.
 
     Parameters
     ----------
     name : str
-        Its id.
+        Request id.
     deadline : timedelta
-        Monotonic instant.
+        Monotonic time.
     body : str
-        Stands for its content; by default a content of its own.
+        Stands for the content; defaults to a unique one.
     """
     return Request(
         request_id=RequestId(name),
--- a/tests/unit/kernel/test_faults.py
+++ b/tests/unit/kernel/test_faults.py
@@ -1,4 +1,4 @@
-"""A plug-in that raises costs nobody else anything, and nobody waits for ever."""
+"""Exceptions in plug-ins affect only their own request and leave no caller waiting."""
 
 from contextlib import AbstractContextManager
 from datetime import timedelta
@@ -68,7 +68,7 @@
 
 
 class CountingListener(Plugin):
-    """Counts the ticks that it hears."""
+    """Counts received ticks."""
 
     def __init__(self) -> None:
         self.ticks = 0
@@ -83,10 +83,10 @@
 
 
 class BrokenStage(Stage):
-    """Raises for the poison."""
+    """Raises for the request `POISON`."""
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
-        """Raise, or let the request on."""
+        """Raise for `POISON`, otherwise proceed."""
         if record.request_id == POISON:
             raise PluginBrokenError
         return Proceed()
@@ -101,7 +101,7 @@
 
 
 class BrokenPlacer(Placer):
-    """Raises for the poison once it is armed, and leaves all else to others."""
+    """Raises for the request `POISON` when armed, otherwise passes."""
 
     order = 1
 
@@ -109,26 +109,26 @@
         self.armed = False
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Raise, or pass on."""
+        """Raise for `POISON`, otherwise pass."""
         if self.armed and record.request_id == POISON:
             raise PluginBrokenError
         return NotApplicable()
 
 
 class BrokenDiscipline(FirstCome):
-    """Can't rank the poison once it is armed."""
+    """Raises for the request `POISON` when armed."""
 
     armed = False
 
     def rank(self, record: RequestRecord, now: timedelta) -> float:
-        """Raise, or rank."""
+        """Raise for `POISON`, otherwise rank."""
         if self.armed and record.request_id == POISON:
             raise PluginBrokenError
         return super().rank(record, now)
 
 
 class BrokenFinisher(Finisher):
-    """Raises at each end."""
+    """Raises whenever an answer is complete."""
 
     def finish(self, record: RequestRecord, context: Context) -> Proceed | Hold:
         """Raise."""
@@ -136,7 +136,7 @@
 
 
 class BrokenRetry(RetryPolicy):
-    """Raises at each failure."""
+    """Raises at each failed attempt."""
 
     def decide(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
@@ -146,7 +146,7 @@
 
 
 def kernel_with(*plugins: Plugin, engines: int = 1) -> AbstractContextManager[Bench]:
-    """Give a kernel of the simplest plug-ins and some broken ones, these first."""
+    """Return a kernel with the simplest plug-ins, preceded by the given ones."""
     found = list(plugins)
     usual = [KnownTarget(), LeastRequests(), FirstCome(), BoundedRetry()]
     roles = (RetryPolicy, FirstCome)
@@ -166,12 +166,12 @@
     assert RequestId(name) not in bench.kernel.state.requests
 
 
-def test_a_tick_that_fails_in_one_plug_in_still_ends_late_requests() -> None:
-    """Callers hang and endpoints work on for nobody.
+def test_requests_expire_although_a_plugin_raises_at_the_tick() -> None:
+    """Effects decided before a plug-in raises must not be lost.
 
-    A tick ended the late requests; then a plug-in raised at the same tick, and what
-    had been decided was lost with it: the kernel had forgotten requests whose callers
-    were never told, and whose attempts were never cancelled.
+    A tick ended expired requests, then a plug-in raised at the same tick and the
+    effects were discarded: callers never got an answer, and attempts were never
+    cancelled.
     """
     counting = CountingListener()
     with kernel_with(BrokenListener(), counting) as bench, expected_faults() as faults:
@@ -183,7 +183,7 @@
         assert {type(fault) for fault in faults} == {PluginBrokenError}
 
 
-def test_a_stage_that_raises_has_the_caller_told_at_once() -> None:
+def test_request_is_concluded_at_once_when_a_stage_raises() -> None:
     with kernel_with(BrokenStage()) as bench, expected_faults() as faults:
         bench.submit(model_request(POISON))
         bench.submit(model_request("sound"))
@@ -192,11 +192,11 @@
         assert len(faults) == 1
 
 
-def test_a_waiting_request_that_breaks_the_placer_stops_no_other() -> None:
-    """One request has all others of its target wait until their deadlines.
+def test_request_that_breaks_the_placer_does_not_block_others() -> None:
+    """A failing request must not block the queue of its target.
 
-    A placer raised for a request in the queue at each tick, and the requests behind
-    it were never tried again.
+    A placer raised for a queued request at each tick, and the requests behind it were
+    never tried again until their deadlines.
     """
     placer = BrokenPlacer()
     with kernel_with(placer, engines=0) as bench, expected_faults() as faults:
@@ -211,7 +211,7 @@
         assert len(faults) == 1
 
 
-def test_a_request_that_can_not_be_ranked_stops_no_other() -> None:
+def test_request_that_cannot_be_ranked_does_not_block_others() -> None:
     discipline = BrokenDiscipline()
     with kernel_with(discipline, engines=0) as bench, expected_faults() as faults:
         bench.submit(model_request(POISON))
@@ -225,12 +225,12 @@
 
 
 def add_engine(bench: Bench) -> None:
-    """Have one engine come up."""
+    """Add an engine to the fleet."""
     bench.handle(InstancesListed((engine_entry("e9"),), ()))
     bench.report("e9")
 
 
-def test_a_retry_that_can_not_be_decided_promises_no_more_than_is_known() -> None:
+def test_failed_retry_decision_reports_only_what_is_known() -> None:
     cases = (
         (Exposure.POSSIBLE, Outcome.FAILED),
         (Exposure.NEVER_SENT, Outcome.NOT_RUN),
@@ -243,7 +243,7 @@
             assert len(faults) == 1
 
 
-def test_a_whole_answer_stays_whole_when_a_finisher_raises() -> None:
+def test_complete_answer_stays_completed_when_a_finisher_raises() -> None:
     with kernel_with(BrokenFinisher()) as bench, expected_faults() as faults:
         bench.submit(model_request("r"))
         bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(1)))
@@ -253,7 +253,7 @@
         assert len(faults) == 1
 
 
-def test_a_running_request_goes_on_after_a_listener_has_failed() -> None:
+def test_running_request_continues_when_a_listener_raises() -> None:
     with kernel_with(BrokenListener()) as bench, expected_faults() as faults:
         bench.submit(model_request("r"))
         bench.handle(FirstToken(RequestId("r"), AttemptNumber(1)))
@@ -265,8 +265,8 @@
         assert len(faults) == 2
 
 
-def test_a_request_in_a_plug_ins_hands_is_ended_when_one_raises() -> None:
-    """A caller waits until its deadline for a word that no plug-in will say."""
+def test_held_request_is_ended_when_a_plugin_raises() -> None:
+    """A held request must not wait until its deadline for a failed plug-in."""
     with (
         kernel_with(BrokenListener(), HoldingStage()) as bench,
         expected_faults() as faults,
@@ -276,7 +276,7 @@
         assert len(faults) == 1
 
 
-def test_an_attempt_that_could_not_be_made_is_not_made_again() -> None:
+def test_attempt_that_cannot_be_built_is_not_retried() -> None:
     cases = (
         (Exposure.POSSIBLE, Outcome.FAILED),
         (Exposure.NEVER_SENT, Outcome.NOT_RUN),
--- a/tests/unit/kernel/test_request_life.py
+++ b/tests/unit/kernel/test_request_life.py
@@ -1,4 +1,4 @@
-"""The life of a request, step by step."""
+"""Steps of the request lifecycle."""
 
 from contextlib import AbstractContextManager
 from datetime import timedelta
@@ -87,13 +87,13 @@
         return Hold()
 
 
-class HandPlacer(Placer):
-    """Takes every request in hand, before other placers."""
+class PendingPlacer(Placer):
+    """Leaves every placement pending, before other placers."""
 
     order = 10
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Take in hand."""
+        """Leave the placement pending."""
         return PlacementPending()
 
 
@@ -102,7 +102,7 @@
     retry: RetryPolicy | None = None,
     endpoints: tuple[str, ...] = ("e1", "e2"),
 ) -> AbstractContextManager[Bench]:
-    """Give a kernel with the simplest plug-ins and two engines."""
+    """Return a kernel with the simplest plug-ins and two engines."""
     plugins = [
         KnownTarget(),
         LeastRequests(),
@@ -140,10 +140,10 @@
 
 
 def test_retry_avoids_the_failed_endpoint_and_resumes_at_the_offset() -> None:
-    """A caller sees its answer stop for a moment and then go on.
+    """A retry resumes the answer on another engine.
 
-    The first engine's connection breaks after seven tokens. The second attempt
-    goes to the other engine and asks for token eight on.
+    The first engine's connection breaks after seven tokens. The second attempt goes
+    to the other engine with offset seven.
     """
     with plain_kernel() as bench:
         bench.submit(model_request("r"))
@@ -162,10 +162,10 @@
 
 
 def test_late_messages_of_an_older_attempt_change_nothing() -> None:
-    """An answer would be called whole although it was cut off.
+    """A truncated answer must not be reported as complete.
 
-    The first attempt is given up and a second one runs; then the first one's
-    end arrives late. Only the second one's messages count.
+    The first attempt has failed and a second one runs when the end of the first one
+    arrives late. Only the messages of the second one count.
     """
     with plain_kernel(retry=ScriptedRetry(pause=timedelta(0))) as bench:
         bench.submit(model_request("r"))
@@ -197,10 +197,9 @@
 
 
 def test_not_run_is_said_only_when_no_attempt_can_have_run() -> None:
-    """A caller resends after "not run" and its request runs twice.
+    """A wrong NOT_RUN makes the caller resend, and the request runs twice.
 
-    Two attempts fail. Only if neither can have reached its endpoint may the
-    caller be told that nothing was run.
+    After two failed attempts NOT_RUN may be reported only if neither can have run.
     """
     cases = [
         (Exposure.NEVER_SENT, Exposure.NEVER_SENT, Outcome.NOT_RUN),
@@ -221,10 +220,10 @@
 
 
 def test_possible_run_of_a_non_idempotent_request_is_unknown() -> None:
-    """A treasurer is told "failed", files again, and two drafts exist.
+    """A wrong FAILED makes the caller resend a non-idempotent request.
 
-    The connection broke after the request left. Whether the draft was made is
-    not known, and for a call that must not run twice the answer has to say so.
+    The connection broke after the request was sent, so it may have run. The outcome
+    must be UNKNOWN.
     """
     with plain_kernel(retry=ScriptedRetry(attempts=1)) as bench:
         request = model_request("r", repeatability=Repeatability.NON_IDEMPOTENT)
@@ -273,23 +272,23 @@
         assert len(bench.dispatches("r")) == 1
 
 
-def test_a_request_whose_connection_is_being_opened_was_not_run() -> None:
-    """A caller may not send its request again though nothing of it went out.
+def test_request_is_not_run_while_its_connection_is_opening() -> None:
+    """A request that was never sent must be reported as NOT_RUN.
 
-    The deadline passed while the first connection to the endpoint was opened. The
-    attempt was open, so it counted as one that may have run.
+    The deadline passed while the first connection to the endpoint was being opened.
+    The open attempt was counted as possibly run.
     """
     once = Repeatability.NON_IDEMPOTENT
     opening = ConnectionOpening(RequestId("r"), AttemptNumber(1))
     sent = AttemptSent(RequestId("r"), AttemptNumber(1))
-    for told, outcome in (
+    for messages, outcome in (
         ([], Outcome.UNKNOWN),
         ([opening], Outcome.NOT_RUN),
         ([opening, sent], Outcome.UNKNOWN),
     ):
         with plain_kernel() as bench:
             bench.submit(model_request("r", repeatability=once))
-            for message in told:
+            for message in messages:
                 bench.handle(message)
             bench.handle_after(timedelta(seconds=61), Tick())
             conclusion = bench.conclusion("r")
@@ -298,7 +297,7 @@
             assert len(bench.emitted(CancelAttempt)) == 1
 
 
-def test_caller_gone_cancels_the_attempt() -> None:
+def test_caller_disconnect_cancels_the_attempt() -> None:
     with plain_kernel() as bench:
         bench.submit(model_request("r"))
         bench.handle(CallerGone(RequestId("r")))
@@ -333,8 +332,8 @@
         assert not bench.emitted(Dispatch)
 
 
-def test_placer_that_has_a_request_in_hand_places_it_later() -> None:
-    with plain_kernel(HandPlacer()) as bench:
+def test_pending_placement_is_dispatched_when_placed() -> None:
+    with plain_kernel(PendingPlacer()) as bench:
         bench.submit(model_request("r"))
         bench.handle(Tick())
         assert not bench.dispatches("r")
@@ -346,7 +345,7 @@
 
 
 def test_failed_placement_refuses_or_goes_back_to_the_queue() -> None:
-    with plain_kernel(HandPlacer()) as bench:
+    with plain_kernel(PendingPlacer()) as bench:
         bench.submit(model_request("back"))
         bench.handle(PlacementFailed("back"))
         assert bench.kernel.state.waiting.waiting_for(model_request("x").target)
@@ -358,7 +357,7 @@
         assert conclusion.outcome is Outcome.NOT_RUN
 
 
-def test_waiting_request_is_dispatched_when_an_endpoint_comes_back() -> None:
+def test_waiting_request_is_dispatched_when_an_endpoint_recovers() -> None:
     with plain_kernel(endpoints=("e1",)) as bench:
         bench.handle(ProbeFailed(engine_entry("e1").endpoint))
         bench.submit(model_request("r"))
@@ -379,12 +378,12 @@
         assert bench.dispatches("r")[1].endpoint != first.endpoint
 
 
-def test_endpoint_that_refuses_connections_is_left_until_it_answers() -> None:
-    """An engine dies, and the callers whose answers it cut are let down.
+def test_endpoint_that_refuses_connections_is_avoided_until_it_answers() -> None:
+    """A crashed engine must not use up the retries of its callers.
 
-    Each comes back to it: the connection is refused at once, again and again,
-    until the attempts are used up, all before the next probe. The cause: what an
-    attempt has seen of the engine was kept from all others.
+    Each retry went to the crashed engine and was refused at once, until the attempts
+    were used up before the next probe, because a refused connection was not recorded
+    for other attempts.
     """
     with plain_kernel() as bench:
         bench.submit(model_request("first"))
@@ -408,18 +407,18 @@
         assert bench.dispatches("r")[0].stream_id == StreamId("r.1")
 
 
-def test_plugin_hears_what_its_base_class_listens_to() -> None:
-    """A plug-in derived from another hears nothing, and learns nothing.
+def test_plugin_inherits_message_handlers() -> None:
+    """A derived plug-in must receive the messages that its base class handles.
 
-    The kernel looked for handlers in the class itself only and took a derived
-    class for one without any.
+    The kernel looked for handlers only in the class itself, and treated a derived
+    class as one without handlers.
     """
 
     class Base(Plugin):
-        """Keeps ticks."""
+        """Records ticks."""
 
         def __init__(self) -> None:
-            self.heard: list[Message] = []
+            self.received: list[Message] = []
 
         @singledispatchmethod
         def handle(self, message: Message, context: Context) -> None:
@@ -427,7 +426,7 @@
 
         @handle.register
         def _(self, message: Tick, context: Context) -> None:
-            self.heard.append(message)
+            self.received.append(message)
 
     class Derived(Base):
         """Adds nothing."""
@@ -435,25 +434,25 @@
     derived = Derived()
     with plain_kernel(derived) as bench:
         bench.handle(Tick())
-        assert derived.heard == [Tick()]
+        assert derived.received == [Tick()]
 
 
-class SecondInHand(Placer):
-    """Sends the first attempt to an engine, and takes further ones in hand."""
+class SecondAttemptPendingPlacer(Placer):
+    """Places the first attempt; leaves the placement of later ones pending."""
 
     order = 10
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Place the first attempt, or take in hand."""
+        """Place the first attempt, leave later ones pending."""
         return PlacementPending() if record.attempts else place_on("e1")
 
 
-def test_a_hedged_answer_that_ends_while_another_place_is_prepared_counts() -> None:
-    """A call whose caller has its whole answer is sent again, and stays open.
+def test_hedged_answer_that_finishes_during_a_pending_placement_counts() -> None:
+    """A call with a complete answer was dispatched again and stayed open.
 
-    Its silent attempt went on and ended while a placer had the call in hand.
+    Its silent attempt resumed and finished while another placement was pending.
     """
-    with plain_kernel(SecondInHand()) as bench:
+    with plain_kernel(SecondAttemptPendingPlacer()) as bench:
         bench.submit(model_request("r"))
         bench.handle(FirstToken(RequestId("r"), AttemptNumber(1)))
         silent = AttemptHedged(
--- a/tests/unit/kernel/test_stopping.py
+++ b/tests/unit/kernel/test_stopping.py
@@ -1,4 +1,4 @@
-"""What the kernel does while its instance stops."""
+"""Behaviour of the kernel during shutdown."""
 
 from contextlib import AbstractContextManager
 
@@ -18,15 +18,15 @@
 
 
 def stopping_kernel(engines: int = 1) -> AbstractContextManager[Bench]:
-    """Give a kernel with the simplest plug-ins."""
+    """Return a context manager of a kernel with the simplest plug-ins."""
     plugins = [KnownTarget(), LeastRequests(), FirstCome(), BoundedRetry()]
     return running_kernel(plugins, [engine_entry(f"e{n}") for n in range(engines)])
 
 
-def test_a_drain_is_announced_and_requests_are_still_let_in() -> None:
-    """The balancer goes on sending for some seconds after a stop was asked for.
+def test_drain_is_announced_and_requests_are_still_accepted() -> None:
+    """The load balancer keeps sending requests for some seconds after a drain begins.
 
-    Refusing these requests would fail them at every planned stop.
+    Refusing them would fail these requests at every planned shutdown.
     """
     with stopping_kernel() as bench:
         bench.handle(DrainBegun())
@@ -36,11 +36,11 @@
         assert len(bench.dispatches("late")) == 1
 
 
-def test_a_stop_ends_each_request_with_what_is_known_of_it() -> None:
-    """There is no time left for what is open.
+def test_stop_ends_each_request_with_its_known_outcome() -> None:
+    """Open requests end with their known outcome at the end of the grace period.
 
-    A request that waits was not run; one whose first token came has failed; one
-    that its engine has not answered yet may or may not run: unknown.
+    A waiting request was not run, one that has a first token has failed, and one
+    that its engine has not answered yet is unknown.
     """
     with stopping_kernel() as bench:
         bench.submit(model_request("begun"))
@@ -66,7 +66,7 @@
         assert cancelled == {"begun", "silent"}
 
 
-def test_after_a_stop_nothing_is_let_in() -> None:
+def test_requests_are_rejected_after_a_stop() -> None:
     with stopping_kernel() as bench:
         bench.handle(StopNow())
         bench.submit(model_request("too-late"))
