--- a/src/mimosafork/quarantine/task.py
+++ b/src/mimosafork/quarantine/task.py
@@ -38,7 +38,7 @@
 
 
 class SuspicionTask(Task[StoreSuspicion | DropSuspicion]):
-    """Carries out `StoreSuspicion` and `DropSuspicion`, and reads all rows now and then.
+    """Carries out `StoreSuspicion` and `DropSuspicion`, and periodically reads all.
 
     While the store is unavailable, suspicions spread by gossip alone; nothing waits for
     this task.
