--- a/src/mimosafork/gateway/policies/retry_budget.py
+++ b/src/mimosafork/gateway/policies/retry_budget.py
@@ -134,16 +134,16 @@
         """Return how many retries may be sent now, including reserved ones."""
         self.expire(now)
         limits = self.with_saved_retry(limits, now)
-        available = float(limits.burst)
+        remaining = float(limits.burst)
         sent = 0
         for each in reversed(self.retry_batches):
             sent += each.count
             earned = limits.ratio * self.requests_after(each.last + MAX_RETRY_TRANSIT)
-            available = min(available, limits.burst + earned - sent)
+            remaining = min(remaining, limits.burst + earned - sent)
         if limits.restarted_at is not None:
             earned = limits.ratio * self.requests_after(limits.restarted_at)
-            available = min(available, earned - sent)
-        return available
+            remaining = min(remaining, earned - sent)
+        return remaining
 
     def with_saved_retry(self, limits: RetryLimits, now: timedelta) -> RetryLimits:
         """Return limits that let an instance without a burst save one retry."""
