--- a/src/mimosafork/gateway/__init__.py
+++ b/src/mimosafork/gateway/__init__.py
@@ -1,5 +1,5 @@
-"""The way of opaque calls: callers' connections, endpoints' connections, the kernel.
+"""Request path of the gateway: client connections, endpoint connections, the kernel.
 
 Everything here runs in one event loop. Each connection owns its socket and its
-parser; the kernel alone decides, and what it decides arrives as effects.
+parser. The kernel makes all decisions and returns them as effects.
 """
--- a/src/mimosafork/gateway/call_metrics.py
+++ b/src/mimosafork/gateway/call_metrics.py
@@ -1,4 +1,4 @@
-"""Counts and times calls for the metrics page."""
+"""Counters and histograms of calls for the metrics page."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -20,8 +20,8 @@
 MALFORMED = "malformed"
 
 
-class Recorder(Protocol):
-    """What records counters and histograms of the catalogue."""
+class MetricRecorder(Protocol):
+    """Records counters and histograms of the catalogue."""
 
     def add(self, counter: Instrument, amount: float = 1, **attributes: str) -> None:
         """Add to a counter."""
@@ -31,34 +31,36 @@
 
 
 class CallMetrics:
-    """Counts what becomes of calls.
+    """Counts attempts and outcomes of calls.
 
     Parameters
     ----------
-    recorder : Recorder
+    recorder : MetricRecorder
     """
 
-    def __init__(self, recorder: Recorder) -> None:
+    def __init__(self, recorder: MetricRecorder) -> None:
         self.recorder = recorder
 
     def count_attempt(self, call: Call) -> None:
-        """Count an attempt that is sent; time the wait of a first one."""
+        """Count an attempt that is sent; record the queue wait of a first one."""
         service = str(call.request.target)
         self.recorder.add(CALL_ATTEMPTS, service=service, result="sent")
         if len(call.endpoints) == 1 and call.placed_at is not None:
-            self._time(CALL_WAIT_TIME, call.placed_at - call.arrived_at, call)
+            self._record_duration(
+                CALL_WAIT_TIME, call.placed_at - call.arrived_at, call
+            )
 
     def count_rejected_call(self, reason: str) -> None:
-        """Count a call that no route or key fits."""
+        """Count a call rejected at admission."""
         self.recorder.add(CALLS_REFUSED, reason=reason)
 
-    def count_failed_attempt(self, call: Call, word: str) -> None:
-        """Count an attempt without a whole answer, by how it failed."""
+    def count_failed_attempt(self, call: Call, label: str) -> None:
+        """Count a failed attempt by its failure label."""
         service = str(call.request.target)
-        self.recorder.add(CALL_ATTEMPTS, service=service, result=word)
+        self.recorder.add(CALL_ATTEMPTS, service=service, result=label)
 
     def count_ended_call(self, call: Call, conclusion: Conclude) -> None:
-        """Count a call's end, and time its parts."""
+        """Count an ended call and record its latencies."""
         problem = conclusion.problem
         self.recorder.add(
             CALLS,
@@ -70,20 +72,20 @@
         if call.first_sent_at is not None:
             first = call.first_sent_at - call.arrived_at
             length = length_band(call.request.prompt_tokens)
-            self._time(CALL_FIRST_PART_TIME, first, call, {"length": length})
+            self._record_duration(CALL_FIRST_PART_TIME, first, call, {"length": length})
         if call.longest_pause is not None:
-            self._time(CALL_PAUSE, call.longest_pause, call)
+            self._record_duration(CALL_PAUSE, call.longest_pause, call)
 
-    def _time(
+    def _record_duration(
         self,
         histogram: Instrument,
-        time: timedelta,
+        duration: timedelta,
         call: Call,
-        further: Mapping[str, str] | None = None,
+        extra_labels: Mapping[str, str] | None = None,
     ) -> None:
         self.recorder.record(
             histogram,
-            time.total_seconds(),
+            duration.total_seconds(),
             service=str(call.request.target),
-            **(further or {}),
+            **(extra_labels or {}),
         )
--- a/src/mimosafork/gateway/draining.py
+++ b/src/mimosafork/gateway/draining.py
@@ -1,4 +1,4 @@
-"""How an instance that was asked to stop runs out: callers first, then their calls."""
+"""Draining of an instance that shuts down: intake ends first, then open calls."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -7,16 +7,16 @@
 from ..clock import Clock
 
 GRACE_SHARE_FOR_CALLS = 0.9
-"""Share of the grace after which open calls are ended: the process must be gone
+"""Share of the grace period after which open calls are ended, so that the process exits
 before it is killed."""
 
-LOOK_AGAIN = timedelta(milliseconds=50)
+POLL_INTERVAL = timedelta(milliseconds=50)
 
-Pause = Callable[[timedelta], Awaitable[None]]
+Sleep = Callable[[timedelta], Awaitable[None]]
 
 
-class Stoppable(Protocol):
-    """What runs out."""
+class Drainable(Protocol):
+    """An instance that can be drained."""
 
     @property
     def open_calls(self) -> int:
@@ -24,41 +24,44 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a call is open, or a caller has yet to take its answer's rest."""
+        """Whether a call is open or a response not yet fully sent."""
 
     def end_intake(self) -> None:
-        """Take no further calls; those that are open go on."""
+        """Accept no further calls; open calls continue."""
 
 
 async def drain(
-    serving: Stoppable, lag: timedelta, grace: timedelta, clock: Clock, pause: Pause
+    server: Drainable,
+    balancer_lag: timedelta,
+    grace: timedelta,
+    clock: Clock,
+    sleep: Sleep,
 ) -> int:
-    """Serve on while callers still come, then only what is open.
+    """Serve new callers until the balancer stops sending them, then only open calls.
 
-    Guard: where the balancer has too few instances left, it goes on sending callers
-    to those that stop. A call that is taken late has no time to end and is cut while
-    its endpoint works on it; a caller that is turned away before its request is read
-    goes to another instance and loses nothing.
+    A balancer with too few ready instances keeps sending callers to those that shut
+    down. A call accepted late would be cut while its endpoint runs it, whereas a caller
+    rejected before its request is read can go to another instance without loss.
 
     Parameters
     ----------
-    lag : timedelta
-        Within which callers still come though it is not ready.
+    balancer_lag : timedelta
+        Time for which callers still arrive after the instance stops being ready.
     grace : timedelta
-        After which the process is killed.
-    pause : callable
-        Waits for a time.
+        Time after which the process is killed.
+    sleep : callable
+        Sleeps for a duration.
 
     Returns
     -------
     int
-        Calls that had not ended in time.
+        Calls still open at the end.
     """
-    asked_at = clock.monotonic()
-    last = asked_at + grace * GRACE_SHARE_FOR_CALLS
-    while clock.monotonic() < min(asked_at + lag, last):
-        await pause(LOOK_AGAIN)
-    serving.end_intake()
-    while serving.busy and clock.monotonic() < last:
-        await pause(LOOK_AGAIN)
-    return serving.open_calls
+    requested_at = clock.monotonic()
+    calls_end_at = requested_at + grace * GRACE_SHARE_FOR_CALLS
+    while clock.monotonic() < min(requested_at + balancer_lag, calls_end_at):
+        await sleep(POLL_INTERVAL)
+    server.end_intake()
+    while server.busy and clock.monotonic() < calls_end_at:
+        await sleep(POLL_INTERVAL)
+    return server.open_calls
--- a/src/mimosafork/gateway/freeze_watch.py
+++ b/src/mimosafork/gateway/freeze_watch.py
@@ -1,4 +1,4 @@
-"""Notices that this process stood still."""
+"""Detection of periods in which the process did not run."""
 
 from datetime import timedelta
 
@@ -6,18 +6,18 @@
 
 from ..clock import Clock
 
-LEAST_FREEZE = timedelta(seconds=1)
+MIN_FREEZE = timedelta(seconds=1)
 
 
 class ProcessFreeze(msgspec.Struct, frozen=True):
-    """A time in which nothing ran here.
+    """A period in which the event loop did not run.
 
     Attributes
     ----------
     late : timedelta
-        By which a tick came too late.
+        Delay of the tick that ended the freeze.
     suspended : timedelta
-        Part of it that the steady clock did not count.
+        Part of the freeze that the steady clock did not count, as in a suspension.
     """
 
     late: timedelta
@@ -25,40 +25,44 @@
 
 
 class FreezeWatch:
-    """Compares the time between two ticks with what it should be.
+    """Compares the time between two ticks with the expected interval.
 
     Parameters
     ----------
     steady : Clock
-        Stands still while the machine is suspended.
+        Stops while the machine is suspended.
     boot : Clock
-        Goes on meanwhile.
-    gap : timedelta
-        Between two ticks, while there is something to do.
+        Continues while the machine is suspended.
+    interval : timedelta
+        Time between two ticks while calls are open.
     """
 
-    def __init__(self, steady: Clock, boot: Clock, gap: timedelta) -> None:
+    def __init__(self, steady: Clock, boot: Clock, interval: timedelta) -> None:
         self.steady = steady
         self.boot = boot
-        self.gap = gap
-        self.before: tuple[timedelta, timedelta] | None = None
+        self.interval = interval
+        self.previous: tuple[timedelta, timedelta] | None = None
 
-    def ticked(self, planned: timedelta | None = None) -> ProcessFreeze | None:
-        """Note a tick; return the freeze that it ends, if there was one.
+    def record_tick(
+        self, expected_interval: timedelta | None = None
+    ) -> ProcessFreeze | None:
+        """Record a tick and return the freeze that it ends, if any.
 
         Parameters
         ----------
-        planned : timedelta or None
-            When the tick was to come after the one before, if it wasn't the usual gap.
-            A freeze within a longer gap is noticed by the same time without a tick,
-            and so from a length on that is shorter by the difference.
+        expected_interval : timedelta or None
+            Interval after which the tick was scheduled, if it wasn't the usual one.
+            The threshold still counts from the usual interval, so that a freeze within
+            a longer interval is detected after the same time without a tick.
         """
         steady, boot = self.steady.monotonic(), self.boot.monotonic()
-        before, self.before = self.before, (steady, boot)
-        if before is None:
+        previous, self.previous = self.previous, (steady, boot)
+        if previous is None:
             return None
-        lasted = boot - before[1]
-        if lasted - self.gap < LEAST_FREEZE:
+        elapsed = boot - previous[1]
+        if elapsed - self.interval < MIN_FREEZE:
             return None
-        late = lasted - (self.gap if planned is None else planned)
-        return ProcessFreeze(late, max(timedelta(0), lasted - (steady - before[0])))
+        late = elapsed - (
+            self.interval if expected_interval is None else expected_interval
+        )
+        return ProcessFreeze(late, max(timedelta(0), elapsed - (steady - previous[0])))
--- a/src/mimosafork/gateway/gateway.py
+++ b/src/mimosafork/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Joins callers, the kernel and endpoints."""
+"""Connects callers, the kernel and endpoints."""
 
 import asyncio
 from collections import deque
@@ -65,14 +65,13 @@
 DEFAULT_LIMITS = ClientLimits()
 
 IDLE_TICK = timedelta(milliseconds=250)
-"""Between two ticks while no call is open: only a freeze is looked for then. With 50 ms
-a process without peers and calls woke up 24.1 times a second and took 2.2 million
-instructions, with 250 ms 10.2 times and 1.1 million (`perf stat` over 15 s, one run
-each)."""
+"""Tick interval while no call is open, when ticks only detect freezes. At 50 ms a
+process without peers and calls wakes up 24.1 times and runs 2.2 million instructions a
+second; at 250 ms it wakes up 10.2 times and runs 1.1 million."""
 
 
 class Gateway:
-    """Takes calls, asks the kernel, and carries out what it decides.
+    """Accepts calls, passes them to the kernel and executes its effects.
 
     Parameters
     ----------
@@ -99,41 +98,42 @@
         self.random = random
         self.table = table
         self.pool = ConnectionPool(clock)
-        self.tools = AttemptContext(clock, self.pool, dialect, self.post)
-        self.lines = CallLog(clock)
-        self.zones = ZoneWatch(self.post, kernel.plugin(FleetView).zone_of)
-        self.freezes = FreezeWatch(clock, BootClock(), TICK)
-        self.orders = OrderClient(clock, self.pool, dialect, self.post)
+        self.attempt_context = AttemptContext(clock, self.pool, dialect, self.post)
+        self.call_log = CallLog(clock)
+        self.zone_watch = ZoneWatch(self.post, kernel.plugin(FleetView).zone_of)
+        self.freeze_watch = FreezeWatch(clock, BootClock(), TICK)
+        self.order_client = OrderClient(clock, self.pool, dialect, self.post)
         self.connections: set[ClientConnection] = set()
         self.calls: dict[RequestId, Call] = {}
         self.by_connection: dict[Responder, RequestId] = {}
         self.attempts: dict[RequestId, EndpointAttempt] = {}
         self.hedged_attempts: dict[RequestId, EndpointAttempt] = {}
-        """Silent attempts that stay open until another one of their call answers."""
-        self.numbers = count(1)
+        """Silent attempts that stay open until another attempt of their call
+        answers."""
+        self.request_numbers = count(1)
         self.inbox: deque[Message] = deque()
         self.handling = False
         self.draining = False
         self.intake_ended = False
         self.tick_timer: asyncio.TimerHandle | None = None
         self.tick_interval = TICK
-        self.performer: Callable[[Effect], None] = self.perform
+        self.effect_handler: Callable[[Effect], None] = self.perform
         self.on_effect: Callable[[Effect], None] = lambda effect: None
-        self.on_ended: Callable[[Call, Conclude], None] = lambda call, end: None
+        self.on_call_ended: Callable[[Call, Conclude], None] = lambda call, end: None
 
     @property
     def limits(self) -> ClientLimits:
-        """Limits of callers' requests in force."""
+        """Limits in force for callers' requests."""
         table = self.table()
         return DEFAULT_LIMITS if table is None else table.limits
 
     @property
     def busy(self) -> bool:
-        """Whether a call is open, or a caller has yet to be heard or to take its rest.
+        """Whether a call is open, or a connection has bytes to be sent or read.
 
-        A call ends with its endpoint's answer. A process that ended then would cut
-        an answer which its caller was still reading, and one that ended with a request
-        in a socket would reset it unread.
+        A call ends with its endpoint's response. Exiting at that point would cut a
+        response that the caller is still reading, and exiting with an unread request
+        in a socket would reset its connection.
         """
         connections = self.connections
         return bool(self.calls) or any(
@@ -141,17 +141,17 @@
         )
 
     def start(self) -> None:
-        """Begin to tell the kernel of time."""
+        """Start the ticks."""
         self._tick()
 
     def end_intake(self) -> None:
-        """Take no further calls: callers in between two go elsewhere."""
+        """Accept no further calls; idle connections are closed."""
         self.intake_ended = True
         for connection in list(self.connections):
             connection.stop_intake()
 
     def stop(self) -> None:
-        """Close everything; open calls should have ended."""
+        """Close all connections; open calls should have ended."""
         if self.tick_timer is not None:
             self.tick_timer.cancel()
         self.pool.close()
@@ -159,27 +159,27 @@
             connection.close(CloseReason.STOPPED)
 
     def _tick(self) -> None:
-        planned = self.tick_interval
-        self._tick_after(TICK if self.calls else IDLE_TICK)
-        self._note_freeze(planned)
-        self.zones.look(self.attempts.values(), self.clock.monotonic())
+        expected_interval = self.tick_interval
+        self._schedule_tick(TICK if self.calls else IDLE_TICK)
+        self._log_freeze(expected_interval)
+        self.zone_watch.check(self.attempts.values(), self.clock.monotonic())
         if self.calls:
             self._report_silence()
             self.post(Tick())
 
-    def _tick_after(self, gap: timedelta) -> None:
-        self.tick_interval = gap
+    def _schedule_tick(self, interval: timedelta) -> None:
+        self.tick_interval = interval
         loop = asyncio.get_running_loop()
-        self.tick_timer = loop.call_later(gap.total_seconds(), self._tick)
+        self.tick_timer = loop.call_later(interval.total_seconds(), self._tick)
 
-    def _tick_soon(self) -> None:
-        """Tell the kernel of time as often as calls need it, from now on."""
+    def _use_call_tick_interval(self) -> None:
+        """Switch from the idle to the shorter tick interval that calls need."""
         if self.tick_interval > TICK and self.tick_timer is not None:
             self.tick_timer.cancel()
-            self._tick_after(TICK)
+            self._schedule_tick(TICK)
 
-    def _note_freeze(self, planned: timedelta) -> None:
-        freeze = self.freezes.ticked(planned)
+    def _log_freeze(self, expected_interval: timedelta) -> None:
+        freeze = self.freeze_watch.record_tick(expected_interval)
         if freeze is None:
             return
         log_event(
@@ -199,51 +199,54 @@
                 self.post(silent)
 
     def new_connection(self) -> ClientConnection:
-        """Return the owner of a caller's connection that was just accepted."""
+        """Return the protocol for a newly accepted client connection."""
         return ClientConnection(self, self.clock, self.connections)
 
     def accept(
         self, connection: ClientConnection, message: RequestMessage, at: timedelta
     ) -> None:
-        """Take a whole request; `at` is the instant of its first byte."""
+        """Accept a complete request; `at` is the instant of its first byte."""
         try:
-            marks = self.dialect.parse_call_metadata(message.head)
+            metadata = self.dialect.parse_call_metadata(message.head)
         except BadRequestError as error:
-            self._answer(
+            self._send_refusal(
                 connection, CallMetadata(""), CallRefusal(error.status, "malformed")
             )
             self.malformed_request(connection, error)
             return
         try:
-            self._take(connection, message, marks, at)
+            self._admit(connection, message, metadata, at)
         except Exception as error:
-            # Once the kernel has it, nobody knows whether it runs.
+            # Once the kernel has the call, it may be running: it must not be answered
+            # as not run.
             if connection in self.by_connection:
                 raise
             self.intake_faulted(connection, error)
-            self._answer(connection, marks, INTERNAL_FAULT)
+            self._send_refusal(connection, metadata, INTERNAL_FAULT)
 
-    def _take(
+    def _admit(
         self,
         connection: ClientConnection,
         message: RequestMessage,
-        marks: CallMetadata,
+        metadata: CallMetadata,
         at: timedelta,
     ) -> None:
-        request_id = RequestId(f"{next(self.numbers)}")
-        found: AdmittedCall | CallRefusal = STOPPING
+        request_id = RequestId(f"{next(self.request_numbers)}")
+        decision: AdmittedCall | CallRefusal = STOPPING
         if not self.intake_ended:
-            found = admit(message, marks, self.table(), request_id, at, self.random)
-        if isinstance(found, CallRefusal):
-            self._refuse(connection, message, marks, found)
+            decision = admit(
+                message, metadata, self.table(), request_id, at, self.random
+            )
+        if isinstance(decision, CallRefusal):
+            self._reject(connection, message, metadata, decision)
             return
-        self._submit(connection, message, marks, found, at)
+        self._submit(connection, message, metadata, decision, at)
 
     def _submit(
         self,
         connection: ClientConnection,
         message: RequestMessage,
-        marks: CallMetadata,
+        metadata: CallMetadata,
         admission: AdmittedCall,
         at: timedelta,
     ) -> None:
@@ -251,36 +254,36 @@
         call = Call(
             request.request_id,
             message,
-            marks,
+            metadata,
             admission.route,
             admission.account,
             request,
             connection,
             at,
-            last_event_id=marks.last_event_id,
+            last_event_id=metadata.last_event_id,
             table_version=admission.version,
             caller_stalled=connection.write_paused,
         )
         self.calls[call.request_id] = call
         self.by_connection[connection] = call.request_id
-        self._tick_soon()
+        self._use_call_tick_interval()
         self.post(Submit(request))
 
-    def _refuse(
+    def _reject(
         self,
         connection: ClientConnection,
         message: RequestMessage,
-        marks: CallMetadata,
+        metadata: CallMetadata,
         refusal: CallRefusal,
     ) -> None:
-        self._answer(connection, marks, refusal)
-        self.lines.refused(message, marks, refusal, self.table())
+        self._send_refusal(connection, metadata, refusal)
+        self.call_log.refused(message, metadata, refusal, self.table())
 
-    def _answer(
-        self, connection: ClientConnection, marks: CallMetadata, refusal: CallRefusal
+    def _send_refusal(
+        self, connection: ClientConnection, metadata: CallMetadata, refusal: CallRefusal
     ) -> None:
         headers = self.dialect.local_response_headers(
-            marks.call_id, refusal.retry_after
+            metadata.call_id, refusal.retry_after
         )
         headers.append(Header(b"Content-Type", b"text/plain"))
         reason = refusal.status.phrase.encode()
@@ -291,28 +294,30 @@
     def malformed_request(
         self, connection: ClientConnection, error: BadRequestError
     ) -> None:
-        """Log that a caller's bytes were no proper request."""
+        """Log that a caller's bytes were not a valid request."""
         log_event(logger, MALFORMED_REQUEST, status=int(error.status), why=error.detail)
 
     def retry_after_headers(self) -> list[Header]:
-        """Return what tells a caller that is refused when to come back."""
+        """Return the headers that tell a rejected caller when to retry."""
         return self.dialect.local_response_headers("", DEFAULT_RETRY_AFTER)
 
     def request_unanswered(
-        self, connection: ClientConnection, left: UnansweredRequest
+        self, connection: ClientConnection, unanswered: UnansweredRequest
     ) -> None:
-        """Log what a caller had sent when its connection ends, and got no answer to."""
+        """Log the state of a request that got no answer before its connection
+        closed.
+        """
         table = self.table()
         log_event(
             logger,
             REQUEST_UNANSWERED,
-            why=left.reason.value,
-            read=left.bytes_read,
-            waiting=left.bytes_waiting,
-            unsent=left.bytes_unsent,
-            whole=left.whole,
-            idle_ms=milliseconds(left.idle),
-            promised_ms=milliseconds(left.advertised_idle_timeout),
+            why=unanswered.reason.value,
+            read=unanswered.bytes_read,
+            waiting=unanswered.bytes_waiting,
+            unsent=unanswered.bytes_unsent,
+            whole=unanswered.whole,
+            idle_ms=milliseconds(unanswered.idle),
+            promised_ms=milliseconds(unanswered.advertised_idle_timeout),
             version=None if table is None else table.version,
             draining=self.draining,
         )
@@ -320,25 +325,26 @@
     def intake_faulted(
         self, connection: ClientConnection, error: BaseException
     ) -> None:
-        """Log a fault in the code while a caller's bytes were taken.
+        """Log an exception raised while a caller's bytes were processed.
 
-        A call that was begun of them is ended: its caller has been told, or is gone.
+        A call already started from them is ended: its caller has been answered or has
+        disconnected.
         """
         log_event(logger, INTAKE_FAULT, exc_info=error, fault=type(error).__name__)
         request_id = self.by_connection.get(connection)
         self.caller_disconnected(connection)
-        # Left where the kernel never heard of it; nobody else would end it then.
+        # A call that never reached the kernel is not removed by anything else.
         if request_id is not None:
             self.calls.pop(request_id, None)
 
     def caller_disconnected(self, connection: ClientConnection) -> None:
-        """Have the kernel end the call of a caller that has left."""
+        """Have the kernel end the call of a caller that has disconnected."""
         request_id = self.by_connection.pop(connection, None)
         if request_id is not None:
             self.post(CallerGone(request_id))
 
     def caller_stalled(self, connection: ClientConnection, stalled: bool) -> None:
-        """Stop and go on reading from the endpoint as the caller keeps up."""
+        """Pause or resume reading from the endpoint as the caller keeps up."""
         request_id = self.by_connection.get(connection)
         if request_id is None:
             return
@@ -351,10 +357,10 @@
                 attempt.resume()
 
     def post(self, message: Message) -> None:
-        """Have the kernel handle a message, and carry out what it decides.
+        """Have the kernel handle a message, and execute its effects.
 
-        What an effect gives rise to at once, such as a connection that fails, waits
-        until the effects before it have been carried out.
+        Messages posted meanwhile, such as a connection that fails at once, are handled
+        after the effects of the current message have been executed.
         """
         self.inbox.append(message)
         if self.handling:
@@ -369,34 +375,34 @@
     def _handle(self, message: Message) -> None:
         effects = self.kernel.handle(message)
         if isinstance(message, AttemptFailed):
-            self._guarded(message, self._log_failure, effects)
-            self._forget_hedged(message)
+            self._run_guarded(message, self._log_failure, effects)
+            self._discard_ended_hedge(message)
         for effect in effects:
-            done = self._guarded(effect, self.performer)
+            done = self._run_guarded(effect, self.effect_handler)
             if isinstance(effect, Dispatch) and not done:
-                self._end_faulted(effect)
-            self._guarded(effect, self.on_effect)
+                self._fail_faulted_dispatch(effect)
+            self._run_guarded(effect, self.on_effect)
 
-    def _guarded(
-        self, subject: Effect | Message, step: Callable[..., None], *more: object
+    def _run_guarded(
+        self, subject: Effect | Message, step: Callable[..., None], *args: object
     ) -> bool:
-        """Run one step; return whether it went through.
+        """Run one step, and return whether it succeeded.
 
-        Guard: an exception that went further would lose the effects behind it, and
-        with them final answers and the ends of attempts.
+        An exception that propagated would lose the remaining effects, and with them
+        final responses and the ends of attempts.
         """
         try:
-            step(subject, *more)
+            step(subject, *args)
         except Exception:
             effect = type(subject).__name__
             log_event(logger, EFFECT_FAULT, exc_info=True, effect=effect)
             return False
         return True
 
-    def _end_faulted(self, dispatch: Dispatch) -> None:
-        """Have the kernel end a call whose attempt could not be made.
+    def _fail_faulted_dispatch(self, dispatch: Dispatch) -> None:
+        """Have the kernel end a call whose attempt could not be started.
 
-        It is not tried again: a fault that comes with the call would come each time.
+        It is not retried: a fault caused by the call itself would recur each time.
         """
         attempt = self.attempts.get(dispatch.request_id)
         sent = attempt is not None and attempt.connection is not None
@@ -404,15 +410,15 @@
 
     @singledispatchmethod
     def perform(self, effect: Effect) -> None:
-        """Carry out an effect; those of other adapters are left to them."""
+        """Execute an effect; effects for other adapters are ignored here."""
 
     @perform.register
     def _(self, effect: Dispatch) -> None:
         call = self.calls.get(effect.request_id)
         if call is None:
             return
-        self.lines.placed(call, effect)
-        attempt = EndpointAttempt(call, effect, self.tools)
+        self.call_log.placed(call, effect)
+        attempt = EndpointAttempt(call, effect, self.attempt_context)
         self.attempts[effect.request_id] = attempt
         attempt.start()
 
@@ -433,11 +439,11 @@
             self.attempts[effect.request_id] = attempt
         if attempt is not None and call is not None:
             call.diagnostics = attempt.diagnostics
-            self.lines.restored(call, attempt.dispatch)
+            self.call_log.restored(call, attempt.dispatch)
 
     @perform.register
     def _(self, effect: ReserveMemory | FreeOwnHolding) -> None:
-        self.orders.perform(effect)
+        self.order_client.perform(effect)
 
     @perform.register
     def _(self, effect: EndSilentAttempt) -> None:
@@ -456,9 +462,9 @@
 
     @perform.register
     def _(self, effect: WakeAt) -> None:
-        pause = effect.at - self.clock.monotonic()
+        delay = effect.at - self.clock.monotonic()
         loop = asyncio.get_running_loop()
-        loop.call_later(max(0.0, pause.total_seconds()), self.post, effect.message)
+        loop.call_later(max(0.0, delay.total_seconds()), self.post, effect.message)
 
     @perform.register
     def _(self, effect: Conclude) -> None:
@@ -470,23 +476,23 @@
         if call is None:
             return
         call.concluded = True
-        self._forget(call)
+        self._unlink_connection(call)
         if self.kernel.state.waiting.by_target:
             self.inbox.append(Tick())
-        if effect.problem is not None and not self._guarded(
-            effect, self._tell_problem, call
+        if effect.problem is not None and not self._run_guarded(
+            effect, self._send_problem, call
         ):
             call.responder.abort_response()
             if not call.cut:
                 call.status = int(HTTPStatus.INTERNAL_SERVER_ERROR)
-        self.lines.ended(call, effect)
-        self.on_ended(call, effect)
+        self.call_log.ended(call, effect)
+        self.on_call_ended(call, effect)
 
-    def _forget(self, call: Call) -> None:
+    def _unlink_connection(self, call: Call) -> None:
         if self.by_connection.get(call.responder) == call.request_id:
             del self.by_connection[call.responder]
 
-    def _tell_problem(self, conclusion: Conclude, call: Call) -> None:
+    def _send_problem(self, conclusion: Conclude, call: Call) -> None:
         problem = conclusion.problem
         if problem is not None and problem.code is ProblemCode.CALLER_GONE:
             return
@@ -511,17 +517,17 @@
             f"{code.value}: {conclusion.outcome.value}\n".encode(),
         )
 
-    def _forget_hedged(self, failure: AttemptFailed) -> None:
-        """Forget a hedged attempt that has ended, so that a later one may be hedged."""
+    def _discard_ended_hedge(self, failure: AttemptFailed) -> None:
+        """Remove an ended hedged attempt, so that a later one may be hedged."""
         hedged = self.hedged_attempts.get(failure.request_id)
         if hedged is not None and hedged.ended:
             del self.hedged_attempts[failure.request_id]
 
-    def _log_failure(self, failure: AttemptFailed, then: list[Effect]) -> None:
+    def _log_failure(self, failure: AttemptFailed, effects: list[Effect]) -> None:
         call = self.calls.get(failure.request_id)
         attempt = self.attempts.get(failure.request_id)
         if isinstance(failure, AttemptHedged):
             attempt = self.hedged_attempts.get(failure.request_id)
         if call is None or attempt is None:
             return
-        self.lines.attempt_failed(call, failure, attempt.reused, then)
+        self.call_log.attempt_failed(call, failure, attempt.reused, effects)
--- a/src/mimosafork/gateway/gauges.py
+++ b/src/mimosafork/gateway/gauges.py
@@ -1,4 +1,4 @@
-"""What the metrics page reads from its owners when it is asked for."""
+"""Observable instruments, read from their owners when metrics are scraped."""
 
 import logging
 import resource
@@ -35,86 +35,90 @@
 from .policies.reservations import ReservationState
 from .policies.reserving import MemoryKeeper
 
-KILOBYTE = 1024
+BYTES_PER_KIBIBYTE = 1024
 
 
-class Observer(Protocol):
-    """What reads observable instruments."""
+class InstrumentRegistry(Protocol):
+    """Registry of observable instruments."""
 
     def observe(self, instrument: Instrument, source: ReadingSource) -> None:
-        """Have an instrument read from a source."""
+        """Register the source of an instrument."""
 
 
-class StoreCounts(Protocol):
-    """Calls of the platform's store so far."""
+class StoreCallCounts(Protocol):
+    """Numbers of calls to the platform's store so far."""
 
     answered: int
     unanswered: int
 
 
 class GatewayGauges:
-    """Reads the state of an instance.
+    """Observable instruments of an instance.
 
     Parameters
     ----------
     gateway : Gateway
-    outlook : Outlook
-        What is known of endpoints and peers.
-    store : StoreCounts or None
+    instance_view : Outlook
+        Current state of endpoints and peers.
+    store : StoreCallCounts or None
     """
 
     def __init__(
-        self, gateway: Gateway, outlook: LiveInstanceView, store: StoreCounts | None
+        self,
+        gateway: Gateway,
+        instance_view: LiveInstanceView,
+        store: StoreCallCounts | None,
     ) -> None:
         self.gateway = gateway
-        self.outlook = outlook
+        self.instance_view = instance_view
         self.store = store
 
-    def join(self, page: Observer) -> None:
-        """Have all instruments read from here."""
-        page.observe(CALLS_OPEN, lambda: [Reading(len(self.gateway.calls))])
-        page.observe(CALLS_WAITING, self.waiting)
-        page.observe(CONNECTIONS_IDLE, self.idle)
-        page.observe(WORK_KNOWN, self.work)
-        page.observe(MEMORY_RESERVED, self.reserved_tokens)
-        page.observe(LOAD_AGE, lambda: aged(self.outlook.load_age()))
-        page.observe(TABLE_AGE, self.table_ages)
-        page.observe(TABLE_VERSION, self.version)
-        page.observe(ENDPOINTS_KNOWN, self.endpoints)
-        page.observe(REPEATS_LEFT, lambda: self.by_service(self.repeats_left))
-        page.observe(
-            REPEATS_SENT, lambda: self.by_service(self.outlook.retry.retries_sent)
+    def register(self, registry: InstrumentRegistry) -> None:
+        """Register the sources of all instruments."""
+        registry.observe(CALLS_OPEN, lambda: [Reading(len(self.gateway.calls))])
+        registry.observe(CALLS_WAITING, self.waiting)
+        registry.observe(CONNECTIONS_IDLE, self.idle)
+        registry.observe(WORK_KNOWN, self.known_calls)
+        registry.observe(MEMORY_RESERVED, self.reserved_tokens)
+        registry.observe(LOAD_AGE, lambda: age_readings(self.instance_view.load_age()))
+        registry.observe(TABLE_AGE, self.table_ages)
+        registry.observe(TABLE_VERSION, self.version)
+        registry.observe(ENDPOINTS_KNOWN, self.endpoints)
+        registry.observe(REPEATS_LEFT, lambda: self.per_service(self.retries_left))
+        registry.observe(
+            REPEATS_SENT,
+            lambda: self.per_service(self.instance_view.retry.retries_sent),
         )
-        page.observe(
-            REPEATS_SHARERS, lambda: [Reading(self.outlook.retry.slack_sharers())]
+        registry.observe(
+            REPEATS_SHARERS, lambda: [Reading(self.instance_view.retry.slack_sharers())]
         )
-        page.observe(PEERS_HEARD, self.peers)
-        page.observe(GOSSIP_SENT, self.gossip_bytes)
-        page.observe(GOSSIP_DATAGRAMS, self.datagrams)
-        page.observe(ROWS_CALLS, self.rows)
-        page.observe(MEMORY_PEAK, peak_memory)
-        page.observe(LOG_DROPS, dropped_lines)
-        page.observe(LOG_LEFT_OUT, left_out_lines)
+        registry.observe(PEERS_HEARD, self.peers)
+        registry.observe(GOSSIP_SENT, self.gossip_bytes)
+        registry.observe(GOSSIP_DATAGRAMS, self.datagrams)
+        registry.observe(ROWS_CALLS, self.store_calls)
+        registry.observe(MEMORY_PEAK, peak_memory)
+        registry.observe(LOG_DROPS, dropped_records)
+        registry.observe(LOG_LEFT_OUT, suppressed_records)
 
     def waiting(self) -> Iterable[Reading]:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return [Reading(len(self.gateway.kernel.state.waiting))]
 
     def idle(self) -> Iterable[Reading]:
-        """Return how many kept connections are free."""
+        """Return the number of idle pooled connections."""
         return [Reading(sum(map(len, self.gateway.pool.idle.values())))]
 
-    def work(self) -> Iterable[Reading]:
-        """Return how many calls are known to run."""
-        book = self.outlook.book
-        told = sum(len(works) for works in book.peers.values())
+    def known_calls(self) -> Iterable[Reading]:
+        """Return the numbers of known running calls, own and of peers."""
+        book = self.instance_view.book
+        peer_calls = sum(len(works) for works in book.peers.values())
         return [
             Reading(len(book.own), (("whose", "own"),)),
-            Reading(told, (("whose", "peers"),)),
+            Reading(peer_calls, (("whose", "peers"),)),
         ]
 
     def reserved_tokens(self) -> Iterable[Reading]:
-        """Return the tokens that own calls hold on engines."""
+        """Return the tokens that own calls have reserved on engines."""
         keeper = self.gateway.kernel.plugin(MemoryKeeper)
         tokens = keeper.reserved_tokens(self.gateway.clock.monotonic())
         return [
@@ -123,8 +127,8 @@
         ]
 
     def table_ages(self) -> Iterable[Reading]:
-        """Return when the store last told each table."""
-        directory = self.outlook.directory
+        """Return the time since the store last confirmed each table."""
+        directory = self.instance_view.directory
         ages = {
             "configuration": directory.table_age,
             "endpoints": directory.listing_age,
@@ -136,50 +140,50 @@
         ]
 
     def version(self) -> Iterable[Reading]:
-        """Return the version in force."""
-        table = self.outlook.directory.table
+        """Return the version of the configuration in force."""
+        table = self.instance_view.directory.table
         return [] if table is None else [Reading(table.version)]
 
     def services(self) -> list[ServiceId]:
         """Return the services of the configuration in force."""
-        table = self.outlook.directory.table
+        table = self.instance_view.directory.table
         return [] if table is None else list(table.services)
 
     def endpoints(self) -> Iterable[Reading]:
-        """Return how many endpoints each service has."""
+        """Return the numbers of endpoints of each service."""
         found = []
         for service in self.services():
-            inputs = self.outlook.inputs(service)
+            inputs = self.instance_view.inputs(service)
             for state, count in (("listed", inputs.listed), ("usable", inputs.usable)):
                 labels = (("service", str(service)), ("state", state))
                 found.append(Reading(count, labels))
         return found
 
-    def repeats_left(self, service: ServiceId) -> float:
-        """Return for how many repeats this instance has room."""
-        return self.outlook.retry.available_retries(
+    def retries_left(self, service: ServiceId) -> float:
+        """Return how many retries of a service this instance may still send."""
+        return self.instance_view.retry.available_retries(
             service, self.gateway.clock.monotonic()
         )
 
-    def by_service(self, value: Callable[[ServiceId], float]) -> Iterable[Reading]:
-        """Return a value of each service."""
+    def per_service(self, value: Callable[[ServiceId], float]) -> Iterable[Reading]:
+        """Return a reading for each service."""
         return [
             Reading(value(service), (("service", str(service)),))
             for service in self.services()
         ]
 
     def peers(self) -> Iterable[Reading]:
-        """Return how many peers are heard."""
-        return [Reading(len(self.outlook.sharing.known_peers))]
+        """Return the number of live peers."""
+        return [Reading(len(self.instance_view.gossip_adapter.live_peers))]
 
     def gossip_bytes(self) -> Iterable[Reading]:
-        """Return what was sent to peers."""
-        gossip = self.outlook.sharing.gossip
+        """Return the bytes of gossip sent to peers."""
+        gossip = self.instance_view.gossip_adapter.gossip
         return [] if gossip is None else [Reading(gossip.exchange.counters.sent_bytes)]
 
     def datagrams(self) -> Iterable[Reading]:
-        """Return the datagrams by what became of them."""
-        gossip = self.outlook.sharing.gossip
+        """Return the numbers of gossip datagrams by result."""
+        gossip = self.instance_view.gossip_adapter.gossip
         if gossip is None:
             return []
         counters = gossip.exchange.counters
@@ -192,8 +196,8 @@
         }
         return [Reading(count, (("result", name),)) for name, count in counts.items()]
 
-    def rows(self) -> Iterable[Reading]:
-        """Return the calls of the store by their end."""
+    def store_calls(self) -> Iterable[Reading]:
+        """Return the numbers of store calls by result."""
         if self.store is None:
             return []
         return [
@@ -202,29 +206,29 @@
         ]
 
 
-def aged(age: timedelta | None) -> list[Reading]:
-    """Return an age, if there is one."""
+def age_readings(age: timedelta | None) -> list[Reading]:
+    """Return a reading in seconds, or none without an age."""
     return [] if age is None else [Reading(age.total_seconds())]
 
 
 def peak_memory() -> list[Reading]:
-    """Return the most memory that this process has held."""
+    """Return the process's peak resident memory."""
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    return [Reading(peak * KILOBYTE)]
+    return [Reading(peak * BYTES_PER_KIBIBYTE)]
 
 
 def log_handlers() -> list[DroppingHandler]:
-    """Return what takes this process's log records; none without a log."""
+    """Return the handlers of this process's log that can drop records."""
     handlers = logging.getLogger().handlers
     return [each for each in handlers if isinstance(each, DroppingHandler)]
 
 
-def dropped_lines() -> list[Reading]:
-    """Return how many log records their reader was too slow for."""
+def dropped_records() -> list[Reading]:
+    """Return the number of log records dropped because their reader was too slow."""
     return [Reading(sum(each.dropped for each in log_handlers()))]
 
 
-def left_out_lines() -> list[Reading]:
-    """Return how many log records the budget of lines left out."""
+def suppressed_records() -> list[Reading]:
+    """Return the number of log records suppressed by the rate limit."""
     budgets = [each.budget for each in log_handlers() if each.budget is not None]
     return [Reading(sum(each.total for each in budgets))]
--- a/src/mimosafork/gateway/gossip_adapter.py
+++ b/src/mimosafork/gateway/gossip_adapter.py
@@ -1,4 +1,4 @@
-"""Tells peers what this instance knows, and the kernel what peers know."""
+"""Exchange of state between the gossip, the kernel and the directory."""
 
 import asyncio
 from collections.abc import Callable
@@ -38,204 +38,215 @@
 from .policies.retrying import RETRY_WINDOW
 from .subset_selector import SubsetSelector
 
-OFFER_AFTER = timedelta(milliseconds=300)
-"""A change is offered to peers this much later: those whose own store answers have it
-by then, and need not fetch it."""
+CONFIGURATION_OFFER_DELAY = timedelta(milliseconds=300)
+"""Delay before a change is offered to peers. Peers whose store answers have it by then
+and need not fetch it."""
 
-OFFER_LISTING_AFTER = timedelta(milliseconds=2200)
-"""The same for a list of endpoints, which is for instances that the store does not
-answer: those that follow it by peers' words ask it within two seconds, and the whole
-list would be fetched by all of them for each endpoint that comes."""
+LISTING_OFFER_DELAY = timedelta(milliseconds=2200)
+"""Delay before a list of endpoints is offered to peers. The list is for instances whose
+store does not answer. Those that follow the store by feed updates of peers query it
+within two seconds; with a shorter delay all of them would fetch the whole list for each
+new endpoint."""
 
 PLAIN_CALL_PUBLISH_DELAY = timedelta(milliseconds=100)
-"""A plain endpoint's call is told to peers once it has lasted so long. Most have ended
-by the time that peers hear of them: told at once, they were over half of all words of
-64 instances, and crowded out those of engines. One that lasts shows a slow endpoint."""
+"""Time after which a plain endpoint's call is published to peers. Most have ended
+before peers would receive them: published at once, they made up over half of all gossip
+entries of 64 instances and delayed those of engines. A call that lasts longer indicates
+a slow endpoint."""
 
-CLOCKS_AGREE = timedelta(milliseconds=100)
-"""Two clocks are read one after the other; a busy machine may do something between."""
+CLOCK_TOLERANCE = timedelta(milliseconds=100)
+"""Tolerated change between two clocks, as they are read one after the other and a busy
+machine may delay the second reading."""
 
 MILLISECOND = timedelta(milliseconds=1)
 
-FiguresOf = Callable[[EndpointId], EngineFigures | None]
+EngineFiguresLookup = Callable[[EndpointId], EngineFigures | None]
 
 
-class RowList(msgspec.Struct):
-    """Rows as they are handed to a peer."""
+class RowsPayload(msgspec.Struct):
+    """Rows as they are transferred to a peer."""
 
     rows: list[Row]
 
 
 class GossipAdapter:
-    """Joins the gossip with the kernel and the directory.
+    """Connects the gossip with the kernel and the directory.
 
     Parameters
     ----------
     directory : Directory
     post : callable
-        Hands a message to the kernel.
-    figures_of : callable
-        Returns the figures of an endpoint's engine, if it is one.
+        Posts a message to the kernel.
+    engine_figures : callable
+        Returns the engine figures of an endpoint, or None if it is not an engine.
     clock : Clock
         The kernel's.
-    neighbours : Neighbours
-        Told who is heard; knows who is to hear of a work.
+    subset_selector : SubsetSelector
+        Selects the peers that a work note is sent to.
 
     Attributes
     ----------
-    settles_after : timedelta
-        No repeat of a former life counts any more when this one has lasted so long.
+    retry_settle_time : timedelta
+        Uptime after which retries of the previous incarnation no longer count.
     """
 
     def __init__(
         self,
         directory: Directory,
         post: Callable[[Message], None],
-        figures_of: FiguresOf,
+        engine_figures: EngineFiguresLookup,
         clock: Clock,
-        neighbours: SubsetSelector,
+        subset_selector: SubsetSelector,
     ) -> None:
         self.directory = directory
-        self.neighbours = neighbours
+        self.subset_selector = subset_selector
         self.post = post
-        self.figures_of = figures_of
+        self.engine_figures = engine_figures
         self.clock = clock
-        self.began_at = clock.monotonic()
-        self.settles_after = RETRY_WINDOW + MAX_RETRY_TRANSIT
+        self.created_at = clock.monotonic()
+        self.retry_settle_time = RETRY_WINDOW + MAX_RETRY_TRANSIT
         self.gossip: Gossip | None = None
-        self.known_peers: set[InstanceId] = set()
-        self.current: set[InstanceId] = set()
-        """Peers of whose works the kernel needs to be told only what changes."""
-        self.shift: timedelta | None = None
-        """By which the gossip's clock is ahead of the kernel's."""
-        self.offer_timer: asyncio.TimerHandle | None = None
-        self.listing_timer: asyncio.TimerHandle | None = None
-        self.offered = Versions()
-        self.untold: dict[RequestId, asyncio.TimerHandle] = {}
-        """Plain endpoints' calls that peers are told of if they last."""
+        self.live_peers: set[InstanceId] = set()
+        self.synced_peers: set[InstanceId] = set()
+        """Peers whose whole load the kernel has; it needs only their changes."""
+        self.clock_offset: timedelta | None = None
+        """How far the gossip's clock is ahead of the kernel's."""
+        self.configuration_offer_timer: asyncio.TimerHandle | None = None
+        self.listing_offer_timer: asyncio.TimerHandle | None = None
+        self.published_versions = Versions()
+        self.delayed_publishes: dict[RequestId, asyncio.TimerHandle] = {}
+        """Timers of plain endpoints' calls that are published if they last."""
         self.callbacks = Callbacks(
-            on_configuration_offered=self.configuration_offered,
-            on_listing_offered=self.listing_offered,
-            on_peers_changed=self.peers_changed,
+            on_configuration_offered=self.receive_configuration,
+            on_listing_offered=self.receive_listing,
+            on_peers_changed=self.update_live_peers,
             on_peer_restarted=self.peer_restarted,
-            on_load_changed=self.load_changed,
+            on_load_changed=self.receive_load_changes,
             on_feed_told=directory.peer_feed.receive,
-            on_endpoint_word=self.endpoint_word,
-            on_suspicion=self.suspicion_told,
+            on_endpoint_word=self.receive_endpoint_notice,
+            on_suspicion=self.receive_suspicion,
         )
 
-    # What this instance tells
+    # Publishing to peers
 
     @singledispatchmethod
     def publish_effect(self, effect: Effect) -> None:
-        """Tell peers of an effect that is for them."""
+        """Publish an effect that concerns peers."""
 
     @publish_effect.register
     def _(self, effect: PublishWork) -> None:
         if effect.work.parts:
-            self._tell_work(effect.work)
+            self._publish_work(effect.work)
         else:
-            self._tell_if_it_lasts(effect.work)
+            self._schedule_work_publish(effect.work)
 
     @publish_effect.register
     def _(self, effect: PublishWorkEnd) -> None:
-        waiting = self.untold.pop(effect.request_id, None)
-        if waiting is not None:
-            waiting.cancel()
+        timer = self.delayed_publishes.pop(effect.request_id, None)
+        if timer is not None:
+            timer.cancel()
         if self.gossip is not None:
             self.gossip.publish_work_end(int(effect.request_id))
 
-    def _tell_work(self, work: InFlightRequest) -> None:
-        """Tell peers of a work."""
-        self.untold.pop(work.request, None)
+    def _publish_work(self, work: InFlightRequest) -> None:
+        """Publish an in-flight request to peers."""
+        self.delayed_publishes.pop(work.request, None)
         if self.gossip is not None:
-            audience = self.neighbours.work_recipients(
+            recipients = self.subset_selector.work_recipients(
                 part.endpoint for part in work.parts
             )
             note = work_note(work, self.clock.monotonic())
-            self.gossip.publish_work(note, audience)
+            self.gossip.publish_work(note, recipients)
 
-    def _tell_if_it_lasts(self, work: InFlightRequest) -> None:
-        """Tell peers of a plain endpoint's call that doesn't end soon."""
-        waiting = self.untold.pop(work.request, None)
-        if waiting is not None:
-            waiting.cancel()
+    def _schedule_work_publish(self, work: InFlightRequest) -> None:
+        """Publish a plain endpoint's call unless it ends within the delay."""
+        timer = self.delayed_publishes.pop(work.request, None)
+        if timer is not None:
+            timer.cancel()
         loop = asyncio.get_running_loop()
         after = PLAIN_CALL_PUBLISH_DELAY.total_seconds()
-        self.untold[work.request] = loop.call_later(after, self._tell_work, work)
+        self.delayed_publishes[work.request] = loop.call_later(
+            after, self._publish_work, work
+        )
 
     @publish_effect.register
     def _(self, effect: PublishCrashSuspicion) -> None:
         if self.gossip is not None:
-            seen = Suspicion(frozenset({effect.endpoint}))
-            self.gossip.publish_suspicion(bytes.fromhex(effect.digest), seen)
+            suspicion = Suspicion(frozenset({effect.endpoint}))
+            self.gossip.publish_suspicion(bytes.fromhex(effect.digest), suspicion)
 
     @publish_effect.register
     def _(self, effect: PublishCrashClearance) -> None:
         if self.gossip is not None:
-            seen = Suspicion(frozenset(), cleared=True)
-            self.gossip.publish_suspicion(bytes.fromhex(effect.digest), seen)
+            suspicion = Suspicion(frozenset(), cleared=True)
+            self.gossip.publish_suspicion(bytes.fromhex(effect.digest), suspicion)
 
     def directory_changed(self, change: DirectoryChange) -> None:
-        """Offer what is new to peers."""
+        """Publish a change of the directory to peers."""
         if self.gossip is None:
             return
-        # What peers' works read of engines is worked out by the engines' figures.
-        self.current.clear()
+        # The prefill parts of peers' requests depend on the engines' figures.
+        self.synced_peers.clear()
         if isinstance(change, TableChanged):
-            self.offer_configuration_soon()
+            self.schedule_configuration_offer()
             return
-        self.offer_listing_soon()
+        self.schedule_listing_offer()
         if change.entry.takes_new_work:
             return
         if change.entry.state is EndpointState.DRAINING:
-            said = EndpointWord(Word.LEAVING, change.entry.row.version)
-            self.gossip.publish_endpoint_word(change.endpoint, said)
+            notice = EndpointWord(Word.LEAVING, change.entry.row.version)
+            self.gossip.publish_endpoint_word(change.endpoint, notice)
             return
-        word = self.directory.book.gone.get(change.endpoint)
-        if word is not None and word.sure:
-            said = EndpointWord(Word.GONE, word.row.version)
-            self.gossip.publish_endpoint_word(change.endpoint, said)
-
-    def offer_configuration_soon(self) -> None:
-        """Have peers told in a while that there is a newer configuration here."""
-        if self.offer_timer is None:
+        removal = self.directory.book.gone.get(change.endpoint)
+        if removal is not None and removal.sure:
+            notice = EndpointWord(Word.GONE, removal.row.version)
+            self.gossip.publish_endpoint_word(change.endpoint, notice)
+
+    def schedule_configuration_offer(self) -> None:
+        """Schedule the offer of a newer configuration to peers."""
+        if self.configuration_offer_timer is None:
             loop = asyncio.get_running_loop()
-            after = OFFER_AFTER.total_seconds()
-            self.offer_timer = loop.call_later(after, self.offer_configuration)
+            after = CONFIGURATION_OFFER_DELAY.total_seconds()
+            self.configuration_offer_timer = loop.call_later(
+                after, self.offer_configuration
+            )
 
-    def offer_listing_soon(self) -> None:
-        """Have peers told in a while that there is a newer list here."""
-        if self.listing_timer is None:
+    def schedule_listing_offer(self) -> None:
+        """Schedule the offer of a newer list of endpoints to peers."""
+        if self.listing_offer_timer is None:
             loop = asyncio.get_running_loop()
-            after = OFFER_LISTING_AFTER.total_seconds()
-            self.listing_timer = loop.call_later(after, self.offer_listing)
+            after = LISTING_OFFER_DELAY.total_seconds()
+            self.listing_offer_timer = loop.call_later(after, self.offer_listing)
 
     def offer_configuration(self) -> None:
-        """Tell peers which configuration this instance can hand over."""
-        self.offer_timer = None
-        held = self.holding(Matter.CONFIGURATION)
-        self.offer(replace(self.offered, configuration=held.version if held else 0))
+        """Publish the version of the configuration that peers can fetch here."""
+        self.configuration_offer_timer = None
+        held = self.transfer_payload(Matter.CONFIGURATION)
+        self.update_versions(
+            replace(self.published_versions, configuration=held.version if held else 0)
+        )
 
     def offer_listing(self) -> None:
-        """Tell peers which list of endpoints this instance can hand over."""
-        self.listing_timer = None
-        held = self.holding(Matter.LISTING)
-        self.offer(replace(self.offered, listing=held.version if held else 0))
-
-    def offer(self, versions: Versions) -> None:
-        """Tell peers which versions this instance can hand over."""
-        self.offered = versions
+        """Publish the version of the list of endpoints that peers can fetch here."""
+        self.listing_offer_timer = None
+        held = self.transfer_payload(Matter.LISTING)
+        self.update_versions(
+            replace(self.published_versions, listing=held.version if held else 0)
+        )
+
+    def update_versions(self, versions: Versions) -> None:
+        """Publish the versions that peers can fetch here."""
+        self.published_versions = versions
         if self.gossip is not None:
             self.gossip.publish_versions(versions)
 
-    def feed_told(self, word: FeedUpdate) -> None:
-        """Tell peers that the store told nothing new of the endpoints."""
+    def publish_feed_state(self, update: FeedUpdate) -> None:
+        """Publish that the store reported no change of the endpoints."""
         if self.gossip is not None:
-            self.gossip.publish_feed_update(word)
+            self.gossip.publish_feed_update(update)
 
-    def holding(self, matter: Matter) -> Held | None:
-        """Return what this instance can hand over."""
+    def transfer_payload(self, matter: Matter) -> Held | None:
+        """Return the rows that a peer can fetch here, or None without any."""
         if matter is Matter.CONFIGURATION:
             row = self.directory.raw_configuration
             rows = [] if row is None else [row]
@@ -244,117 +255,132 @@
         if not rows:
             return None
         newest = max(row.version for row in rows)
-        return Held(newest, msgspec.msgpack.encode(RowList(rows)))
+        return Held(newest, msgspec.msgpack.encode(RowsPayload(rows)))
 
-    # What this instance hears
+    # Receiving from peers
 
-    def configuration_offered(self, payload: bytes, version: int) -> None:
-        """Take a configuration that a peer handed over."""
-        for row in rows_of(payload):
+    def receive_configuration(self, payload: bytes, version: int) -> None:
+        """Receive a configuration from a peer."""
+        for row in decode_rows(payload):
             self.directory.offer_configuration(row)
 
-    def listing_offered(self, payload: bytes, version: int) -> None:
-        """Take the endpoints' rows that a peer handed over."""
-        for row in rows_of(payload):
+    def receive_listing(self, payload: bytes, version: int) -> None:
+        """Receive the rows of endpoints from a peer."""
+        for row in decode_rows(payload):
             self.directory.offer_endpoint(row)
 
-    def endpoint_word(self, endpoint: EndpointId, said: EndpointWord) -> None:
-        """Take a peer's word that an endpoint takes no new work."""
-        if said.word is Word.LEAVING:
-            self.directory.offer_draining(endpoint, said.version)
+    def receive_endpoint_notice(
+        self, endpoint: EndpointId, notice: EndpointWord
+    ) -> None:
+        """Receive a peer's notice that an endpoint accepts no new work."""
+        if notice.word is Word.LEAVING:
+            self.directory.offer_draining(endpoint, notice.version)
         else:
-            self.directory.offer_gone(endpoint, said.version)
+            self.directory.offer_gone(endpoint, notice.version)
 
-    def suspicion_told(self, digest: bytes, known: Suspicion) -> None:
-        """Take what all know of a suspected request."""
-        told = CrashSuspicionUpdated(Digest(digest.hex()), known.crashed, known.cleared)
-        self.post(told)
+    def receive_suspicion(self, digest: bytes, known: Suspicion) -> None:
+        """Receive the merged suspicion of a request that may crash endpoints."""
+        update = CrashSuspicionUpdated(
+            Digest(digest.hex()), known.crashed, known.cleared
+        )
+        self.post(update)
 
-    def peers_changed(self) -> None:
-        """Forget the work of peers that have fallen silent."""
+    def update_live_peers(self) -> None:
+        """Update the live peers, and discard the work of silent ones."""
         if self.gossip is None:
             return
-        alive = {peer.instance for peer in self.gossip.peers}
-        for instance in self.known_peers - alive:
-            self.current.discard(instance)
+        live = {peer.instance for peer in self.gossip.peers}
+        for instance in self.live_peers - live:
+            self.synced_peers.discard(instance)
             self.post(PeerWorkUnknown(instance))
-        self.known_peers = alive
-        self.directory.peer_feed.choose(self.gossip.instance, alive)
-        self.neighbours.update_peers(alive, self.gossip.is_large)
+        self.live_peers = live
+        self.directory.peer_feed.choose(self.gossip.instance, live)
+        self.subset_selector.update_peers(live, self.gossip.is_large)
 
     def peer_restarted(self, instance: InstanceId) -> None:
-        """Forget the works of a peer's former life, which have ended with it."""
-        self.current.discard(instance)
+        """Discard the work of a peer's previous incarnation, which ended with it."""
+        self.synced_peers.discard(instance)
         self.post(PeerWorkUnknown(instance))
 
-    def load_changed(self, instance: InstanceId, numbers: tuple[int, ...]) -> None:
-        """Take what has changed of a peer's running work.
+    def receive_load_changes(
+        self, instance: InstanceId, numbers: tuple[int, ...]
+    ) -> None:
+        """Receive the changes of a peer's in-flight work.
 
-        All of it is told anew where it may no longer be what it was taken for. Told at
-        each word, it took a sixth of an instance among 64 in a flood (85,108 calls of
-        functions a second, 70,521 so: `python -m benchmarks.instance_cost`); and as no
-        two readings of a clock agree, no work was ever found to be the same as before.
+        The peer's whole work is posted only when it may be out of date. Posting it for
+        each change took a sixth of an instance's time in a flood of 64 instances
+        (85,108 function calls a second against 70,521, see `python -m
+        benchmarks.instance_cost`). Unchanged work could not be skipped either, as clock
+        readings always differ.
         """
         if self.gossip is None:
             return
-        self._compare_clocks(self.gossip)
-        if instance in self.current:
-            self._tell_changes(self.gossip, instance, numbers)
+        self._check_clock_offset(self.gossip)
+        if instance in self.synced_peers:
+            self._post_work_changes(self.gossip, instance, numbers)
             return
         load = self.gossip.load(instance)
         if load is not None:
-            self.current.add(instance)
-            works = tuple(self.work_of(instance, heard) for heard in load.works)
+            self.synced_peers.add(instance)
+            works = tuple(
+                self.in_flight_request(instance, peer_work) for peer_work in load.works
+            )
             self.post(PeerWorkReplaced(instance, works))
 
-    def _tell_changes(
+    def _post_work_changes(
         self, gossip: Gossip, instance: InstanceId, numbers: tuple[int, ...]
     ) -> None:
         works: list[InFlightRequest] = []
         ended: list[RequestId] = []
         for number in numbers:
-            heard = gossip.work(instance, number)
-            if heard is None:
-                ended.append(request_of(instance, number))
+            peer_work = gossip.work(instance, number)
+            if peer_work is None:
+                ended.append(peer_request_id(instance, number))
             else:
-                works.append(self.work_of(instance, heard))
+                works.append(self.in_flight_request(instance, peer_work))
         self.post(PeerWorkChanged(instance, tuple(works), tuple(ended)))
 
-    def _compare_clocks(self, gossip: Gossip) -> None:
-        """Have all works told anew, peer by peer, if one of the clocks stood still.
+    def _check_clock_offset(self, gossip: Gossip) -> None:
+        """Mark all peers as out of date if one of the clocks stood still.
 
-        The kernel's does while the machine is suspended, and works are older then.
+        The kernel's clock stops while the machine is suspended, so that work is older
+        than it appears afterwards.
         """
-        shift = gossip.clock.monotonic() - self.clock.monotonic()
-        if self.shift is not None and abs(shift - self.shift) > CLOCKS_AGREE:
-            self.current.clear()
-        self.shift = shift
-
-    def work_of(self, instance: InstanceId, heard: HeardWork) -> InFlightRequest:
-        """Return a peer's work in times of the kernel's clock."""
-        note = heard.note
-        told_at = self.clock.monotonic() - heard.age
+        clock_offset = gossip.clock.monotonic() - self.clock.monotonic()
+        if (
+            self.clock_offset is not None
+            and abs(clock_offset - self.clock_offset) > CLOCK_TOLERANCE
+        ):
+            self.synced_peers.clear()
+        self.clock_offset = clock_offset
+
+    def in_flight_request(
+        self, instance: InstanceId, peer_work: HeardWork
+    ) -> InFlightRequest:
+        """Return a peer's in-flight request, with times on the kernel's clock."""
+        note = peer_work.note
+        received_at = self.clock.monotonic() - peer_work.age
         first = note.writing_ms
         pause = note.longest_pause_ms * MILLISECOND
         return InFlightRequest(
-            request=request_of(instance, note.number),
+            request=peer_request_id(instance, note.number),
             host=note.host,
-            parts=self.parts_of(note),
+            parts=self.prefill_parts(note),
             held=tuple(HeldTokens(each.helper, each.tokens) for each in note.held),
             prompt_tokens=note.prompt_tokens,
             answer_tokens=note.answer_tokens,
             longest_pause=pause or None,
-            started_at=told_at - note.age_ms * MILLISECOND,
-            first_token_at=None if first is None else told_at - first * MILLISECOND,
+            started_at=received_at - note.age_ms * MILLISECOND,
+            first_token_at=None if first is None else received_at - first * MILLISECOND,
         )
 
-    def parts_of(self, note: WorkNote) -> tuple[PrefillPart, ...]:
-        """Return what each engine reads of a peer's prompt."""
-        figures = self.figures_of(note.host)
+    def prefill_parts(self, note: WorkNote) -> tuple[PrefillPart, ...]:
+        """Return the prefill part of each engine for a peer's prompt."""
+        figures = self.engine_figures(note.host)
         if figures is None:
             return ()
-        helped = sum(part.tokens for part in note.parts)
-        shares = [NotedPart(note.host, note.prompt_tokens - helped), *note.parts]
+        helper_tokens = sum(part.tokens for part in note.parts)
+        shares = [NotedPart(note.host, note.prompt_tokens - helper_tokens), *note.parts]
         return tuple(
             PrefillPart(
                 each.helper,
@@ -364,35 +390,35 @@
             for each in shares
         )
 
-    def peers_heard(self) -> int:
-        """Return how many peers are heard."""
+    def live_peer_count(self) -> int:
+        """Return the number of live peers."""
         return 0 if self.gossip is None else len(self.gossip.peers)
 
     def slack_share(self) -> SlackShare:
-        """Return this instance's part in what all may repeat beside the ratio.
+        """Return this instance's share of the retry budget's slack.
 
-        Guard: nothing tells a new life what its former one has sent. Where all are
-        killed in a flood, and come back to the callers that ask again, both would
-        spend the slack in one window; so a life has its part when it has lasted for
-        one. In a fleet that is new nobody has spent any.
+        A new incarnation does not know what its predecessor has sent. If all instances
+        are killed in a flood and restarted while callers retry, both incarnations would
+        spend the slack in one window. An incarnation therefore gets its share after a
+        whole window, or at once in a new fleet, where no slack has been spent.
         """
         if self.gossip is None:
-            return SlackShare(known=False, restarted_at=self.began_at)
+            return SlackShare(known=False, restarted_at=self.created_at)
         census = self.gossip.census
-        lasted = self.clock.monotonic() - self.began_at
-        is_over = census.fleet_is_new or lasted >= self.settles_after
-        since = None if is_over else self.began_at
+        uptime = self.clock.monotonic() - self.created_at
+        settled = census.fleet_is_new or uptime >= self.retry_settle_time
+        since = None if settled else self.created_at
         rank = census.rank(self.gossip.instance, self.gossip.clock.monotonic())
         return SlackShare(census.instances, rank, census.complete, since)
 
 
-def request_of(instance: InstanceId, number: int) -> RequestId:
-    """Return the name of a peer's work here."""
+def peer_request_id(instance: InstanceId, number: int) -> RequestId:
+    """Return the local id of a peer's request."""
     return RequestId(f"{instance}/{number}")
 
 
 def work_note(work: InFlightRequest, now: timedelta) -> WorkNote:
-    """Return what peers are told of own work."""
+    """Return the work note that peers receive for an own request."""
     first = work.first_token_at
     pause = work.longest_pause or timedelta(0)
     return WorkNote(
@@ -412,9 +438,9 @@
     )
 
 
-def rows_of(payload: bytes) -> list[Row]:
-    """Return the rows that a peer handed over; none if they can't be read."""
+def decode_rows(payload: bytes) -> list[Row]:
+    """Return the rows in a peer's payload; none if it can't be decoded."""
     try:
-        return msgspec.msgpack.decode(payload, type=RowList).rows
+        return msgspec.msgpack.decode(payload, type=RowsPayload).rows
     except msgspec.MsgspecError:
         return []
--- a/src/mimosafork/gateway/instance_view.py
+++ b/src/mimosafork/gateway/instance_view.py
@@ -1,4 +1,4 @@
-"""What this instance knows at a moment, as the log tells it beside a decision."""
+"""State that an instance decides on, as logged with its decisions."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -21,28 +21,28 @@
 
 
 class DecisionInputs(msgspec.Struct, frozen=True):
-    """What decisions about a service's calls go by.
+    """State that decisions about a service's calls are based on.
 
     Attributes
     ----------
     listed, usable : int
-        Endpoints of the service that are known, and those that get new work.
+        Known endpoints of the service, and those that accept new work.
     running, peers_running : int
-        Calls that run, of this instance and as far as peers have told.
+        Running calls of this instance, and those published by peers.
     waiting : int
-        Calls here that wait for a place.
+        Calls of this instance that wait for an endpoint.
     peers : int
-        Instances that are heard.
-    repeats_left : int
-        What this instance may still repeat by its part of the budget.
-    repeats_sent : int
-        Repeats that this instance has counted in its life; those of all instances
-        together are what the fleet sent.
-    sharers : int
-        Instances among which the slack is shared, as this one counts them; 0 while
-        it has no part in it.
+        Live peers.
+    retries_left : int
+        Retries left in this instance's share of the retry budget.
+    retries_sent : int
+        Retries sent by this instance since its start. The fleet's total is the sum
+        over all instances.
+    budget_instances : int
+        Instances that share the slack of the retry budget, as counted here; 0 while
+        this one has no share.
     table_age, listing_age : timedelta or None
-        Since the store last told configuration and endpoints.
+        Time since the store last confirmed the configuration and the endpoints.
     """
 
     listed: int = 0
@@ -75,52 +75,52 @@
 
 
 class InstanceView(Protocol):
-    """Tells what decisions about a service's calls go by."""
+    """Source of the state that decisions are based on."""
 
     def inputs(self, service: ServiceId) -> DecisionInputs:
-        """Return what is known now."""
+        """Return the current state for a service."""
 
     def load_age(self) -> timedelta | None:
-        """Return the age of the oldest word of a peer that still counts."""
+        """Return the age of the oldest peer load still in use."""
 
     def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
-        """Return the zones of an attempt's endpoints, and what is expected of it."""
+        """Return the zones of an attempt's endpoints, and its predicted first token."""
 
     @property
     def own_zone(self) -> AvailabilityZoneId | None:
-        """Where this instance runs."""
+        """Availability zone of this instance."""
 
 
 class EmptyInstanceView:
-    """Knows nothing, until the gateway is joined with the rest of its instance."""
+    """Empty state, used until the gateway is connected to the rest of its instance."""
 
     def inputs(self, service: ServiceId) -> DecisionInputs:
-        """Return nothing known."""
+        """Return empty inputs."""
         return DecisionInputs()
 
     def load_age(self) -> timedelta | None:
-        """Return that no peer is heard."""
+        """Return None, as no peer is live."""
         return None
 
     def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
-        """Return nothing known."""
+        """Return an empty placement."""
         return AttemptPlacement()
 
     @property
     def own_zone(self) -> AvailabilityZoneId | None:
-        """Return nothing known."""
+        """None: the zone is unknown."""
         return None
 
 
 class LiveInstanceView:
-    """Reads what is known from its owners.
+    """Reads the current state from its owners.
 
     Parameters
     ----------
     kernel : Kernel
         With the gateway's plug-ins.
     directory : Directory
-    sharing : Sharing
+    gossip_adapter : GossipAdapter
     now : callable
         Returns the kernel's monotonic instant.
     """
@@ -129,12 +129,12 @@
         self,
         kernel: Kernel,
         directory: Directory,
-        sharing: GossipAdapter,
+        gossip_adapter: GossipAdapter,
         now: Callable[[], timedelta],
     ) -> None:
         self.kernel = kernel
         self.directory = directory
-        self.sharing = sharing
+        self.gossip_adapter = gossip_adapter
         self.now = now
         self.fleet = kernel.plugin(FleetView)
         self.placer = kernel.plugin(WorkPlacer)
@@ -142,7 +142,7 @@
         self.retry = kernel.plugin(BudgetedRetry)
 
     def inputs(self, service: ServiceId) -> DecisionInputs:
-        """Return what is known now."""
+        """Return the current state for a service."""
         now = self.now()
         known = self.fleet.service_endpoints(service)
         return DecisionInputs(
@@ -151,7 +151,7 @@
             running=len(self.book.own),
             peers_running=sum(len(works) for works in self.book.peers.values()),
             waiting=len(self.kernel.state.waiting),
-            peers=len(self.sharing.known_peers),
+            peers=len(self.gossip_adapter.live_peers),
             retries_left=int(self.retry.available_retries(service, now)),
             retries_sent=self.retry.retries_sent(service),
             budget_instances=self.retry.slack_sharers(),
@@ -160,17 +160,17 @@
         )
 
     def load_age(self) -> timedelta | None:
-        """Return the age of the oldest word of a peer that still counts."""
-        gossip = self.sharing.gossip
+        """Return the age of the oldest peer load still in use."""
+        gossip = self.gossip_adapter.gossip
         return (
             max((peer.age for peer in gossip.peers), default=None) if gossip else None
         )
 
     def attempt_placement(self, dispatch: Dispatch) -> AttemptPlacement:
-        """Return the zones of an attempt's endpoints, and what is expected of it.
+        """Return the zones of an attempt's endpoints, and its predicted first token.
 
-        They are looked up when it is sent: an endpoint that is gone when its attempt
-        fails is no longer known then.
+        They are looked up when the attempt is sent, as an endpoint may have been
+        removed by the time its attempt fails.
         """
         return AttemptPlacement(
             self.zone_of(dispatch.endpoint),
@@ -185,10 +185,10 @@
 
     @property
     def own_zone(self) -> AvailabilityZoneId | None:
-        """Where this instance runs."""
+        """Availability zone of this instance."""
         return self.kernel.state.identity.availability_zone
 
 
 def milliseconds(time: timedelta | None) -> int | None:
-    """Return whole milliseconds; None stays what it is."""
+    """Return whole milliseconds, or None for None."""
     return None if time is None else int(time / timedelta(milliseconds=1))
--- a/src/mimosafork/gateway/metrics_page.py
+++ b/src/mimosafork/gateway/metrics_page.py
@@ -1,4 +1,4 @@
-"""Serves the metrics page."""
+"""HTTP endpoint of the metrics page."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -13,11 +13,11 @@
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
-def new_metrics() -> "Metrics":
-    """Return new metrics; to be called in a thread of its own.
+def create_metrics() -> "Metrics":
+    """Create the metrics; must be called outside the event loop's thread.
 
-    OpenTelemetry's SDK takes over half a second of a small machine to load. An
-    instance is ready without it, and its loop must not stand still meanwhile.
+    OpenTelemetry's SDK takes over half a second to import on a small machine. The
+    instance is ready without it, and its event loop must not block meanwhile.
     """
     from ..telemetry.metrics import Metrics
 
@@ -25,12 +25,12 @@
 
 
 class MetricsConnection(PageConnection):
-    """Answers each request for the page, and others with 404.
+    """Answers requests for the metrics page, and others with 404.
 
     Parameters
     ----------
     page : callable
-        Returns the page as it is now.
+        Returns the current page.
     """
 
     def __init__(self, page: Callable[[], bytes]) -> None:
@@ -38,7 +38,7 @@
         self.page = page
 
     def respond(self, path: str) -> PageResponse:
-        """Answer with the page, as it is now."""
+        """Respond with the current page."""
         if path != METRICS_PATH:
             return PageResponse(HTTPStatus.NOT_FOUND, content_type=CONTENT_TYPE)
         return PageResponse(HTTPStatus.OK, self.page(), CONTENT_TYPE)
--- a/src/mimosafork/gateway/order_client.py
+++ b/src/mimosafork/gateway/order_client.py
@@ -1,4 +1,4 @@
-"""Carries out the kernel's orders to endpoints, each within a bounded time."""
+"""Sends the kernel's memory orders to endpoints, each with a timeout."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,42 +30,42 @@
 
 MILLISECOND = timedelta(milliseconds=1)
 ORDER_TIMEOUT = timedelta(milliseconds=250)
-"""An engine answers an order within a few milliseconds; one that is silent for so
-long is taken to have lost it, and the next step must not wait longer."""
+"""An engine answers an order within a few milliseconds. After this timeout the order
+counts as lost, so that the next step is not delayed further."""
 
-MOST_SENDS = 2
-"""An order whose connection ends under it is sent once more: to repeat it changes
-nothing, and a kept connection may have been closed just then."""
+MAX_SENDS = 2
+"""An order is resent once if its connection closes: orders are idempotent, and the
+endpoint may have closed a pooled connection at that moment."""
 
 
-class Order(msgspec.Struct, frozen=True):
-    """An order on its way.
+class PendingOrder(msgspec.Struct, frozen=True):
+    """An order to be sent.
 
     Attributes
     ----------
-    done : callable
-        Told the failure, or None, exactly once.
+    on_done : callable
+        Called exactly once, with the failure or None.
     """
 
     endpoint: EndpointId
     address: str
     message: OrderMessage
-    done: Callable[[GangStepFailure | None], None]
+    on_done: Callable[[GangStepFailure | None], None]
 
 
-class OrderTools(msgspec.Struct, frozen=True):
-    """What orders share."""
+class OrderContext(msgspec.Struct, frozen=True):
+    """Dependencies shared by all orders."""
 
     pool: ConnectionPool
     dialect: Dialect
 
 
-class OrderCall:
-    """Sends one order and awaits its answer."""
+class OrderRequest:
+    """Sends one order and waits for its response."""
 
-    def __init__(self, order: Order, tools: OrderTools) -> None:
+    def __init__(self, order: PendingOrder, context: OrderContext) -> None:
         self.order = order
-        self.tools = tools
+        self.context = context
         self.connection: EndpointConnection | None = None
         self.opening: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -74,19 +74,21 @@
         self.ended = False
 
     def start(self) -> None:
-        """Send on a kept connection, or on a new one."""
+        """Send on a pooled connection or on a new one."""
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(ORDER_TIMEOUT.total_seconds(), self._too_late)
-        self._try(self.tools.pool.acquire(self._wanted()))
+        self.timer = loop.call_later(ORDER_TIMEOUT.total_seconds(), self._on_timeout)
+        self._send_or_connect(self.context.pool.acquire(self._connection_request()))
 
-    def _wanted(self) -> ConnectionRequest:
+    def _connection_request(self) -> ConnectionRequest:
         return ConnectionRequest(self.order.endpoint, self.order.address)
 
-    def _try(self, kept: EndpointConnection | None) -> None:
-        if kept is not None:
-            self._send(kept)
+    def _send_or_connect(self, pooled: EndpointConnection | None) -> None:
+        if pooled is not None:
+            self._send(pooled)
             return
-        self.opening = self.tools.pool.open(self._wanted(), self._send, self._unreached)
+        self.opening = self.context.pool.open(
+            self._connection_request(), self._send, self._on_connect_failed
+        )
 
     def _send(self, connection: EndpointConnection) -> None:
         self.opening = None
@@ -114,46 +116,46 @@
     def _on_end(self) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
-            self.tools.pool.release(self.order.endpoint, connection)
+            self.context.pool.release(self.order.endpoint, connection)
         assert self.status is not None
-        self._end(self.tools.dialect.order_failure(self.status))
+        self._finish(self.context.dialect.order_failure(self.status))
 
     def _on_lost(self, loss: ConnectionLoss) -> None:
         self.connection = None
-        if self.ended or self.sends >= MOST_SENDS:
-            self._end(GangStepFailure.LOST)
+        if self.ended or self.sends >= MAX_SENDS:
+            self._finish(GangStepFailure.LOST)
             return
-        self._try(None)
+        self._send_or_connect(None)
 
-    def _unreached(self, error: OSError) -> None:
+    def _on_connect_failed(self, error: OSError) -> None:
         self.opening = None
-        self._end(GangStepFailure.LOST if self.sends else GangStepFailure.UNREACHED)
+        self._finish(GangStepFailure.LOST if self.sends else GangStepFailure.UNREACHED)
 
-    def _too_late(self) -> None:
+    def _on_timeout(self) -> None:
         opening, self.opening = self.opening, None
         if opening is not None:
             opening.cancel()
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.abort()
-        self._end(GangStepFailure.LOST if self.sends else GangStepFailure.UNREACHED)
+        self._finish(GangStepFailure.LOST if self.sends else GangStepFailure.UNREACHED)
 
-    def _end(self, failure: GangStepFailure | None) -> None:
+    def _finish(self, failure: GangStepFailure | None) -> None:
         if self.ended:
             return
         self.ended = True
         if self.timer is not None:
             self.timer.cancel()
-        self.order.done(failure)
+        self.order.on_done(failure)
 
 
 class OrderClient:
-    """Turns effects into orders, and their answers into messages.
+    """Turns effects into orders, and their responses into messages.
 
     Parameters
     ----------
     clock : Clock
-    report : callable
+    post : callable
         Hands a message to the kernel.
     """
 
@@ -162,13 +164,13 @@
         clock: Clock,
         pool: ConnectionPool,
         dialect: Dialect,
-        report: Callable[[Message], None],
+        post: Callable[[Message], None],
     ) -> None:
         self.clock = clock
-        self.tools = OrderTools(pool, dialect)
-        self.report = report
-        self.open: set[OrderCall] = set()
-        self.none_open = asyncio.Event()
+        self.context = OrderContext(pool, dialect)
+        self.post = post
+        self.in_flight: set[OrderRequest] = set()
+        self.all_answered = asyncio.Event()
 
     @singledispatchmethod
     def perform(self, effect: Effect) -> None:
@@ -178,20 +180,20 @@
     def _(self, effect: ReserveMemory) -> None:
         sent_at = self.clock.monotonic()
 
-        def done(failure: GangStepFailure | None) -> None:
+        def on_done(failure: GangStepFailure | None) -> None:
             request, reservation = effect.request_id, effect.reservation
             if failure is None:
-                self.report(MemoryReserved(request, reservation))
+                self.post(MemoryReserved(request, reservation))
                 return
             self._log_failure(effect, failure, self.clock.monotonic() - sent_at)
-            self.report(ReservationFailed(request, reservation, failure))
+            self.post(ReservationFailed(request, reservation, failure))
 
-        self._send(effect.endpoint, effect.address, effect, done)
+        self._send(effect.endpoint, effect.address, effect, on_done)
 
     @perform.register
     def _(self, effect: FreeOwnHolding) -> None:
-        # A release that got no answer isn't followed up: the memory is reserved for
-        # a short while only, and comes free by itself.
+        # A failed release is not retried: reservations are short and expire on
+        # their own.
         self._send(effect.endpoint, effect.address, effect, lambda failure: None)
 
     def _send(
@@ -199,22 +201,24 @@
         endpoint: EndpointId,
         address: str,
         effect: Effect,
-        done: Callable[[GangStepFailure | None], None],
+        on_done: Callable[[GangStepFailure | None], None],
     ) -> None:
-        def ended(failure: GangStepFailure | None) -> None:
-            self.open.discard(call)
-            if not self.open:
-                self.none_open.set()
-            done(failure)
-
-        message = self.tools.dialect.order(effect)
-        call = OrderCall(Order(endpoint, address, message, ended), self.tools)
-        self.open.add(call)
-        self.none_open.clear()
+        def finish(failure: GangStepFailure | None) -> None:
+            self.in_flight.discard(call)
+            if not self.in_flight:
+                self.all_answered.set()
+            on_done(failure)
+
+        message = self.context.dialect.order(effect)
+        call = OrderRequest(
+            PendingOrder(endpoint, address, message, finish), self.context
+        )
+        self.in_flight.add(call)
+        self.all_answered.clear()
         call.start()
 
     def _log_failure(
-        self, effect: ReserveMemory, failure: GangStepFailure, after: timedelta
+        self, effect: ReserveMemory, failure: GangStepFailure, elapsed: timedelta
     ) -> None:
         log_event(
             logger,
@@ -223,10 +227,10 @@
             reservation=effect.reservation,
             tokens=effect.tokens,
             why=failure.value,
-            after_ms=int(after / MILLISECOND),
+            after_ms=int(elapsed / MILLISECOND),
         )
 
     async def wait_until_idle(self) -> None:
-        """Wait until all orders are answered; each one's time is bounded."""
-        if self.open:
-            await self.none_open.wait()
+        """Wait until all orders are answered or have timed out."""
+        if self.in_flight:
+            await self.all_answered.wait()
--- a/src/mimosafork/gateway/readiness_page.py
+++ b/src/mimosafork/gateway/readiness_page.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether this instance takes new connections."""
+"""Readiness endpoint for the load balancer."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -6,11 +6,11 @@
 from .page_connection import PageConnection, PageResponse
 
 
-class ReadyConnection(PageConnection):
+class ReadinessConnection(PageConnection):
     """Answers each request with 200 or 503.
 
-    It runs in the loop that serves the callers, so that a loop which stands still
-    answers nothing and is taken out of rotation.
+    It runs in the event loop that serves callers, so that an instance whose loop is
+    blocked stops answering and is taken out of rotation.
     """
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
@@ -18,6 +18,6 @@
         self.is_ready = is_ready
 
     def respond(self, path: str) -> PageResponse:
-        """Answer by the status alone, whatever the path."""
+        """Respond with a status only, whatever the path."""
         ready = self.is_ready()
         return PageResponse(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/src/mimosafork/gateway/server.py
+++ b/src/mimosafork/gateway/server.py
@@ -1,4 +1,4 @@
-"""An entry instance that passes calls on: its listeners, its start and its stop."""
+"""Entry instance of the gateway: listeners, startup and shutdown."""
 
 import asyncio
 import logging
@@ -48,49 +48,49 @@
 from ..telemetry.logs import PACKAGE_LOGGER, log_event
 from .call_metrics import CallMetrics
 from .dialect import Dialect
-from .draining import LOOK_AGAIN, drain
+from .draining import POLL_INTERVAL, drain
 from .gateway import Gateway
-from .gauges import GatewayGauges, StoreCounts
+from .gauges import GatewayGauges, StoreCallCounts
 from .gossip_adapter import GossipAdapter
 from .instance_view import LiveInstanceView, milliseconds
-from .metrics_page import MetricsConnection, new_metrics
+from .metrics_page import MetricsConnection, create_metrics
 from .policies import PLUGINS
 from .policies.fleet_view import FleetView
 from .policies.placing import WorkPlacer
 from .policies.reserving import MemoryKeeper
 from .policies.retry_budget import MAX_RETRY_TRANSIT
 from .policies.retrying import BudgetedRetry
-from .readiness_page import ReadyConnection
+from .readiness_page import ReadinessConnection
 from .subset_selector import SubsetSelector
 
 logger = logging.getLogger(__name__)
 
 BACKLOG = 512
-FLEET = "entry"
-"""Name under which the instances of a deployment talk to each other."""
+FLEET_NAME = "entry"
+"""Gossip name shared by the entry instances of a deployment."""
 
 BALANCER_LAG = timedelta(milliseconds=2500)
-"""After a stop was asked for, callers still come until the balancer has missed the
-ready answer twice, for two seconds and a little more.
+"""Time for which callers still arrive after a shutdown begins: the balancer removes an
+instance after two failed readiness checks, which takes slightly over two seconds.
 
-Guard: what callers send after three seconds counts as lost if it is taken and then cut,
-as a long answer is at the end of the grace. The clock is looked at each 50 ms and a
-request is on its way for a while, so the intake ends well before."""
+A request sent later than three seconds after that counts as lost if it is accepted and
+then cut, as a long response is at the end of the grace period. The clock is polled
+every 50 ms and requests take time to arrive, so intake ends well before."""
 
 
 class GatewayServer:
-    """One entry instance.
+    """An entry instance of the gateway.
 
     Parameters
     ----------
     settings : GatewaySettings
     read_settings : callable
-        Reads the settings anew; raises `SettingsError`.
+        Reloads the settings; raises `SettingsError`.
     directory : Directory
         Not started yet.
     dialect : Dialect
     peer_rows : PeerRows
-        Where instances find each other.
+        Rows by which instances discover each other.
     clock : Clock
     random : random.Random
     """
@@ -119,62 +119,65 @@
         self.gateway = Gateway(
             self.kernel, dialect, clock, random, lambda: self.directory.table
         )
-        neighbours = SubsetSelector(settings.instance.id, self.kernel.plugin(FleetView))
+        subset_selector = SubsetSelector(
+            settings.instance.id, self.kernel.plugin(FleetView)
+        )
         self.gossip_adapter = GossipAdapter(
-            directory, self.gateway.post, self.figures_of, clock, neighbours
+            directory, self.gateway.post, self.engine_figures, clock, subset_selector
         )
-        self.kernel.plugin(WorkPlacer).engine_subset = neighbours.select_engines
+        self.kernel.plugin(WorkPlacer).engine_subset = subset_selector.select_engines
         self.gateway.on_effect = self.gossip_adapter.publish_effect
-        self.outlook = LiveInstanceView(
+        self.live_view = LiveInstanceView(
             self.kernel, directory, self.gossip_adapter, clock.monotonic
         )
-        self.gateway.lines.instance_view = self.outlook
-        self.store_counts: StoreCounts | None = None
+        self.gateway.call_log.instance_view = self.live_view
+        self.store_counts: StoreCallCounts | None = None
         self.peer_rows = peer_rows
         self._apply_bounds(settings.bounds)
         self.listeners: list[asyncio.Server] = []
         self.metrics_task: asyncio.Task[None] | None = None
-        self.stop_asked = asyncio.Event()
-        self.reload_due = threading.Event()
-        self.was_ready = False
+        self.stop_requested = asyncio.Event()
+        self.reload_requested = threading.Event()
+        self.ready_logged = False
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the balancer may send callers here."""
         return self.directory.ready_to_serve and not self.gateway.draining
 
     async def run(self) -> int:
-        """Serve until a stop is asked for; return the number of calls cut.
+        """Serve until a shutdown is requested; return the number of calls cut.
 
-        In the main thread, once in a process: afterwards signals are ignored.
+        Must be called in the main thread, once per process: signals are ignored
+        afterwards.
 
-        Guard: the loop's own handlers are not enough. Their numbers go through a
-        socket that holds a few hundred while the loop is busy, so that a stop could be
-        lost behind others; and they end with the loop, so that a signal a moment
-        later killed the process. Signals of changed settings that come faster than
-        settings are read count as one, or a stop would wait behind them all.
+        The event loop's own signal handlers are not sufficient. They pass signal
+        numbers through a socket that holds only a few hundred while the loop is busy,
+        so that a stop signal could be lost, and they end with the loop, so that a later
+        signal would kill the process. Reload signals that arrive faster than settings
+        are read are merged, or a stop would wait behind all of them.
         """
         loop = asyncio.get_running_loop()
 
-        def receive(number: signal.Signals) -> None:
+        def handle_signal(number: signal.Signals) -> None:
             if number is not signal.SIGHUP:
-                loop.call_soon_threadsafe(self.stop_asked.set)
-            elif not self.reload_due.is_set():
-                self.reload_due.set()
-                loop.call_soon_threadsafe(self._reload_due)
+                loop.call_soon_threadsafe(self.stop_requested.set)
+            elif not self.reload_requested.is_set():
+                self.reload_requested.set()
+                loop.call_soon_threadsafe(self._run_reload)
 
-        with SignalThread(receive):
+        with SignalThread(handle_signal):
             await self.start()
-            await self.stop_asked.wait()
+            await self.stop_requested.wait()
             return await self.stop()
 
-    def _reload_due(self) -> None:
-        # First, so that a change that is announced meanwhile is read too.
-        self.reload_due.clear()
+    def _run_reload(self) -> None:
+        # Cleared first, so that a change signalled during the reload is read too.
+        self.reload_requested.clear()
         self.reload()
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Open the listeners and start to follow the store."""
         log_event(
             logger,
             GATEWAY_STARTING,
@@ -183,10 +186,10 @@
         )
         self.directory.listen(self._directory_changed)
         self.directory.listen(self.gossip_adapter.directory_changed)
-        self.directory.peers = self.gossip_adapter.peers_heard
-        self.directory.peer_feed.publish = self.gossip_adapter.feed_told
+        self.directory.peers = self.gossip_adapter.live_peer_count
+        self.directory.peer_feed.publish = self.gossip_adapter.publish_feed_state
         self.gossip_adapter.gossip = self._new_gossip()
-        self.gateway.zones.silent_zones = self.gossip_adapter.gossip.silent_zones
+        self.gateway.zone_watch.silent_zones = self.gossip_adapter.gossip.silent_zones
         await self.gossip_adapter.gossip.start()
         self.directory.start()
         self.gateway.start()
@@ -198,7 +201,7 @@
                 self.gateway.new_connection, front.host, front.port, backlog=BACKLOG
             ),
             await loop.create_server(
-                lambda: ReadyConnection(lambda: self.ready), ready.host, ready.port
+                lambda: ReadinessConnection(lambda: self.ready), ready.host, ready.port
             ),
         ]
         metrics = self.settings.listen.metrics
@@ -206,13 +209,15 @@
             self.metrics_task = loop.create_task(self._serve_metrics(metrics))
 
     async def _serve_metrics(self, address: str) -> None:
-        metrics = await asyncio.to_thread(new_metrics)
-        self.gateway.lines.meter = CallMetrics(metrics)
-        GatewayGauges(self.gateway, self.outlook, self.store_counts).join(metrics)
-        place = split_address(address)
+        metrics = await asyncio.to_thread(create_metrics)
+        self.gateway.call_log.meter = CallMetrics(metrics)
+        GatewayGauges(self.gateway, self.live_view, self.store_counts).register(metrics)
+        bind_address = split_address(address)
         try:
             listener = await asyncio.get_running_loop().create_server(
-                lambda: MetricsConnection(metrics.page), place.host, place.port
+                lambda: MetricsConnection(metrics.page),
+                bind_address.host,
+                bind_address.port,
             )
         except OSError as error:
             log_event(logger, METRICS_NOT_SERVED, address=address, why=error)
@@ -220,7 +225,7 @@
         self.listeners.append(listener)
 
     def reload(self) -> None:
-        """Take changed settings; those that can't be used leave the old in force."""
+        """Apply changed settings; invalid settings leave the old ones in force."""
         try:
             settings = self.read_settings()
         except SettingsError as error:
@@ -237,7 +242,7 @@
         retry.slack = bounds.retry_slack
         retry.window = bounds.retry_window
         retry.slack_share = self.gossip_adapter.slack_share
-        self.gossip_adapter.settles_after = bounds.retry_window + MAX_RETRY_TRANSIT
+        self.gossip_adapter.retry_settle_time = bounds.retry_window + MAX_RETRY_TRANSIT
         self.kernel.plugin(MemoryKeeper).longest_hold = bounds.longest_hold
 
     def _new_gossip(self) -> Gossip:
@@ -247,19 +252,19 @@
         options = GossipOptions(
             settings.instance.id,
             settings.instance.availability_zone,
-            FLEET,
+            FLEET_NAME,
             seed_addresses(settings.gossip.seeds, port),
         )
         return Gossip(
             options,
             open_sockets(Address(host, port)),
-            self.gossip_adapter.holding,
+            self.gossip_adapter.transfer_payload,
             self.gossip_adapter.callbacks,
             self.peer_rows,
         )
 
-    def figures_of(self, endpoint: EndpointId) -> EngineFigures | None:
-        """Return the figures of an endpoint's engine; None if it is none."""
+    def engine_figures(self, endpoint: EndpointId) -> EngineFigures | None:
+        """Return the engine figures of an endpoint, or None if it is not an engine."""
         known = self.kernel.plugin(FleetView).endpoints.get(endpoint)
         table = self.directory.table
         if known is None or table is None:
@@ -272,7 +277,7 @@
             self.gateway.post(RoutingTableChanged(change.table))
         else:
             self._endpoint_changed(change)
-        self._note_ready()
+        self._log_first_ready()
 
     def _endpoint_changed(self, change: EndpointChanged) -> None:
         if change.entry.takes_new_work:
@@ -282,10 +287,10 @@
         self.gateway.post(EndpointLeaving(change.endpoint, final))
         self.gateway.pool.drop(change.endpoint)
 
-    def _note_ready(self) -> None:
-        if self.was_ready or not self.ready:
+    def _log_first_ready(self) -> None:
+        if self.ready_logged or not self.ready:
             return
-        self.was_ready = True
+        self.ready_logged = True
         table = self.directory.table
         log_event(
             logger,
@@ -302,26 +307,26 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a call is open, or a caller has yet to take its answer's rest."""
+        """Whether a call is open or a response not yet fully sent."""
         return self.gateway.busy
 
     def end_intake(self) -> None:
-        """Close the door to callers; calls that are open go on."""
+        """Accept no further callers; open calls continue."""
         front, *_ = self.listeners
         front.close()
         self.gateway.end_intake()
 
     async def stop(self) -> int:
-        """Serve on while the balancer notices, then let open calls end.
+        """Serve until the balancer has noticed the shutdown, then finish open calls.
 
         Returns
         -------
         int
-            Calls that had not ended in time.
+            Calls that did not end in time.
         """
         gateway = self.gateway
         gateway.draining = True
-        asked_at = self.clock.monotonic()
+        requested_at = self.clock.monotonic()
         log_event(logger, GATEWAY_STOPPING, open=len(gateway.calls))
         cut = await drain(
             self, BALANCER_LAG, self.settings.bounds.grace, self.clock, sleep
@@ -331,12 +336,12 @@
         gateway.post(StopNow())
         for listener in self.listeners:
             listener.close()
-        await gateway.orders.wait_until_idle()
+        await gateway.order_client.wait_until_idle()
         gateway.stop()
         await self.directory.stop()
         if self.gossip_adapter.gossip is not None:
             await self.gossip_adapter.gossip.close()
-        took = self.clock.monotonic() - asked_at
-        log_event(logger, GATEWAY_STOPPED, cut=cut, after_ms=milliseconds(took))
-        await asyncio.sleep(LOOK_AGAIN.total_seconds())
+        elapsed = self.clock.monotonic() - requested_at
+        log_event(logger, GATEWAY_STOPPED, cut=cut, after_ms=milliseconds(elapsed))
+        await asyncio.sleep(POLL_INTERVAL.total_seconds())
         return cut
--- a/src/mimosafork/gateway/zone_watch.py
+++ b/src/mimosafork/gateway/zone_watch.py
@@ -1,4 +1,4 @@
-"""Reports zones to the kernel that look cut off from this instance."""
+"""Detection of availability zones that this instance cannot reach."""
 
 from collections.abc import Callable, Iterable, Mapping
 from datetime import timedelta
@@ -8,50 +8,50 @@
 from ..kernel.messages.base import Message
 from ..kernel.messages.routing import ZoneReachable, ZoneUnreachable
 
-RENEW_EVERY = timedelta(seconds=1)
-"""Well within the time for which the kernel avoids an unreachable zone."""
+RENEWAL_INTERVAL = timedelta(seconds=1)
+"""Well below the time for which the kernel avoids an unreachable zone."""
 
-LONGEST_SILENCE = timedelta(seconds=10)
-"""After it calls try the zone's endpoints again: a zone may have lost its instances
-alone, for good."""
+MAX_SILENCE = timedelta(seconds=10)
+"""After this time calls try the zone's endpoints again: the zone may have lost only its
+gateway instances, permanently."""
 
 SilentZones = Callable[[], Mapping[AvailabilityZoneId, timedelta]]
 
 
-def no_zones() -> Mapping[AvailabilityZoneId, timedelta]:
-    """Return that no zone is silent."""
+def no_silent_zones() -> Mapping[AvailabilityZoneId, timedelta]:
+    """Return no silent zones."""
     return {}
 
 
 class OpenAttempt(Protocol):
-    """What is asked of an attempt."""
+    """The parts of an open attempt that are checked."""
 
     @property
     def endpoint(self) -> EndpointId:
-        """Where it was sent."""
+        """Endpoint that the attempt was sent to."""
 
     @property
     def event_received_at(self) -> timedelta | None:
-        """When its latest event came, on the kernel's clock."""
+        """When its latest event was received, on the kernel's clock."""
 
 
 class ZoneWatch:
-    """Joins the silence of a zone's instances with that of its endpoints.
+    """Combines the silence of a zone's instances with that of its endpoints.
 
-    Guard: where all instances of a zone are killed, its endpoints serve on. An answer
-    that still comes from there shows that the zone can be reached.
+    If all instances of a zone are killed, its endpoints keep serving. An answer
+    received from one of them shows that the zone is reachable.
 
     Parameters
     ----------
     post : callable
-        Hands a message to the kernel.
+        Posts a message to the kernel.
     zone_of : callable
-        Returns an endpoint's zone; None if the endpoint is not known.
+        Returns an endpoint's zone, or None for an unknown endpoint.
 
     Attributes
     ----------
     silent_zones : callable
-        Returns the zones of which no instance is received, and since how long.
+        Returns the zones whose instances are all silent, and for how long.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
     ) -> None:
         self.post = post
         self.zone_of = zone_of
-        self.silent_zones: SilentZones = no_zones
+        self.silent_zones: SilentZones = no_silent_zones
         self.renewals_due: dict[AvailabilityZoneId, timedelta] = {}
 
-    def look(self, attempts: Iterable[OpenAttempt], now: timedelta) -> None:
-        """Report what has changed.
+    def check(self, attempts: Iterable[OpenAttempt], now: timedelta) -> None:
+        """Report zones that became unreachable or reachable.
 
         Parameters
         ----------
@@ -86,9 +86,9 @@
     def is_due(
         self, zone: AvailabilityZoneId, silence: timedelta, now: timedelta
     ) -> bool:
-        """Return whether a silent zone is to be reported, at first or anew."""
+        """Return whether a silent zone is due for its first or a repeated report."""
         due = self.renewals_due.get(zone)
-        return silence <= LONGEST_SILENCE and (due is None or now >= due)
+        return silence <= MAX_SILENCE and (due is None or now >= due)
 
     def report(
         self,
@@ -97,12 +97,12 @@
         attempts: Iterable[OpenAttempt],
         now: timedelta,
     ) -> None:
-        """Report a silent zone, unless one of its endpoints was received since."""
+        """Report a silent zone unless one of its endpoints has answered since."""
         for attempt in attempts:
             received_at = attempt.event_received_at
             if received_at is None or received_at <= since:
                 continue
             if self.zone_of(attempt.endpoint) == zone:
                 return
-        self.renewals_due[zone] = now + RENEW_EVERY
+        self.renewals_due[zone] = now + RENEWAL_INTERVAL
         self.post(ZoneUnreachable(zone, since))
--- a/tests/unit/gateway/test_freeze_watch.py
+++ b/tests/unit/gateway/test_freeze_watch.py
@@ -15,7 +15,7 @@
     for _ in range(3):
         steady.advance(GAP)
         boot.advance(GAP + timedelta(milliseconds=900))
-        assert watch.ticked() is None
+        assert watch.record_tick() is None
 
 
 def test_suspension_that_the_steady_clock_does_not_count_is_noticed() -> None:
@@ -26,10 +26,12 @@
     """
     steady, boot = ManualClock(), ManualClock()
     watch = FreezeWatch(steady, boot, GAP)
-    watch.ticked()
+    watch.record_tick()
     steady.advance(GAP)
     boot.advance(GAP + timedelta(seconds=3))
-    assert watch.ticked() == ProcessFreeze(timedelta(seconds=3), timedelta(seconds=3))
+    assert watch.record_tick() == ProcessFreeze(
+        timedelta(seconds=3), timedelta(seconds=3)
+    )
 
 
 def test_a_freeze_between_two_rare_ticks_is_noticed_at_least_as_soon() -> None:
@@ -40,15 +42,15 @@
     """
     steady, boot = ManualClock(), ManualClock()
     watch = FreezeWatch(steady, boot, GAP)
-    watch.ticked()
+    watch.record_tick()
     rare = timedelta(milliseconds=250)
     for clock in (steady, boot):
         clock.advance(rare)
-    assert watch.ticked(rare) is None
+    assert watch.record_tick(rare) is None
     frozen = timedelta(milliseconds=1050)
     for clock in (steady, boot):
         clock.advance(frozen)
-    assert watch.ticked(rare) == ProcessFreeze(frozen - rare, timedelta(0))
+    assert watch.record_tick(rare) == ProcessFreeze(frozen - rare, timedelta(0))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_peer_work_updates.py
+++ b/tests/unit/gateway/test_peer_work_updates.py
@@ -100,7 +100,10 @@
         """Return the works of all living peers, each worked out anew."""
         found = {}
         for load in self.gossip.loads():
-            works = [self.sharing.work_of(load.instance, each) for each in load.works]
+            works = [
+                self.sharing.in_flight_request(load.instance, each)
+                for each in load.works
+            ]
             found[str(load.instance)] = {str(each.request): each for each in works}
         return {name: works for name, works in found.items() if works}
 
@@ -207,7 +210,7 @@
     peer.say(LOAD, 1, note(1, 1, 60_000), network.now)
     hearer.run(ms(100))
     hearer.figures = FIGURES
-    hearer.sharing.offer_configuration_soon = lambda: None  # type: ignore[method-assign]
+    hearer.sharing.schedule_configuration_offer = lambda: None  # type: ignore[method-assign]
     hearer.sharing.directory_changed(TableChanged(EMPTY, UpdateOrigin.STORE))
     peer.say(LOAD, 2, note(2, 2), network.now)
     hearer.run(ms(100))
--- a/tests/unit/gateway/test_zone_watch.py
+++ b/tests/unit/gateway/test_zone_watch.py
@@ -5,7 +5,7 @@
 from unittest import TestCase
 
 from mimosafork.gateway.policies.zone_suspicion import SUSPICION_PERIOD
-from mimosafork.gateway.zone_watch import LONGEST_SILENCE, RENEW_EVERY, ZoneWatch
+from mimosafork.gateway.zone_watch import MAX_SILENCE, RENEWAL_INTERVAL, ZoneWatch
 from mimosafork.ids import AvailabilityZoneId, EndpointId
 from mimosafork.kernel.messages.base import Message
 from mimosafork.kernel.messages.dispatch import Dispatch
@@ -48,17 +48,17 @@
         """Look at each tick of a time in which nothing else is received."""
         end = self.now + span
         while self.now < end:
-            self.watch.look(self.attempts, self.now)
+            self.watch.check(self.attempts, self.now)
             self.now += TICK
             self.silent = {zone: t + TICK for zone, t in self.silent.items()}
 
 
 def test_a_silent_zone_is_reported_until_it_is_received() -> None:
     watched = Watched(silent={FAR: HALF})
-    watched.run(3 * RENEW_EVERY)
+    watched.run(3 * RENEWAL_INTERVAL)
     since = timedelta(seconds=100) - HALF
     case.assertEqual([ZoneUnreachable(FAR, since)] * 3, watched.posted)
-    case.assertLess(RENEW_EVERY, SUSPICION_PERIOD)
+    case.assertLess(RENEWAL_INTERVAL, SUSPICION_PERIOD)
     watched.silent = {}
     watched.run(TICK)
     case.assertEqual(ZoneReachable(FAR), watched.posted[-1])
@@ -68,7 +68,7 @@
     """Endpoints must not be avoided where all instances beside them were killed."""
     watched = Watched(silent={FAR: HALF})
     watched.attempts = [Answering(EndpointId("e"), watched.now - HALF / 2)]
-    watched.run(RENEW_EVERY)
+    watched.run(RENEWAL_INTERVAL)
     case.assertEqual([], watched.posted)
 
 
@@ -85,8 +85,8 @@
 
 def test_a_zone_without_instances_is_tried_again_after_a_while() -> None:
     """A zone that lost its instances alone must not lose its endpoints for good."""
-    watched = Watched(silent={FAR: LONGEST_SILENCE + TICK})
-    watched.run(3 * RENEW_EVERY)
+    watched = Watched(silent={FAR: MAX_SILENCE + TICK})
+    watched.run(3 * RENEWAL_INTERVAL)
     case.assertEqual([], watched.posted)
 
 
