--- a/src/mimosafork/gateway/gateway.py
+++ b/src/mimosafork/gateway/gateway.py
@@ -304,9 +304,7 @@
     def request_unanswered(
         self, connection: ClientConnection, unanswered: UnansweredRequest
     ) -> None:
-        """Log the state of a request that got no answer before its connection
-        closed.
-        """
+        """Log a request that was unanswered when its connection closed."""
         table = self.table()
         log_event(
             logger,
--- a/tests/support/call_rules.py
+++ b/tests/support/call_rules.py
@@ -1,4 +1,4 @@
-"""What really happened to calls, and what the rules say of it."""
+"""Rules that simulated calls are checked against, and the true state of the calls."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -14,20 +14,20 @@
 RETRY_RATIO = 0.2
 RETRY_SLACK = 5.0
 
-CRASHES = 3
-"""Endpoints that a content may bring down before it is poison."""
+CRASH_LIMIT = 3
+"""Endpoints that a content may crash before it is quarantined."""
 
-NEWS = timedelta(seconds=3)
-"""Time after the third crash in which retries of the content don't count."""
+CRASH_NEWS_DELAY = timedelta(seconds=3)
+"""Time after the third crash in which retries of the content are not limited."""
 
-MOST_AFTER = 3
-"""Retries of poison that may come later than that."""
+MAX_LATE_RETRIES = 3
+"""Retries of a quarantined content allowed after that time."""
 
-FORGOTTEN = timedelta(seconds=60)
+CRASH_MEMORY = timedelta(seconds=60)
 
 
 class Phase(Enum):
-    """How far an attempt is."""
+    """Progress of an attempt."""
 
     OPENING = "opening"
     SENT = "sent"
@@ -35,29 +35,29 @@
 
 
 @dataclass
-class Sent:
+class SimulatedAttempt:
     """One attempt at a model endpoint.
 
     Attributes
     ----------
     may_have_run : bool
-        False once it is sure that it has not.
+        False once it is certain that it has not run.
     arrived : bool
-        Its request has reached an endpoint, which may have rejected it.
+        Whether its request has reached an endpoint, which may have rejected it.
     events : int
-        Events of the whole call that its caller has.
+        Events of the whole call that its caller has received.
     hedged : bool
-        It is silent, and stays open until another one answers.
+        Whether it is silent and stays open until another attempt answers.
     """
 
     call: "ModelCall"
     dispatch: Dispatch
     phase: Phase
-    since: timedelta
-    heard_at: timedelta
+    started_at: timedelta
+    last_event_at: timedelta
     may_have_run: bool = True
     arrived: bool = False
-    begun: bool = False
+    started: bool = False
     hedged: bool = False
 
 
@@ -68,24 +68,24 @@
     Attributes
     ----------
     status : int or None
-        Of the final answer; None where the connection was cut or had gone.
-    failed_with : int or None
-        Status of an endpoint's own answer that tells of a failure.
+        Status of the final answer; None if the connection was cut or closed.
+    failure_status : int or None
+        Status of an endpoint's own failure response.
     """
 
     request: Request
     route: str
-    attempts: list[Sent] = field(default_factory=list)
+    attempts: list[SimulatedAttempt] = field(default_factory=list)
     events: int = 0
     head_sent: bool = False
     caller_gone: bool = False
-    failed_with: int | None = None
+    failure_status: int | None = None
     conclusion: Conclude | None = None
     status: int | None = None
 
     @property
     def once(self) -> bool:
-        """Whether it may run only once."""
+        """Whether the call may run only once."""
         return self.request.repeatability is Repeatability.NON_IDEMPOTENT
 
     @property
@@ -96,14 +96,14 @@
 
 @dataclass
 class Budget:
-    """Requests and repeats of one service, of all instances, with their instants."""
+    """Instants of the requests and retries of one service, over all instances."""
 
     slack: float = RETRY_SLACK
     requests: list[timedelta] = field(default_factory=list)
     repeats: list[timedelta] = field(default_factory=list)
 
     def check(self, now: timedelta) -> None:
-        """Check all windows that end now or that begin with a repeat and are over."""
+        """Check the windows that end now, and the past ones that begin with a retry."""
         ends = [now]
         ends += [
             at + RETRY_WINDOW for at in self.repeats if now - RETRY_WINDOW * 2 <= at
@@ -114,50 +114,50 @@
 
     def check_window(self, end: timedelta) -> None:
         """Check one window; its own requests or those shortly before it count."""
-        repeats = count(self.repeats, end)
+        repeats = count_in_window(self.repeats, end)
         requests = self.requests_for(end)
         allowed = self.allowed(end)
         assert repeats <= allowed, ("BUDGET", end, repeats, requests, allowed)
 
     def allowed(self, end: timedelta) -> float:
-        """Return how many repeats the window that ends at `end` may have."""
+        """Return the number of retries allowed in the window that ends at `end`."""
         return RETRY_RATIO * self.requests_for(end) + self.slack
 
     def requests_for(self, end: timedelta) -> int:
         """Return the requests that count for the window that ends at `end`."""
         shifts = (timedelta(0), RETRY_WINDOW, RETRY_WINDOW / 2)
-        return max(count(self.requests, end - shift) for shift in shifts)
+        return max(count_in_window(self.requests, end - shift) for shift in shifts)
 
 
-def count(instants: list[timedelta], end: timedelta) -> int:
-    """Return how many instants lie in the window that ends at `end`."""
+def count_in_window(instants: list[timedelta], end: timedelta) -> int:
+    """Return the number of instants in the window that ends at `end`."""
     return sum(end - RETRY_WINDOW < at <= end for at in instants)
 
 
 @dataclass
-class Crashes:
-    """Endpoints that broke off under a content, as this instance knows."""
+class CrashRecord:
+    """Endpoints that crashed on a content, as far as this instance knows."""
 
     endpoints: set[EndpointId] = field(default_factory=set)
     seen_at: timedelta = timedelta(0)
-    third_at: timedelta | None = None
+    quarantined_at: timedelta | None = None
     after: int = 0
 
 
-class Judge:
-    """Holds each thing that happens against the rules."""
+class RuleChecker:
+    """Checks each event of a simulation against the rules."""
 
     def __init__(self) -> None:
         self.budgets: dict[ServiceId, Budget] = {}
-        self.crashes: dict[Digest, Crashes] = {}
+        self.crashes: dict[Digest, CrashRecord] = {}
         self.tickets: set[str] = set()
 
     def budget(self, service: ServiceId) -> Budget:
-        """Return what a service has been sent."""
+        """Return the requests and retries sent to a service."""
         return self.budgets.setdefault(service, Budget())
 
     def dispatched(self, call: ModelCall, dispatch: Dispatch, now: timedelta) -> None:
-        """Check an attempt that is about to be sent, by its call alone."""
+        """Check an attempt that is about to be sent against its call."""
         before = call.possible_runs
         terms = call.request.terms
         assert terms is not None
@@ -169,40 +169,40 @@
         assert not self.tickets & set(used), ("LIMIT", dispatch)
         self.tickets |= set(used)
 
-    def _poison(self, call: ModelCall, now: timedelta) -> None:
+    def _check_quarantine(self, call: ModelCall, now: timedelta) -> None:
         known = self.crashes.get(call.request.body_digest)
-        if known is None or known.third_at is None:
+        if known is None or known.quarantined_at is None:
             return
-        known.after += now > known.third_at + NEWS
-        assert known.after <= MOST_AFTER, ("BUDGET: poison", call.request)
+        known.after += now > known.quarantined_at + CRASH_NEWS_DELAY
+        assert known.after <= MAX_LATE_RETRIES, ("BUDGET: poison", call.request)
 
-    def is_poison(self, digest: Digest, now: timedelta) -> bool:
-        """Whether a new call with a content must not be sent."""
+    def is_quarantined(self, digest: Digest, now: timedelta) -> bool:
+        """Return whether new calls with a content must not be sent."""
         known = self.crashes.get(digest)
-        if known is None or now - known.seen_at > FORGOTTEN:
+        if known is None or now - known.seen_at > CRASH_MEMORY:
             return False
-        return known.third_at is not None
+        return known.quarantined_at is not None
 
     def crashed(
         self, digest: Digest, endpoints: set[EndpointId], now: timedelta
     ) -> None:
-        """Note that this instance learns of crashes under a content."""
+        """Record that this instance learns of crashes caused by a content."""
         known = self.crashes.get(digest)
-        if known is None or now - known.seen_at > FORGOTTEN:
-            known = self.crashes[digest] = Crashes()
+        if known is None or now - known.seen_at > CRASH_MEMORY:
+            known = self.crashes[digest] = CrashRecord()
         known.seen_at = now
         known.endpoints |= endpoints
-        if len(known.endpoints) >= CRASHES and known.third_at is None:
-            known.third_at = now
+        if len(known.endpoints) >= CRASH_LIMIT and known.quarantined_at is None:
+            known.quarantined_at = now
 
     def cleared(self, digest: Digest) -> None:
-        """Note that a content has run well."""
+        """Record that a content has run successfully."""
         self.crashes.pop(digest, None)
 
-    def arrived(self, sent: Sent, now: timedelta) -> None:
-        """Note that an attempt reaches an endpoint, and check the budget."""
+    def arrived(self, sent: SimulatedAttempt, now: timedelta) -> None:
+        """Record that an attempt reaches an endpoint, and check the retry budget."""
         sent.arrived = True
-        self._poison(sent.call, now)
+        self._check_quarantine(sent.call, now)
         budget = self.budget(ServiceId(sent.call.request.target))
         if any(each.arrived for each in sent.call.attempts if each is not sent):
             budget.repeats.append(now)
--- a/tests/support/gateway_processes.py
+++ b/tests/support/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes, with the prepared stand-ins in the test's own."""
+"""Gateways as real processes, with prepared stand-ins in the test's process."""
 
 import os
 import socket
@@ -43,13 +43,13 @@
 HOSTS = count(1)
 
 
-def own_host() -> str:
+def unique_loopback_host() -> str:
     """Return a loopback address that no other test uses at the same time."""
     return f"127.{1 + os.getpid() % 250}.{1 + os.getpid() // 250 % 250}.{next(HOSTS)}"
 
 
 def free_port(host: str) -> int:
-    """Return a port that the system picks on an address of the test's own."""
+    """Return a free port of a loopback address."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         port: int = probe.getsockname()[1]
@@ -62,11 +62,11 @@
     Parameters
     ----------
     folder : Path
-        Its settings lie there; also searched for modules before all others.
+        Contains its settings; first on the module search path.
     """
 
     def __init__(self, folder: Path, name: str, store: str, bounds: str = "") -> None:
-        host = own_host()
+        host = unique_loopback_host()
         self.front = f"{host}:{free_port(host)}"
         self.ready = f"{host}:{free_port(host)}"
         self.metrics = f"{host}:{free_port(host)}"
@@ -86,14 +86,14 @@
         self.process = Process(["gateway", "--settings", str(self.path)], folder)
 
     def ready_status(self) -> int:
-        """Return what the balancer is told; 0 without an answer."""
+        """Return the status of the readiness check; 0 without an answer."""
         try:
             return call(self.ready, "GET", READY_PATH).status
         except (NoAnswerError, OSError):
             return 0
 
     def wait_until_ready(self, status: int = 200) -> None:
-        """Wait until the balancer is told something."""
+        """Wait until the readiness check returns a status."""
         eventually(lambda: self.ready_status() == status)
 
     def ask(self, path: str, name: str, **headers: str) -> CallResult:
@@ -101,7 +101,7 @@
         return ask(self.front, path, name, b"body", **headers)
 
     def wait_until_logged(self, text: str) -> None:
-        """Wait for a line with some text."""
+        """Wait for a log line that contains a text."""
         eventually(lambda: any(text in line for line in self.process.lines))
 
 
@@ -113,16 +113,16 @@
     bounds: str = "",
     sitecustomize: str = "",
 ) -> Iterator[GatewayProcess]:
-    """Run an instance before a prepared platform; it ends with the test.
+    """Run an instance on a prepared platform; it is killed at the end.
 
     Parameters
     ----------
     store : str
-        Where it reaches the store, if not at its own address.
+        Address of the store, if not the platform's own.
     bounds : str
         Further lines of that section of the settings.
     sitecustomize : str
-        Code that the interpreter runs first, to bring a fault about.
+        Code that the interpreter runs at startup, to inject a fault.
     """
     with TemporaryDirectory() as folder, ExitStack() as stack:
         Path(folder, "sitecustomize.py").write_text(sitecustomize)
--- a/tests/support/gossip_instances.py
+++ b/tests/support/gossip_instances.py
@@ -1,4 +1,4 @@
-"""Lives of instances that find each other by the rows of the store, without sockets."""
+"""Gossip instances without sockets that discover each other by rows of the store."""
 
 import asyncio
 from collections.abc import Sequence
@@ -30,7 +30,7 @@
 
 
 class FakeRowStore:
-    """Rows in memory, with pages of two; down while told so."""
+    """Rows in memory, in pages of two; fails while `down` is set."""
 
     def __init__(self) -> None:
         self.rows: dict[str, bytes] = {}
@@ -75,7 +75,7 @@
 
 
 class GossipInstance:
-    """One life of an instance: its sharing, its gossip and its finder.
+    """One incarnation of an instance: its gossip adapter, gossip and finder.
 
     Parameters
     ----------
@@ -107,12 +107,12 @@
         self.sharing.gossip = self.gossip
 
     def discover_peers(self) -> bool:
-        """Write the own row and read all; return whether to look again soon."""
+        """Write the own row and read all rows; return whether to repeat soon."""
         finder = self.gossip.finder
         assert isinstance(finder, Finder)
         asyncio.run(finder.look())
         return finder.looks_again
 
     def slack_share(self, slack: float = 100.0) -> int:
-        """Return this life's part of a slack."""
+        """Return this instance's share of a slack."""
         return self.sharing.slack_share().portion_of(slack)
--- a/tests/support/reachable_items.py
+++ b/tests/support/reachable_items.py
@@ -1,34 +1,34 @@
-"""Counting what an object holds, so that a test can see whether it grows."""
+"""Counting the items reachable from an object, to detect growth in tests."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
 from enum import Enum
 
-LEAVES = (str, bytes, int, float, type, Enum)
+LEAF_TYPES = (str, bytes, int, float, type, Enum)
 
 
 def count_reachable_items(root: object) -> int:
-    """Return how many items all containers hold that can be reached from an object.
+    """Return the number of items in all containers reachable from an object.
 
-    Mappings, sets, lists, tuples, deques and the attributes of objects are followed;
-    what several of them hold counts once.
+    Mappings, sets, lists, tuples, deques and attributes of objects are followed; a
+    shared container is visited once.
     """
     seen: set[int] = set()
     waiting = deque([root])
     count = 0
     while waiting:
         found = waiting.popleft()
-        if id(found) in seen or found is None or isinstance(found, LEAVES):
+        if id(found) in seen or found is None or isinstance(found, LEAF_TYPES):
             continue
         seen.add(id(found))
-        inner = list(parts_of(found))
+        inner = list(direct_items(found))
         count += len(inner)
         waiting.extend(inner)
     return count
 
 
-def parts_of(found: object) -> Iterable[object]:
-    """Return what an object holds directly."""
+def direct_items(found: object) -> Iterable[object]:
+    """Return the items directly contained in an object."""
     if isinstance(found, Mapping):
         return [*found.keys(), *found.values()]
     if isinstance(found, (list, tuple, set, frozenset, deque)):
--- a/tests/support/simulated_gateway.py
+++ b/tests/support/simulated_gateway.py
@@ -1,7 +1,7 @@
-"""A gateway's kernel and directory among model endpoints, with a clock that is set.
+"""A simulation of a gateway's kernel and directory with endpoints and a manual clock.
 
-Stands in for the gateway's sockets: carries out the kernel's effects as they do, and
-reports what happens to each attempt.
+Replaces the gateway's sockets: executes the kernel's effects as they would, and reports
+the events of each attempt.
 """
 
 from collections import deque
@@ -72,7 +72,14 @@
 from mimosafork.kernel.messages.timers import WakeAt
 from mimosafork.kernel.registry import create
 
-from .call_rules import RETRY_RATIO, RETRY_SLACK, Judge, ModelCall, Phase, Sent
+from .call_rules import (
+    RETRY_RATIO,
+    RETRY_SLACK,
+    ModelCall,
+    Phase,
+    RuleChecker,
+    SimulatedAttempt,
+)
 from .gateway_kernels import ZONE
 from .gateway_tables import (
     FakeConfigurationHistory,
@@ -82,23 +89,23 @@
 )
 from .reserving_engines import POOL, FakeModelEngine
 
-OPENED_WITHIN = timedelta(milliseconds=300)
-"""A connection that takes longer is given up."""
+CONNECT_TIMEOUT = timedelta(milliseconds=300)
+"""Timeout of opening a connection."""
 
-ORDER_WITHIN = timedelta(milliseconds=250)
-"""An order that gets no answer for longer is given up."""
+ORDER_TIMEOUT = timedelta(milliseconds=250)
+"""Timeout of an order's response."""
 
-ORDER_TAKES = timedelta(milliseconds=120)
-"""An order's answer comes so much later while engines are slow."""
+SLOW_ORDER_DELAY = timedelta(milliseconds=120)
+"""Delay of an order's response while engines are slow."""
 
 INSTANCES = 2
-"""This one and a peer, which share the budget."""
+"""This instance and a peer, which share the retry budget."""
 
-PEERS_CALL = RequestId("peer")
+PEER_CALL = RequestId("peer")
 
 
-class Fate(Enum):
-    """What may happen to an attempt."""
+class AttemptEvent(Enum):
+    """Events that may happen to an attempt."""
 
     EVENT = "event"
     FINISHED = "finished"
@@ -111,19 +118,19 @@
     UNREACHED = "unreached"
 
 
-OWN_FAILURES = {Fate.NOT_FOUND: 404, Fate.FAILED: 500}
+FAILURE_STATUSES = {AttemptEvent.NOT_FOUND: 404, AttemptEvent.FAILED: 500}
 
 
 @dataclass
-class ModelEndpoint:
-    """One life of an endpoint.
+class SimulatedEndpoint:
+    """One incarnation of an endpoint.
 
     Attributes
     ----------
     reachable : bool
-        Connections to it can be opened.
-    deaf : bool
-        Its orders get no answer and are not carried out.
+        Whether connections to it can be opened.
+    loses_orders : bool
+        Whether its orders get no response and are not executed.
     """
 
     name: EndpointId
@@ -133,37 +140,37 @@
     slots: int
     memory: FakeModelEngine
     reachable: bool = True
-    deaf: bool = False
+    loses_orders: bool = False
 
     def row(self, state: str, version: int) -> Row:
-        """Return its row in the list of endpoints."""
-        words = (state, self.service, self.address, self.zone, str(self.slots))
-        return Row("endpoints", "", self.name, " ".join(words).encode(), version)
+        """Return the endpoint's row in the list."""
+        fields = (state, self.service, self.address, self.zone, str(self.slots))
+        return Row("endpoints", "", self.name, " ".join(fields).encode(), version)
 
 
 @dataclass(frozen=True)
-class Reply:
-    """What an instance will learn of an order, and when."""
+class OrderReply:
+    """Result of an order, and the time at which it is received."""
 
     order: ReserveMemory
     failure: GangStepFailure | None
     at: timedelta
 
 
-class GatewayWorld:
-    """Everything around one gateway's kernel.
+class SimulatedGateway:
+    """Simulated environment of one gateway's kernel.
 
     Attributes
     ----------
-    living : dict
-        Who answers at an address.
+    endpoint_by_address : dict
+        The endpoint that listens at each address.
     fates : dict
         All attempts that have not ended, by their request.
     """
 
     def __init__(self, seed: int = 1) -> None:
         self.clock = ManualClock(start=timedelta(seconds=100))
-        self.judge = Judge()
+        self.checker = RuleChecker()
         self.tables = FakeConfigurationHistory()
         identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
         self.kernel = Kernel(identity, self.clock, Random(seed), create(PLUGINS))
@@ -174,14 +181,14 @@
         self.random = Random(seed)
         self.share = SlackShare(INSTANCES)
         self.peer = BudgetedRetry()
-        self.endpoints: dict[EndpointId, ModelEndpoint] = {}
-        self.living: dict[str, EndpointId] = {}
-        self.told_draining: set[EndpointId] = set()
+        self.endpoints: dict[EndpointId, SimulatedEndpoint] = {}
+        self.endpoint_by_address: dict[str, EndpointId] = {}
+        self.reported_draining: set[EndpointId] = set()
         self.calls: dict[RequestId, ModelCall] = {}
         self.refusals: list[CallRefusal] = []
-        self.open: list[Sent] = []
+        self.open: list[SimulatedAttempt] = []
         self.wakes: list[WakeAt] = []
-        self.replies: list[Reply] = []
+        self.replies: list[OrderReply] = []
         self.slow = False
         self.late_orders: list[ReserveMemory] = []
         self.inbox: deque[Message] = deque()
@@ -200,14 +207,14 @@
         return self.clock.monotonic()
 
     def next_version(self) -> int:
-        """Return a version of the store's counter."""
+        """Return the next version of the store."""
         self.version += 1
         return self.version
 
-    # What the directory tells, and peers
+    # Directory and peers
 
     def directory_changed(self, change: DirectoryChange) -> None:
-        """Tell the kernel of a change, as the gateway's server does."""
+        """Post a change to the kernel, as the gateway's server does."""
         if isinstance(change, TableChanged):
             self.post(RoutingTableChanged(change.table))
         elif change.entry.takes_new_work:
@@ -217,25 +224,25 @@
             self.post(EndpointLeaving(change.endpoint, final))
 
     def peer_spends(self, service: ServiceId, requests: int, repeats: int) -> None:
-        """Let a peer take requests and repeat as many as its part has room for."""
-        budget = self.judge.budget(service)
+        """Let a peer accept requests and send the retries that its share allows."""
+        budget = self.checker.budget(service)
         allowance = self.peer.budget(service)
         for _ in range(requests):
             allowance.count_request(self.now)
             budget.requests.append(self.now)
         for _ in range(repeats):
             if self.peer.available_retries(service, self.now) >= 1:
-                allowance.count_retry(PEERS_CALL, self.now)
+                allowance.count_retry(PEER_CALL, self.now)
                 budget.repeats.append(self.now)
                 budget.check(self.now)
 
-    def crash_told(self, call: ModelCall, endpoints: set[EndpointId]) -> None:
-        """Let a peer tell of crashes under a content; of none: that it ran well."""
+    def receive_crashes(self, call: ModelCall, endpoints: set[EndpointId]) -> None:
+        """Receive a peer's report of crashes on a content; an empty one clears it."""
         digest = call.request.body_digest
         if endpoints:
-            self.judge.crashed(digest, endpoints, self.now)
+            self.checker.crashed(digest, endpoints, self.now)
         else:
-            self.judge.cleared(digest)
+            self.checker.cleared(digest)
         self.post(
             CrashSuspicionUpdated(digest, frozenset(endpoints), cleared=not endpoints)
         )
@@ -248,7 +255,7 @@
         return [call for call in self.calls.values() if call.conclusion is None]
 
     def call(self, route: str, body: str, key: str) -> ModelCall | CallRefusal | None:
-        """Let a caller's whole request arrive; None once intake has ended."""
+        """Submit a caller's request; return None once intake has ended."""
         if self.stopped:
             return None
         name = RequestId(str(len(self.calls) + len(self.refusals) + 1))
@@ -269,31 +276,31 @@
         request = admission.request
         call = ModelCall(request, route)
         self.calls[request.request_id] = call
-        self.judge.budget(ServiceId(request.target)).requests.append(self.now)
-        poison = self.judge.is_poison(request.body_digest, self.now)
+        self.checker.budget(ServiceId(request.target)).requests.append(self.now)
+        quarantined = self.checker.is_quarantined(request.body_digest, self.now)
         self.post(Submit(request))
-        if poison:
+        if quarantined:
             end = call.conclusion
-            assert end is not None, ("BUDGET: poison goes in", call)
+            assert end is not None, ("BUDGET: quarantined content was sent", call)
             assert end.problem is not None
             assert end.problem.code is ProblemCode.QUARANTINED, end
         return call
 
     def leave(self, call: ModelCall) -> None:
-        """Let a caller hang up."""
+        """Disconnect a caller."""
         if call.conclusion is None:
             call.caller_gone = True
             self.post(CallerGone(call.request.request_id))
 
     def stop(self) -> None:
-        """End everything, as at the end of the grace of a planned stop."""
+        """End all calls, as at the end of the grace period of a shutdown."""
         self.stopped = True
         self.post(StopNow())
 
     # The kernel's effects
 
     def post(self, message: Message) -> None:
-        """Have the kernel handle a message and carry out its effects, in turn."""
+        """Have the kernel handle a message, and execute its effects in turn."""
         self.inbox.append(message)
         if self.handling:
             return
@@ -306,13 +313,13 @@
             self.handling = False
 
     def perform(self, effect: Effect) -> None:
-        """Carry out an effect."""
+        """Execute an effect."""
         if isinstance(effect, Dispatch):
             self.dispatch(effect)
         elif isinstance(effect, CancelAttempt):
             self.end_attempt(effect.request_id, effect.attempt)
         elif isinstance(effect, RestoreAttempt):
-            for sent in self.sent_as(effect.request_id, effect.attempt):
+            for sent in self.open_attempts_of(effect.request_id, effect.attempt):
                 sent.hedged = False
         elif isinstance(effect, EndSilentAttempt):
             self.end_silent(effect.failure)
@@ -324,37 +331,37 @@
             self.conclude(effect)
 
     def dispatch(self, effect: Dispatch) -> None:
-        """Begin an attempt."""
+        """Start an attempt."""
         call = self.calls[effect.request_id]
-        self.judge.dispatched(call, effect, self.now)
+        self.checker.dispatched(call, effect, self.now)
         self.check_place(call, effect)
-        sent = Sent(call, effect, Phase.OPENING, self.now, self.now)
+        sent = SimulatedAttempt(call, effect, Phase.OPENING, self.now, self.now)
         call.attempts.append(sent)
         self.open.append(sent)
         self.check_slots(effect.endpoint)
         self.try_open(sent)
 
     def check_place(self, call: ModelCall, effect: Dispatch) -> None:
-        """Check that an attempt and its helpers go where new work may go."""
+        """Check that an attempt and its helpers go to endpoints accepting new work."""
         places = {(effect.endpoint, effect.address)}
         places |= {(helper.endpoint, helper.address) for helper in effect.helpers}
         for endpoint, address in places:
             known = self.endpoints[endpoint]
             assert known.service == call.request.target, ("ROUTE", effect)
             assert known.address == address, ("ROUTE", effect)
-            assert endpoint not in self.told_draining, ("DRAIN", endpoint, effect)
+            assert endpoint not in self.reported_draining, ("DRAIN", endpoint, effect)
             entry = self.directory.endpoints.get(endpoint)
             assert entry is not None, ("DRAIN: gone", endpoint, effect)
             assert entry.takes_new_work, ("DRAIN", endpoint, effect)
 
     def check_slots(self, endpoint: EndpointId) -> None:
-        """Check that an engine hosts no more at once than it has slots."""
+        """Check that an engine hosts no more attempts than it has slots."""
         known = self.endpoints[endpoint]
         hosted = sum(sent.dispatch.endpoint == endpoint for sent in self.open)
         if known.service == POOL:
             assert hosted <= known.slots, ("slots", endpoint, hosted)
 
-    def try_open(self, sent: Sent) -> None:
+    def try_open(self, sent: SimulatedAttempt) -> None:
         """Send an attempt's request if its endpoint can be reached."""
         if not self.endpoints[sent.dispatch.endpoint].reachable:
             return
@@ -362,15 +369,17 @@
             self.fail(sent, FailureKind.DEADLINE, Exposure.NEVER_SENT)
             return
         sent.phase = Phase.SENT
-        self.judge.arrived(sent, self.now)
+        self.checker.arrived(sent, self.now)
 
     def end_attempts(self, request_id: RequestId) -> None:
-        """End what is open of a call; whether it has run is left open."""
+        """End the open attempts of a call, which may have run."""
         for sent in [s for s in self.open if s.dispatch.request_id == request_id]:
-            self._end(sent)
+            self._close_attempt(sent)
 
-    def sent_as(self, request_id: RequestId, number: AttemptNumber) -> list[Sent]:
-        """Return an open attempt, if it is one."""
+    def open_attempts_of(
+        self, request_id: RequestId, number: AttemptNumber
+    ) -> list[SimulatedAttempt]:
+        """Return the open attempt with a number, if any."""
         return [
             sent
             for sent in self.open
@@ -380,61 +389,61 @@
 
     def end_attempt(self, request_id: RequestId, number: AttemptNumber) -> None:
         """End one attempt of a call."""
-        for sent in self.sent_as(request_id, number):
-            self._end(sent)
+        for sent in self.open_attempts_of(request_id, number):
+            self._close_attempt(sent)
 
     def end_silent(self, failure: AttemptFailed) -> None:
         """Report a silent attempt as failed, or as hedged, as the gateway does."""
-        for sent in self.sent_as(failure.request_id, failure.attempt):
+        for sent in self.open_attempts_of(failure.request_id, failure.attempt):
             others = [s for s in self.open if s.call is sent.call and s.hedged]
             if sent.call.head_sent and not sent.dispatch.helpers and not others:
                 sent.hedged = True
                 self.inbox.append(AttemptHedged(*astuple(failure)))
             else:
-                self._end(sent)
+                self._close_attempt(sent)
                 self.inbox.append(failure)
 
-    def _end(self, sent: Sent) -> None:
+    def _close_attempt(self, sent: SimulatedAttempt) -> None:
         sent.phase = Phase.ENDED
         self.open.remove(sent)
 
     def conclude(self, effect: Conclude) -> None:
-        """Give a caller its final answer, as the gateway does."""
+        """Record a call's final answer, as the gateway sends it."""
         call = self.calls[effect.request_id]
         self.end_attempts(effect.request_id)
-        call.status = status_told(call, effect)
-        self.judge.ended(call, effect)
+        call.status = final_status_of(call, effect)
+        self.checker.ended(call, effect)
         call.conclusion = effect
         if effect.outcome is Outcome.COMPLETED:
-            self.judge.cleared(call.request.body_digest)
+            self.checker.cleared(call.request.body_digest)
         if self.kernel.state.waiting.by_target:
             self.inbox.append(Tick())
 
     # Memory
 
     def order(self, effect: ReserveMemory | FreeOwnHolding) -> None:
-        """Carry out an order, or lose it."""
+        """Execute an order, or lose it."""
         known = self.endpoints[effect.endpoint]
-        lives = self.living.get(effect.address) == effect.endpoint
+        runs = self.endpoint_by_address.get(effect.address) == effect.endpoint
         if isinstance(effect, FreeOwnHolding):
-            if lives and known.reachable and not known.deaf:
+            if runs and known.reachable and not known.loses_orders:
                 known.memory.reservations.pop(effect.holding_id, None)
             return
-        if not lives or not known.reachable:
+        if not runs or not known.reachable:
             self.reply(effect, GangStepFailure.UNREACHED, timedelta(0))
-        elif known.deaf:
-            self.reply(effect, GangStepFailure.LOST, ORDER_WITHIN)
+        elif known.loses_orders:
+            self.reply(effect, GangStepFailure.LOST, ORDER_TIMEOUT)
             self.late_orders.append(effect)
         else:
             failure = known.memory.reserve(effect, self.now)
-            self.reply(effect, failure, ORDER_TAKES if self.slow else timedelta(0))
+            self.reply(effect, failure, SLOW_ORDER_DELAY if self.slow else timedelta(0))
 
     def reply(
         self, order: ReserveMemory, failure: GangStepFailure | None, after: timedelta
     ) -> None:
-        """Let an order's answer come, or that it got none."""
+        """Deliver an order's result, at once or later."""
         if after:
-            self.replies.append(Reply(order, failure, self.now + after))
+            self.replies.append(OrderReply(order, failure, self.now + after))
             return
         request, name = order.request_id, order.reservation
         if failure is None:
@@ -446,19 +455,19 @@
 
     def fail(
         self,
-        sent: Sent,
+        sent: SimulatedAttempt,
         kind: FailureKind,
         exposure: Exposure = Exposure.POSSIBLE,
         status: int | None = None,
         refusal: str | None = None,
         fault_at: str | None = None,
     ) -> None:
-        """Let an attempt fail."""
-        self._end(sent)
+        """Fail an attempt."""
+        self._close_attempt(sent)
         sent.may_have_run = exposure is Exposure.POSSIBLE
         digest = sent.call.request.body_digest
         if kind is FailureKind.BROKEN:
-            self.judge.crashed(digest, {sent.dispatch.endpoint}, self.now)
+            self.checker.crashed(digest, {sent.dispatch.endpoint}, self.now)
         self.post(
             AttemptFailed(
                 sent.dispatch.request_id,
@@ -474,70 +483,84 @@
             )
         )
 
-    def meet(self, sent: Sent, fate: Fate, fault_at: str | None = None) -> None:
-        """Let something happen to an attempt, if it can.
+    def apply_event(
+        self,
+        sent: SimulatedAttempt,
+        event_kind: AttemptEvent,
+        fault_at: str | None = None,
+    ) -> None:
+        """Apply an event to an attempt, if it is possible in its phase.
 
-        Whoever answers at an address that is used again rejects what is not for it.
+        An endpoint at a reused address rejects requests for another endpoint.
         """
         if sent.phase is Phase.ENDED:
             return
         if sent.phase is Phase.OPENING:
-            if fate is Fate.UNREACHED:
+            if event_kind is AttemptEvent.UNREACHED:
                 self.fail(sent, FailureKind.UNREACHED, Exposure.NEVER_SENT)
-        elif fate is Fate.BROKEN:
+        elif event_kind is AttemptEvent.BROKEN:
             self.fail(sent, FailureKind.BROKEN)
-        elif self.is_foreign(sent) or (fate is Fate.ELSEWHERE and not sent.begun):
+        elif self.is_foreign(sent) or (
+            event_kind is AttemptEvent.ELSEWHERE and not sent.started
+        ):
             self.reject(sent, 421, "elsewhere")
-        elif fate is Fate.EVENT:
+        elif event_kind is AttemptEvent.EVENT:
             self.event(sent)
-        elif fate is Fate.FINISHED:
+        elif event_kind is AttemptEvent.FINISHED:
             self.finish(sent)
-        elif fate is Fate.GARBLED:
+        elif event_kind is AttemptEvent.GARBLED:
             self.fail(sent, FailureKind.INVALID)
-        elif not sent.begun and fate is Fate.REJECTED:
+        elif not sent.started and event_kind is AttemptEvent.REJECTED:
             self.reject(sent, 503, "not-run", fault_at)
-        elif not sent.begun and fate in OWN_FAILURES:
-            sent.call.failed_with = status = OWN_FAILURES[fate]
+        elif not sent.started and event_kind in FAILURE_STATUSES:
+            sent.call.failure_status = status = FAILURE_STATUSES[event_kind]
             self.fail(sent, FailureKind.ENGINE_FAILED, status=status)
 
     def reject(
-        self, sent: Sent, status: int, refusal: str, fault_at: str | None = None
+        self,
+        sent: SimulatedAttempt,
+        status: int,
+        refusal: str,
+        fault_at: str | None = None,
     ) -> None:
-        """Let an endpoint say that it has not run a request."""
+        """Have an endpoint report that it has not run a request."""
         kind, exposure = FailureKind.REFUSED, Exposure.REFUSED
         self.fail(sent, kind, exposure, status, refusal, fault_at)
 
-    def event(self, sent: Sent) -> None:
-        """Let an event of a stream, or the head of an answer, come."""
-        sent.heard_at = self.now
+    def event(self, sent: SimulatedAttempt) -> None:
+        """Deliver an event of a stream, or the head of a response."""
+        sent.last_event_at = self.now
         if sent.hedged:
             name, attempt = sent.dispatch.request_id, sent.dispatch.attempt
             self.post(HedgedAttemptResumed(name, attempt))
         if sent.call.request.terms is not None and sent.call.request.terms.streams:
             sent.call.events += 1
             sent.call.head_sent = True
-        if not sent.begun:
-            sent.begun = True
+        if not sent.started:
+            sent.started = True
             self.post(FirstToken(sent.dispatch.request_id, sent.dispatch.attempt))
 
-    def finish(self, sent: Sent) -> None:
-        """Let an answer be whole."""
+    def finish(self, sent: SimulatedAttempt) -> None:
+        """Complete a response."""
         self.event(sent)
         if sent.phase is Phase.SENT:
             sent.call.head_sent = True
-            self._end(sent)
+            self._close_attempt(sent)
             name, attempt = sent.dispatch.request_id, sent.dispatch.attempt
             self.post(AttemptFinished(name, attempt))
 
-    def is_foreign(self, sent: Sent) -> bool:
-        """Whether somebody else answers at an attempt's address."""
-        return self.living.get(sent.dispatch.address) != sent.dispatch.endpoint
+    def is_foreign(self, sent: SimulatedAttempt) -> bool:
+        """Return whether another endpoint listens at an attempt's address."""
+        return (
+            self.endpoint_by_address.get(sent.dispatch.address)
+            != sent.dispatch.endpoint
+        )
 
     # Endpoints
 
     def reach(self, address: str, reachable: bool) -> None:
-        """Cut the way to an endpoint, or mend it; what is being opened is sent."""
-        name = self.living.get(address)
+        """Make an endpoint unreachable or reachable; pending connections are opened."""
+        name = self.endpoint_by_address.get(address)
         if name is None:
             return
         self.endpoints[name].reachable = reachable
@@ -545,31 +568,31 @@
             if sent.phase is Phase.OPENING and sent.dispatch.endpoint == name:
                 self.try_open(sent)
 
-    def end_life(self, life: ModelEndpoint, crashes: bool) -> None:
-        """Let an endpoint end; a crash breaks what it runs off."""
-        del self.living[life.address]
-        life.memory.reservations.clear()
-        for sent in [s for s in self.open if s.dispatch.endpoint == life.name]:
+    def end_endpoint(self, endpoint: SimulatedEndpoint, crashes: bool) -> None:
+        """Stop an endpoint; a crash breaks its running attempts."""
+        del self.endpoint_by_address[endpoint.address]
+        endpoint.memory.reservations.clear()
+        for sent in [s for s in self.open if s.dispatch.endpoint == endpoint.name]:
             if crashes and sent.phase is Phase.SENT:
                 self.fail(sent, FailureKind.BROKEN)
 
-    def land_late_orders(self) -> None:
-        """Let orders be carried out that got no answer."""
-        landing, self.late_orders = self.late_orders, []
-        for order in landing:
-            life = self.endpoints[order.endpoint]
-            if self.living.get(life.address) == life.name:
-                life.memory.reserve(order, self.now)
+    def execute_late_orders(self) -> None:
+        """Execute orders that got no response."""
+        late, self.late_orders = self.late_orders, []
+        for order in late:
+            endpoint = self.endpoints[order.endpoint]
+            if self.endpoint_by_address.get(endpoint.address) == endpoint.name:
+                endpoint.memory.reserve(order, self.now)
 
     # Time
 
     def run(self, span: timedelta, tick_first: bool = False) -> None:
-        """Let time pass in ticks.
+        """Advance time in ticks.
 
         Parameters
         ----------
         tick_first : bool
-            Whether a tick comes before what else is due by then.
+            Whether a tick precedes other due events.
         """
         end = self.now + span
         while self.now < end:
@@ -581,7 +604,7 @@
                 self.tick()
 
     def deliver_due(self) -> None:
-        """Let all happen that was to happen by now."""
+        """Deliver all events that are due."""
         now = self.now
         for endpoint in self.endpoints.values():
             endpoint.memory.expire(now)
@@ -590,7 +613,7 @@
         for wake in due:
             self.post(wake.message)
         for sent in [s for s in self.open if s.phase is Phase.OPENING]:
-            if sent in self.open and now - sent.since >= OPENED_WITHIN:
+            if sent in self.open and now - sent.started_at >= CONNECT_TIMEOUT:
                 self.fail(sent, FailureKind.UNREACHED, Exposure.NEVER_SENT)
         replies = [each for each in self.replies if each.at <= now]
         self.replies = [each for each in self.replies if each.at > now]
@@ -607,23 +630,23 @@
         late = [c for c in self.open_calls if c.request.deadline <= self.now]
         assert not late, ("STUCK", late)
 
-    def report_silence(self, sent: Sent) -> None:
-        """Tell the kernel of an attempt that has been silent for too long."""
-        patience = sent.dispatch.silence_timeouts
-        if patience is None or sent.phase is Phase.ENDED:
+    def report_silence(self, sent: SimulatedAttempt) -> None:
+        """Report an attempt that has been silent for too long."""
+        timeouts = sent.dispatch.silence_timeouts
+        if timeouts is None or sent.phase is Phase.ENDED:
             return
-        allowed = patience.between_events if sent.begun else patience.first_event
-        silence = self.now - sent.heard_at
+        allowed = timeouts.between_events if sent.started else timeouts.first_event
+        silence = self.now - sent.last_event_at
         if silence >= allowed:
-            sent.heard_at = self.now
+            sent.last_event_at = self.now
             name, attempt = sent.dispatch.request_id, sent.dispatch.attempt
             self.post(AttemptSilent(name, attempt, silence))
 
 
-def status_told(call: ModelCall, conclusion: Conclude) -> int | None:
-    """Return the status of a call's final answer; None if it has none of ours."""
+def final_status_of(call: ModelCall, conclusion: Conclude) -> int | None:
+    """Return the status of a call's final answer; None if the gateway sends none."""
     if conclusion.problem is None or call.caller_gone or call.head_sent:
         return None
-    if call.failed_with is not None:
-        return call.failed_with
+    if call.failure_status is not None:
+        return call.failure_status
     return int(final_status(conclusion).status)
--- a/tests/unit/gateway/test_freeze_watch.py
+++ b/tests/unit/gateway/test_freeze_watch.py
@@ -1,4 +1,4 @@
-"""A process that stood still says so."""
+"""Tests of the detection of process freezes."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 GAP = timedelta(milliseconds=50)
 
 
-def test_ticks_in_time_are_no_freeze() -> None:
+def test_punctual_ticks_report_no_freeze() -> None:
     steady, boot = ManualClock(), ManualClock()
     watch = FreezeWatch(steady, boot, GAP)
     for _ in range(3):
@@ -18,11 +18,11 @@
         assert watch.record_tick() is None
 
 
-def test_suspension_that_the_steady_clock_does_not_count_is_noticed() -> None:
-    """A machine is suspended for three seconds and its steady clock stands still.
+def test_suspension_not_counted_by_steady_clock_is_detected() -> None:
+    """A suspension of the machine goes unnoticed.
 
-    By that clock the next tick comes in time, while streams have paused and all
-    that peers told is three seconds older. The other clock shows it.
+    The steady clock stops meanwhile, so that the next tick seems punctual although
+    streams have paused and the state of peers is older. The boot clock shows it.
     """
     steady, boot = ManualClock(), ManualClock()
     watch = FreezeWatch(steady, boot, GAP)
@@ -34,23 +34,25 @@
     )
 
 
-def test_a_freeze_between_two_rare_ticks_is_noticed_at_least_as_soon() -> None:
-    """A process stands still for 1.05 s while it has no call, and nobody learns why.
+def test_freeze_between_idle_ticks_is_detected() -> None:
+    """A freeze of 1.05 s goes unnoticed in an idle process.
 
-    Without calls ticks come less often, and a tick that is late by less than a second
-    ended a time in which nothing ran for longer.
+    Without calls ticks are less frequent: a tick may be late by less than a second
+    although the process has been frozen for longer.
     """
     steady, boot = ManualClock(), ManualClock()
     watch = FreezeWatch(steady, boot, GAP)
     watch.record_tick()
-    rare = timedelta(milliseconds=250)
+    idle_interval = timedelta(milliseconds=250)
     for clock in (steady, boot):
-        clock.advance(rare)
-    assert watch.record_tick(rare) is None
+        clock.advance(idle_interval)
+    assert watch.record_tick(idle_interval) is None
     frozen = timedelta(milliseconds=1050)
     for clock in (steady, boot):
         clock.advance(frozen)
-    assert watch.record_tick(rare) == ProcessFreeze(frozen - rare, timedelta(0))
+    assert watch.record_tick(idle_interval) == ProcessFreeze(
+        frozen - idle_interval, timedelta(0)
+    )
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_gateway_machine.py
+++ b/tests/unit/gateway/test_gateway_machine.py
@@ -1,4 +1,4 @@
-"""A gateway's decisions under troubles in any order, held against the rules."""
+"""Stateful tests of a gateway's decisions under arbitrary disturbances."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -29,18 +29,25 @@
 from ...support.gateway_tables import KEYS, ROUTES
 from ...support.machines import explore
 from ...support.reserving_engines import MEMORY, POOL, FakeModelEngine
-from ...support.simulated_gateway import INSTANCES, Fate, GatewayWorld, ModelEndpoint
+from ...support.simulated_gateway import (
+    INSTANCES,
+    AttemptEvent,
+    SimulatedEndpoint,
+    SimulatedGateway,
+)
 
 EXAMPLES = 50
 STEPS = 50
 
-PLACES = {f"10.0.0.{n}:80": PLAIN_SERVICE if n < 4 else POOL for n in range(1, 8)}
-"""Addresses, and who has them first."""
+SERVICE_BY_ADDRESS = {
+    f"10.0.0.{n}:80": PLAIN_SERVICE if n < 4 else POOL for n in range(1, 8)
+}
+"""Addresses, and the service of each one's first endpoint."""
 
-ADDRESSES = st.sampled_from(sorted(PLACES))
+ADDRESSES = st.sampled_from(sorted(SERVICE_BY_ADDRESS))
 SERVICES = st.sampled_from([PLAIN_SERVICE, POOL])
 WHICH = st.integers(0, 11)
-THEN = st.sampled_from([0, 0, 1, 1, 4, 20])
+TICKS_AFTER = st.sampled_from([0, 0, 1, 1, 4, 20])
 """Ticks that pass after a step; in none of them a tick can come before what follows."""
 
 FREEZES = st.sampled_from([0.3, 1.0, 3.9, 7.0, 10.0, 15.0])
@@ -49,46 +56,46 @@
 BOTH = st.booleans()
 
 
-class Trouble(Enum):
-    """What else may happen in a machine's worlds."""
+class Disturbance(Enum):
+    """Disturbances that a state machine may include."""
 
     CALLERS_LEAVE = "callers leave"
     CUTS = "cuts"
     MEMORY = "memory"
     LEAVING = "leaving"
-    OLD_WORDS = "old words"
+    STALE_ROWS = "stale rows"
     PEERS = "peers"
-    CRASHES_TOLD = "crashes told"
+    PEER_CRASH_REPORTS = "crashes reported"
     OPERATOR = "operator"
     STOP = "stop"
 
 
-def among(trouble: Trouble) -> Callable[[Any], bool]:
-    """Return whether a machine has a trouble, as a rule's precondition."""
-    return lambda machine: trouble in machine.troubles
+def has_disturbance(disturbance: Disturbance) -> Callable[[Any], bool]:
+    """Return the precondition that a machine includes a disturbance."""
+    return lambda machine: disturbance in machine.disturbances
 
 
 class GatewayMachine(RuleBasedStateMachine):
-    """Callers, endpoints, peers and the operator do what they like, in any order.
+    """Callers, endpoints, peers and the operator act in any order.
 
     Attributes
     ----------
     routes : tuple of str
-        Where calls go.
-    fates : tuple of Fate
-        What becomes of attempts.
-    troubles : set of Trouble
-        What else happens.
+        Routes of the calls.
+    attempt_events : tuple of AttemptEvent
+        Events that happen to attempts.
+    disturbances : set of Disturbance
+        Disturbances that are included.
     """
 
     routes = tuple(sorted(ROUTES))
-    fates = tuple(Fate)
-    troubles = frozenset(Trouble)
+    attempt_events = tuple(AttemptEvent)
+    disturbances = frozenset(Disturbance)
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = GatewayWorld()
-        self.lives = 0
+        self.gateway = SimulatedGateway()
+        self.incarnations = 0
         self.rows: list[Row] = []
         self.newest_table = 0
 
@@ -97,202 +104,226 @@
         most=st.integers(1, 4),
     )
     def deploy(self, slots: int, most: int) -> None:
-        """Begin with a configuration and an endpoint at each address."""
+        """Start with a configuration and an endpoint at each address."""
         self.slots = slots
         self.most = most
         self.configure(set(ROUTES), set(KEYS))
-        for address in sorted(PLACES):
-            self.start_incarnation(address, PLACES[address])
+        for address in sorted(SERVICE_BY_ADDRESS):
+            self.start_incarnation(address, SERVICE_BY_ADDRESS[address])
 
-    # Who is there
+    # Deployment
 
     def start_incarnation(self, address: str, service: ServiceId) -> None:
         """Start an endpoint under a new id."""
-        self.lives += 1
-        name = EndpointId(f"i-{self.lives}")
-        zone = "zone-a" if self.lives % 2 else "zone-b"
-        life = ModelEndpoint(
+        self.incarnations += 1
+        name = EndpointId(f"i-{self.incarnations}")
+        zone = "zone-a" if self.incarnations % 2 else "zone-b"
+        endpoint = SimulatedEndpoint(
             name, service, address, zone, self.slots, FakeModelEngine(name)
         )
-        self.world.endpoints[name] = life
-        self.world.living[address] = name
-        self.tell(life.row("ready", self.world.next_version()))
+        self.gateway.endpoints[name] = endpoint
+        self.gateway.endpoint_by_address[address] = name
+        self.offer_row(endpoint.row("ready", self.gateway.next_version()))
 
-    def tell(self, row: Row) -> None:
-        """Let the instance hear a row, which it may hear again."""
+    def offer_row(self, row: Row) -> None:
+        """Deliver a row to the instance; it may be delivered again later."""
         if row not in self.rows:
             self.rows.append(row)
         if row.value.startswith(b"draining"):
-            self.world.told_draining.add(EndpointId(row.key))
-        self.world.directory.offer_endpoint(row)
+            self.gateway.reported_draining.add(EndpointId(row.key))
+        self.gateway.directory.offer_endpoint(row)
 
-    def life_at(self, address: str) -> ModelEndpoint | None:
-        """Return who answers at an address."""
-        name = self.world.living.get(address)
-        return None if name is None else self.world.endpoints[name]
+    def endpoint_at(self, address: str) -> SimulatedEndpoint | None:
+        """Return the endpoint at an address."""
+        name = self.gateway.endpoint_by_address.get(address)
+        return None if name is None else self.gateway.endpoints[name]
 
     def configure(self, routes: set[str], keys: set[str]) -> None:
-        """Let the operator write a configuration."""
-        version = self.world.next_version()
-        row = self.world.tables.add(version, routes, keys, self.most)
+        """Write a configuration as the operator."""
+        version = self.gateway.next_version()
+        row = self.gateway.tables.add(version, routes, keys, self.most)
         self.rows.append(row)
         self.newest_table = version
-        self.world.directory.offer_configuration(row)
+        self.gateway.directory.offer_configuration(row)
 
     # Callers
 
-    @rule(route=WHICH, body=BODIES, key=st.sampled_from(ANY_KEYS), then=THEN)
-    def calls(self, route: int, body: str, key: str, then: int) -> None:
-        """Let a request come, with a key that no account ever had now and then."""
-        self.world.call(self.routes[route % len(self.routes)], body, key)
-        self.world.run(TICK * then)
-
-    @rule(route=WHICH, count=st.integers(2, 12), same=BOTH, then=THEN)
-    def burst(self, route: int, count: int, same: bool, then: int) -> None:
-        """Let many come at once, with one content or each with its own."""
+    @rule(
+        route=WHICH, body=BODIES, key=st.sampled_from(ANY_KEYS), ticks_after=TICKS_AFTER
+    )
+    def calls(self, route: int, body: str, key: str, ticks_after: int) -> None:
+        """Submit a request, sometimes with an unknown key."""
+        self.gateway.call(self.routes[route % len(self.routes)], body, key)
+        self.gateway.run(TICK * ticks_after)
+
+    @rule(route=WHICH, count=st.integers(2, 12), same=BOTH, ticks_after=TICKS_AFTER)
+    def burst(self, route: int, count: int, same: bool, ticks_after: int) -> None:
+        """Submit many requests at once, with the same content or different ones."""
         name = self.routes[route % len(self.routes)]
         for number in range(count):
-            body = "a" if same else f"{len(self.world.calls)}.{number}"
-            self.world.call(name, body, KEYS[0])
-        self.world.run(TICK * then)
+            body = "a" if same else f"{len(self.gateway.calls)}.{number}"
+            self.gateway.call(name, body, KEYS[0])
+        self.gateway.run(TICK * ticks_after)
 
-    @precondition(lambda self: self.world.open_calls)
-    @precondition(among(Trouble.CALLERS_LEAVE))
+    @precondition(lambda self: self.gateway.open_calls)
+    @precondition(has_disturbance(Disturbance.CALLERS_LEAVE))
     @rule(which=WHICH)
     def leaves(self, which: int) -> None:
-        """Let a caller hang up."""
-        still = self.world.open_calls
-        self.world.leave(still[which % len(still)])
+        """Disconnect a caller."""
+        still = self.gateway.open_calls
+        self.gateway.leave(still[which % len(still)])
 
-    # What becomes of attempts
+    # Events of attempts
 
-    def fate(self, which: int) -> Fate:
-        """Return one of the fates of this machine."""
-        return self.fates[which % len(self.fates)]
+    def event_kind(self, which: int) -> AttemptEvent:
+        """Return one of the attempt_events of this machine."""
+        return self.attempt_events[which % len(self.attempt_events)]
 
-    @precondition(lambda self: self.world.open)
-    @rule(which=WHICH, fate=WHICH, fault=st.none() | ADDRESSES, then=THEN)
+    @precondition(lambda self: self.gateway.open)
+    @rule(
+        which=WHICH,
+        event_kind=WHICH,
+        fault=st.none() | ADDRESSES,
+        ticks_after=TICKS_AFTER,
+    )
     def attempt_goes_on(
-        self, which: int, fate: int, fault: str | None, then: int
+        self, which: int, event_kind: int, fault: str | None, ticks_after: int
+    ) -> None:
+        """Apply an event to an attempt."""
+        found = self.gateway.open
+        self.gateway.apply_event(
+            found[which % len(found)], self.event_kind(event_kind), fault
+        )
+        self.gateway.run(TICK * ticks_after)
+
+    @precondition(lambda self: self.gateway.open)
+    @rule(event_kind=WHICH, service=SERVICES, ticks_after=TICKS_AFTER)
+    def attempts_go_on(
+        self, event_kind: int, service: ServiceId, ticks_after: int
     ) -> None:
-        """Let something happen to an attempt."""
-        found = self.world.open
-        self.world.meet(found[which % len(found)], self.fate(fate), fault)
-        self.world.run(TICK * then)
-
-    @precondition(lambda self: self.world.open)
-    @rule(fate=WHICH, service=SERVICES, then=THEN)
-    def attempts_go_on(self, fate: int, service: ServiceId, then: int) -> None:
-        """Let the same happen to all attempts at a service."""
-        for sent in list(self.world.open):
+        """Apply the same event to all attempts at a service."""
+        for sent in list(self.gateway.open):
             if sent.call.request.target == service:
-                self.world.meet(sent, self.fate(fate))
-        self.world.run(TICK * then)
+                self.gateway.apply_event(sent, self.event_kind(event_kind))
+        self.gateway.run(TICK * ticks_after)
 
-    @precondition(lambda self: self.world.open)
-    @rule(fate=WHICH, then=THEN)
-    def newest_goes_on(self, fate: int, then: int) -> None:
-        """Let something happen to the newest attempt, again and again perhaps."""
-        self.world.meet(self.world.open[-1], self.fate(fate))
-        self.world.run(TICK * then)
+    @precondition(lambda self: self.gateway.open)
+    @rule(event_kind=WHICH, ticks_after=TICKS_AFTER)
+    def newest_goes_on(self, event_kind: int, ticks_after: int) -> None:
+        """Apply an event to the newest attempt, possibly repeatedly."""
+        self.gateway.apply_event(self.gateway.open[-1], self.event_kind(event_kind))
+        self.gateway.run(TICK * ticks_after)
 
     # Endpoints
 
-    @precondition(among(Trouble.CUTS))
+    @precondition(has_disturbance(Disturbance.CUTS))
     @rule(address=ADDRESSES, reachable=BOTH)
     def reached(self, address: str, reachable: bool) -> None:
-        """Cut the way to an endpoint, or mend it."""
-        self.world.reach(address, reachable)
+        """Make an endpoint unreachable or reachable."""
+        self.gateway.reach(address, reachable)
 
-    @precondition(among(Trouble.CUTS))
+    @precondition(has_disturbance(Disturbance.CUTS))
     @rule(reachable=BOTH, service=SERVICES)
     def service_is_cut(self, reachable: bool, service: ServiceId) -> None:
-        """Cut the way to all endpoints of a service, or mend it."""
-        for address, name in list(self.world.living.items()):
-            if self.world.endpoints[name].service == service:
-                self.world.reach(address, reachable)
-
-    @precondition(among(Trouble.MEMORY))
-    @rule(address=ADDRESSES, deaf=BOTH, taken=st.sampled_from([0, MEMORY]), slow=BOTH)
-    def memory_changes(self, address: str, deaf: bool, taken: int, slow: bool) -> None:
-        """Let an engine lose orders, or others take its memory, or all be slow."""
-        self.world.slow = slow
-        life = self.life_at(address)
-        if life is not None:
-            life.deaf = deaf
-            life.memory.taken = min(taken, life.memory.free + life.memory.taken)
-
-    @precondition(among(Trouble.LEAVING))
+        """Make all endpoints of a service unreachable or reachable."""
+        for address, name in list(self.gateway.endpoint_by_address.items()):
+            if self.gateway.endpoints[name].service == service:
+                self.gateway.reach(address, reachable)
+
+    @precondition(has_disturbance(Disturbance.MEMORY))
+    @rule(
+        address=ADDRESSES,
+        loses_orders=BOTH,
+        taken=st.sampled_from([0, MEMORY]),
+        slow=BOTH,
+    )
+    def memory_changes(
+        self, address: str, loses_orders: bool, taken: int, slow: bool
+    ) -> None:
+        """Let an engine lose orders or lose memory to others, or slow all engines."""
+        self.gateway.slow = slow
+        endpoint = self.endpoint_at(address)
+        if endpoint is not None:
+            endpoint.loses_orders = loses_orders
+            endpoint.memory.taken = min(
+                taken, endpoint.memory.free + endpoint.memory.taken
+            )
+
+    @precondition(has_disturbance(Disturbance.LEAVING))
     @rule(address=ADDRESSES, by_peer=BOTH)
     def drains(self, address: str, by_peer: bool) -> None:
-        """Let an endpoint say that it leaves, here or to a peer."""
-        life = self.life_at(address)
-        if life is None:
+        """Let an endpoint report that it drains, here or to a peer."""
+        endpoint = self.endpoint_at(address)
+        if endpoint is None:
             return
-        row = life.row("draining", self.world.next_version())
-        if by_peer and life.name in self.world.directory.endpoints:
-            self.world.told_draining.add(life.name)
-            self.world.directory.offer_draining(life.name)
+        row = endpoint.row("draining", self.gateway.next_version())
+        if by_peer and endpoint.name in self.gateway.directory.endpoints:
+            self.gateway.reported_draining.add(endpoint.name)
+            self.gateway.directory.offer_draining(endpoint.name)
             self.rows.append(row)
         else:
-            self.tell(row)
+            self.offer_row(row)
 
-    @precondition(among(Trouble.LEAVING))
-    @rule(which=WHICH, then=THEN)
-    def wanted_engine_drains(self, which: int, then: int) -> None:
-        """Let an engine leave while memory is reserved for a prompt, often on it."""
-        gangs = self.world.kernel.plugin(MemoryKeeper).gangs.values()
+    @precondition(has_disturbance(Disturbance.LEAVING))
+    @rule(which=WHICH, ticks_after=TICKS_AFTER)
+    def wanted_engine_drains(self, which: int, ticks_after: int) -> None:
+        """Drain an engine on which memory is being reserved for a prompt."""
+        gangs = self.gateway.kernel.plugin(MemoryKeeper).gangs.values()
         names = [ticket.endpoint for gang in gangs for ticket in gang.reservations]
-        living = [n for n in names if n in self.world.living.values()]
-        if living:
-            life = self.world.endpoints[living[which % len(living)]]
-            self.tell(life.row("draining", self.world.next_version()))
-            self.world.run(TICK * then)
-
-    @precondition(among(Trouble.LEAVING))
-    @rule(address=ADDRESSES, crashes=BOTH, told=BOTH, again=st.none() | SERVICES)
+        endpoint_by_address = [
+            n for n in names if n in self.gateway.endpoint_by_address.values()
+        ]
+        if endpoint_by_address:
+            endpoint = self.gateway.endpoints[
+                endpoint_by_address[which % len(endpoint_by_address)]
+            ]
+            self.offer_row(endpoint.row("draining", self.gateway.next_version()))
+            self.gateway.run(TICK * ticks_after)
+
+    @precondition(has_disturbance(Disturbance.LEAVING))
+    @rule(address=ADDRESSES, crashes=BOTH, reported=BOTH, again=st.none() | SERVICES)
     def ends(
-        self, address: str, crashes: bool, told: bool, again: ServiceId | None
+        self, address: str, crashes: bool, reported: bool, again: ServiceId | None
     ) -> None:
-        """Let an endpoint end, and perhaps another begin at its address."""
-        life = self.life_at(address)
-        if life is not None:
-            self.world.end_life(life, crashes)
-            if told:
-                version = self.world.next_version()
-                self.world.directory.offer_gone(life.name, version)
+        """Stop an endpoint, and possibly start another at its address."""
+        endpoint = self.endpoint_at(address)
+        if endpoint is not None:
+            self.gateway.end_endpoint(endpoint, crashes)
+            if reported:
+                version = self.gateway.next_version()
+                self.gateway.directory.offer_gone(endpoint.name, version)
         if again is not None:
             self.start_incarnation(address, again)
 
-    # Old words, peers and the operator
+    # Stale rows, peers and the operator
 
-    @precondition(among(Trouble.OLD_WORDS))
+    @precondition(has_disturbance(Disturbance.STALE_ROWS))
     @rule(which=st.integers(0, 40))
-    def old_row_is_heard(self, which: int) -> None:
-        """Let a peer tell what was once true, and orders be carried out late."""
+    def stale_row_arrives(self, which: int) -> None:
+        """Deliver a stale row from a peer, and execute late orders."""
         row = self.rows[which % len(self.rows)]
         if row.table == "configuration":
-            self.world.directory.offer_configuration(row)
+            self.gateway.directory.offer_configuration(row)
         else:
-            self.tell(row)
-        self.world.land_late_orders()
+            self.offer_row(row)
+        self.gateway.execute_late_orders()
 
-    @precondition(among(Trouble.PEERS))
+    @precondition(has_disturbance(Disturbance.PEERS))
     @rule(address=ADDRESSES, count=st.integers(0, 3), silent=BOTH)
     def peer_works(self, address: str, count: int, silent: bool) -> None:
-        """Let a peer tell what it has running, or fall silent."""
-        life = self.life_at(address)
-        if silent or life is None:
-            self.world.post(PeerWorkUnknown(InstanceId("peer")))
+        """Replace a peer's in-flight work, or let it become silent."""
+        endpoint = self.endpoint_at(address)
+        if silent or endpoint is None:
+            self.gateway.post(PeerWorkUnknown(InstanceId("peer")))
             return
-        now = self.world.now
+        now = self.gateway.now
         works = tuple(
-            InFlightRequest(RequestId(f"peer/{n}"), life.name, started_at=now)
+            InFlightRequest(RequestId(f"peer/{n}"), endpoint.name, started_at=now)
             for n in range(count)
         )
-        self.world.post(PeerWorkReplaced(InstanceId("peer"), works))
+        self.gateway.post(PeerWorkReplaced(InstanceId("peer"), works))
 
-    @precondition(among(Trouble.PEERS))
+    @precondition(has_disturbance(Disturbance.PEERS))
     @rule(
         service=SERVICES,
         requests=st.sampled_from([0, 5, 30]),
@@ -302,28 +333,28 @@
     def peer_spends(
         self, service: ServiceId, requests: int, repeats: int, settled: bool
     ) -> None:
-        """Let a peer take requests and repeat some, and this instance lose its part."""
-        since = None if settled else self.world.now
-        self.world.share = SlackShare(INSTANCES, restarted_at=since)
-        self.world.peer_spends(service, requests, repeats)
+        """Let a peer accept requests and send retries; set this instance's share."""
+        since = None if settled else self.gateway.now
+        self.gateway.share = SlackShare(INSTANCES, restarted_at=since)
+        self.gateway.peer_spends(service, requests, repeats)
 
-    @precondition(lambda self: self.world.calls)
-    @precondition(among(Trouble.CRASHES_TOLD))
+    @precondition(lambda self: self.gateway.calls)
+    @precondition(has_disturbance(Disturbance.PEER_CRASH_REPORTS))
     @rule(which=WHICH, crashed=st.sets(st.integers(1, 9), max_size=3))
-    def peer_tells_of_crashes(self, which: int, crashed: set[int]) -> None:
-        """Let a peer tell of crashes under a content, or that it ran well."""
-        calls = list(self.world.calls.values())
+    def peer_reports_crashes(self, which: int, crashed: set[int]) -> None:
+        """Receive a peer's report of crashes on a content, or of its success."""
+        calls = list(self.gateway.calls.values())
         names = {EndpointId(f"i-{number}") for number in crashed}
-        self.world.crash_told(calls[which % len(calls)], names)
+        self.gateway.receive_crashes(calls[which % len(calls)], names)
 
-    @precondition(among(Trouble.OPERATOR))
+    @precondition(has_disturbance(Disturbance.OPERATOR))
     @rule(
         dropped=st.sets(st.sampled_from(sorted(ROUTES)), max_size=2),
         revoked=st.sets(st.sampled_from(KEYS), max_size=1),
         most=st.integers(1, 4),
     )
     def operator_writes(self, dropped: set[str], revoked: set[str], most: int) -> None:
-        """Let the operator drop routes, take keys away and change attempts."""
+        """Drop routes, revoke keys and change the attempt limit as the operator."""
         self.most = most
         self.configure(set(ROUTES) - dropped, set(KEYS) - revoked)
 
@@ -331,41 +362,41 @@
 
     @rule(ticks=st.sampled_from([1, 4, 20]), tick_first=BOTH)
     def time_passes(self, ticks: int, tick_first: bool) -> None:
-        """Let time pass, some ticks."""
-        self.world.run(TICK * ticks, tick_first)
+        """Advance time by some ticks."""
+        self.gateway.run(TICK * ticks, tick_first)
 
     @rule(seconds=FREEZES, then_runs=BOTH)
     def freezes(self, seconds: float, then_runs: bool) -> None:
-        """Let the process stand still; what happens next may come before a tick."""
-        self.world.clock.advance(timedelta(seconds=seconds))
+        """Freeze the process; the next event may precede a tick."""
+        self.gateway.clock.advance(timedelta(seconds=seconds))
         if then_runs:
-            self.world.run(timedelta(milliseconds=1))
+            self.gateway.run(timedelta(milliseconds=1))
 
-    @precondition(lambda self: len(self.world.calls) > 15)
-    @precondition(among(Trouble.STOP))
+    @precondition(lambda self: len(self.gateway.calls) > 15)
+    @precondition(has_disturbance(Disturbance.STOP))
     @rule()
     def stops(self) -> None:
-        """Let the grace of a planned stop end."""
-        self.world.stop()
-        left = [c for c in self.world.calls.values() if c.conclusion is None]
+        """End the grace period of a planned shutdown."""
+        self.gateway.stop()
+        left = [c for c in self.gateway.calls.values() if c.conclusion is None]
         assert not left, ("STUCK", left)
 
-    # What must always hold
+    # Invariants
 
     @invariant()
     def configurations_only_go_forward(self) -> None:
-        """Check that the newest configuration heard is in force, everywhere."""
-        table = self.world.directory.table
+        """Check that the newest received configuration is in force everywhere."""
+        table = self.gateway.directory.table
         if table is not None:
             assert table.version == self.newest_table, "CONFIG"
-            view = self.world.kernel.plugin(FleetView).table
+            view = self.gateway.kernel.plugin(FleetView).table
             assert view is table, "CONFIG"
 
     @invariant()
     def nothing_is_kept_of_ended_calls(self) -> None:
         """Check that plug-ins, kernel and engines hold nothing for ended calls."""
-        kernel = self.world.kernel
-        ended = {n for n, c in self.world.calls.items() if c.conclusion is not None}
+        kernel = self.gateway.kernel
+        ended = {n for n, c in self.gateway.calls.items() if c.conclusion is not None}
         keeper, placer = kernel.plugin(MemoryKeeper), kernel.plugin(WorkPlacer)
         kept = [
             set(kernel.state.requests),
@@ -380,88 +411,103 @@
 
     @invariant()
     def running_calls_are_booked(self) -> None:
-        """Check that what runs is known to take its endpoint's place."""
-        own = self.world.kernel.plugin(WorkPlacer).load_tracker.own
-        for sent in self.world.open:
+        """Check that running calls are counted at their endpoints."""
+        own = self.gateway.kernel.plugin(WorkPlacer).load_tracker.own
+        for sent in self.gateway.open:
             work = own.get(sent.dispatch.request_id)
             assert work is not None, ("LIMIT", sent)
             assert work.host == sent.dispatch.endpoint, ("LIMIT", sent)
 
     @invariant()
     def memory_is_wanted(self) -> None:
-        """Check that engines that hear hold only what a gang knows of."""
-        gangs = self.world.kernel.plugin(MemoryKeeper).gangs.values()
+        """Check that engines hold only reservations that a gang knows of."""
+        gangs = self.gateway.kernel.plugin(MemoryKeeper).gangs.values()
         wanted = {str(t.reservation_id) for gang in gangs for t in gang.reservations}
-        for life in self.world.endpoints.values():
-            unwanted = set(life.memory.reservations) - wanted
-            until = [life.memory.reservations[name].until for name in unwanted]
-            bound = self.world.now + timedelta(seconds=4)
-            assert all(each <= bound for each in until), ("LEAK", life)
+        for endpoint in self.gateway.endpoints.values():
+            unwanted = set(endpoint.memory.reservations) - wanted
+            until = [endpoint.memory.reservations[name].until for name in unwanted]
+            bound = self.gateway.now + timedelta(seconds=4)
+            assert all(each <= bound for each in until), ("LEAK", endpoint)
 
     def teardown(self) -> None:
-        """Let all that is left end by its deadline."""
-        end = self.world.now + timedelta(seconds=20)
-        while self.world.open_calls and self.world.now < end:
-            self.world.run(TICK * 4)
-        self.world.clock.advance(timedelta(seconds=5))
-        self.world.run(TICK)
-        left = [c for c in self.world.calls.values() if c.conclusion is None]
+        """Let all remaining calls end by their deadlines."""
+        end = self.gateway.now + timedelta(seconds=20)
+        while self.gateway.open_calls and self.gateway.now < end:
+            self.gateway.run(TICK * 4)
+        self.gateway.clock.advance(timedelta(seconds=5))
+        self.gateway.run(TICK)
+        left = [c for c in self.gateway.calls.values() if c.conclusion is None]
         assert not left, ("STUCK", left)
-        held = [e.memory.reservations for e in self.world.endpoints.values()]
+        held = [e.memory.reservations for e in self.gateway.endpoints.values()]
         assert not any(held), ("LEAK", held)
         self.nothing_is_kept_of_ended_calls()
 
 
 class CrashMachine(GatewayMachine):
-    """Contents that crash endpoints, while endpoints can't be reached."""
+    """Contents that crash endpoints, while endpoints are unreachable."""
 
     routes = ("safe", "stream")
-    fates = (Fate.BROKEN, Fate.EVENT, Fate.UNREACHED)
-    troubles = frozenset({Trouble.CUTS, Trouble.CRASHES_TOLD})
+    attempt_events = (AttemptEvent.BROKEN, AttemptEvent.EVENT, AttemptEvent.UNREACHED)
+    disturbances = frozenset({Disturbance.CUTS, Disturbance.PEER_CRASH_REPORTS})
 
 
 class BudgetMachine(GatewayMachine):
-    """Many repeats, at once and after waiting."""
+    """Many retries, immediate and delayed."""
 
     routes = ("safe",)
-    fates = (Fate.BROKEN, Fate.GARBLED, Fate.REJECTED, Fate.UNREACHED, Fate.FINISHED)
-    troubles = frozenset({Trouble.CUTS, Trouble.PEERS})
+    attempt_events = (
+        AttemptEvent.BROKEN,
+        AttemptEvent.GARBLED,
+        AttemptEvent.REJECTED,
+        AttemptEvent.UNREACHED,
+        AttemptEvent.FINISHED,
+    )
+    disturbances = frozenset({Disturbance.CUTS, Disturbance.PEERS})
 
 
 class MemoryMachine(GatewayMachine):
-    """Prompts beyond one engine, while engines are slow, deaf, full and leaving."""
+    """Prompts larger than one engine, with slow, full, draining and lossy engines."""
 
     routes = ("huge",)
-    fates = (Fate.EVENT, Fate.FINISHED, Fate.BROKEN, Fate.REJECTED)
-    troubles = frozenset({Trouble.MEMORY, Trouble.LEAVING, Trouble.CALLERS_LEAVE})
+    attempt_events = (
+        AttemptEvent.EVENT,
+        AttemptEvent.FINISHED,
+        AttemptEvent.BROKEN,
+        AttemptEvent.REJECTED,
+    )
+    disturbances = frozenset(
+        {Disturbance.MEMORY, Disturbance.LEAVING, Disturbance.CALLERS_LEAVE}
+    )
 
 
 class OnceMachine(GatewayMachine):
-    """Calls that may run once, in freezes and cuts."""
+    """Non-idempotent calls during freezes and partitions."""
 
     routes = ("once", "sealed", "safe")
-    troubles = frozenset({Trouble.CUTS, Trouble.STOP, Trouble.CALLERS_LEAVE})
+    disturbances = frozenset(
+        {Disturbance.CUTS, Disturbance.STOP, Disturbance.CALLERS_LEAVE}
+    )
 
 
 MACHINES = (GatewayMachine, CrashMachine, BudgetMachine, MemoryMachine, OnceMachine)
 
 
 def test_the_rules_hold_whatever_happens_in_whatever_order() -> None:
-    """Answers are lost, torn, refused and late; endpoints leave and come under others.
+    """Responses are lost, truncated, rejected and late; endpoints replace each other.
 
-    The process freezes, peers spend, fall silent and tell old words, the operator
-    takes routes and keys away, callers hang up and all stops.
+    The process freezes, peers spend the budget, become silent and send stale rows, the
+    operator removes routes and keys, callers disconnect and the instance shuts down.
     """
     explore(GatewayMachine, EXAMPLES, STEPS)
 
 
 def test_poisoned_contents_reach_few_endpoints_whatever_can_be_reached() -> None:
-    """Many callers send what crashes endpoints, while a service is cut off."""
+    """Many callers send a content that crashes endpoints while a service is cut off."""
     explore(CrashMachine, EXAMPLES, STEPS)
 
 
 def test_repeats_stay_within_the_budget_however_long_they_wait() -> None:
-    """Connections break all at once, again and again; repeats wait for endpoints."""
+    """Connections break together repeatedly; retries wait for endpoints."""
     explore(BudgetMachine, EXAMPLES, STEPS)
 
 
@@ -471,7 +517,7 @@
 
 
 def test_what_may_run_once_runs_once_and_is_told_honestly() -> None:
-    """Answers get lost or come late, around freezes and the end of the process."""
+    """Responses are lost or late, around freezes and the end of the process."""
     explore(OnceMachine, EXAMPLES, STEPS)
 
 
--- a/tests/unit/gateway/test_gateway_peers.py
+++ b/tests/unit/gateway/test_gateway_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what three instances tell each other, and what follows from it."""
+"""Tests of the state that three instances exchange by gossip, and its effects."""
 
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
@@ -29,27 +29,27 @@
 
 @dataclass
 class Fleet:
-    """Three instances before one platform; the store turns the last one away."""
+    """Three instances of one platform; the store may be unavailable to the last one."""
 
     platform: Deployment
     instances: list[RunningGateway]
 
     @property
-    def shut_out(self) -> RunningGateway:
-        """The instance that gets nothing from its store."""
+    def without_store(self) -> RunningGateway:
+        """The instance whose store may be unavailable."""
         return self.instances[-1]
 
 
 @contextmanager
-def fleet(shut_out: bool = False) -> Iterator[Fleet]:
-    """Run three instances that have found each other."""
+def fleet(without_store: bool = False) -> Iterator[Fleet]:
+    """Run three instances that have discovered each other."""
     with ExitStack() as stack:
         platform = stack.enter_context(deployment())
-        deaf = stack.enter_context(deployment(None))
-        deaf.store.set_faults(StoreFaults(down=Refusal.UNAVAILABLE))
+        unavailable = stack.enter_context(deployment(None))
+        unavailable.store.set_faults(StoreFaults(down=Refusal.UNAVAILABLE))
         instances = []
         for number in range(3):
-            follows = deaf if shut_out and number == 2 else None
+            follows = unavailable if without_store and number == 2 else None
             name = f"entry-{number}"
             instances.append(
                 stack.enter_context(running_gateway(platform, name, follows=follows))
@@ -69,11 +69,10 @@
     return sum(len(works) for works in book.peers.values())
 
 
-def test_work_of_peers_spreads_the_load() -> None:
-    """All instances send their calls to the same engine.
+def test_calls_avoid_engines_used_by_peers() -> None:
+    """All instances send their calls to the same engine while others are idle.
 
-    Each one knew its own work only, and took the engine that it had not used; so
-    the calls of three instances met at one while others were idle.
+    Each instance must take the published work of its peers into account.
     """
     for path, service in (("/stream/1", ENGINES), ("/unsafe/1", DESKS)):
         with fleet() as running, ExitStack() as stack:
@@ -103,23 +102,23 @@
                 each.wait_until(lambda e=each: peer_works(e) == 0)  # type: ignore[misc]
 
 
-def test_calls_that_end_at_once_are_not_told_to_peers() -> None:
-    """Instances choose engines that others have filled, as their words come late.
+def test_short_plain_calls_are_not_published() -> None:
+    """Instances choose full engines because gossip entries are delayed.
 
-    Calls of plain endpoints that last some milliseconds were over half of all words
-    of 64 instances. They had ended when peers heard of them, and engines' words waited.
+    Published at once, plain endpoints' calls of a few milliseconds made up over half
+    of all entries of 64 instances, and ended before peers received them.
     """
-    # On a busy machine a call may last long enough to be told; none does here.
-    never = patch.object(
+    # On a busy machine a call could last long enough to be published.
+    delayed = patch.object(
         gossip_adapter, "PLAIN_CALL_PUBLISH_DELAY", timedelta(minutes=1)
     )
-    with never, fleet() as running:
+    with delayed, fleet() as running:
         desk = running.platform.add_desk(EndpointSettings(DESKS))
         first, second, _ = running.instances
         first.wait_until_listed(desk)
         for number in range(3):
             case.assertEqual(200, first.ask("/safe/1", f"q{number}").status)
-        # Told later than any word about those calls would be.
+        # Published after any entry of those calls would be.
         engine = running.platform.add_engine(EndpointSettings(ENGINES))
         engine.hold()
         first.wait_until_listed(engine)
@@ -127,12 +126,12 @@
             headers = {REQUEST_ID: "last", TOKEN_USAGE: "1000,80", **BEARER}
             channel.send("POST", "/stream/1", headers, b"last")
             second.wait_until(lambda: peer_works(second) == 1)
-            case.assertEqual(1, len(works_heard(second)))
+            case.assertEqual(1, len(work_entries(second)))
             engine.let_go()
             running.platform.log.wait_until(lambda log: not log.at_work())
 
 
-def works_heard(running: RunningGateway) -> list[Slot]:
+def work_entries(running: RunningGateway) -> list[Slot]:
     gossip = running.server.gossip_adapter.gossip
     assert gossip is not None
     members = gossip.exchange.roster.members.values()
@@ -141,29 +140,29 @@
 
 
 def test_an_instance_that_the_store_turns_away_follows_its_peers() -> None:
-    """One instance serves an old configuration, and sends calls to what has left.
+    """An instance without its store uses an old configuration and drained endpoints.
 
-    The store answers everybody but this instance. Its peers hand it what they know:
-    the configuration, the endpoints, and that one of them drains.
+    The store answers all other instances. These provide the configuration, the
+    endpoints and the notice that one of them drains.
     """
-    with fleet(shut_out=True) as running:
+    with fleet(without_store=True) as running:
         leaving = running.platform.add_desk(EndpointSettings(DESKS))
         staying = running.platform.add_desk(EndpointSettings(DESKS))
-        shut_out = running.shut_out
-        shut_out.wait_until_listed(leaving, staying)
-        case.assertEqual(200, shut_out.ask("/safe/1", "c1").status)
+        without_store = running.without_store
+        without_store.wait_until_listed(leaving, staying)
+        case.assertEqual(200, without_store.ask("/safe/1", "c1").status)
         fresh = RouteEntry("r-new", "/new/", "safe", DESKS, HOST)
         changed = replace(USUAL_CONFIG, routes=(*USUAL_CONFIG.routes, fresh))
         version = running.platform.configure(changed)
-        directory = shut_out.server.directory
-        shut_out.wait_until(
+        directory = without_store.server.directory
+        without_store.wait_until(
             lambda: directory.table is not None and directory.table.version == version
         )
-        case.assertEqual(200, shut_out.ask("/new/1", "c2").status)
+        case.assertEqual(200, without_store.ask("/new/1", "c2").status)
         running.platform.drain(leaving)
-        shut_out.wait_until(lambda: not usable_at(shut_out, leaving.id))
+        without_store.wait_until(lambda: not usable_at(without_store, leaving.id))
         for number in range(6):
-            seal = shut_out.ask("/safe/1", f"s{number}").headers[SEAL.lower()]
+            seal = without_store.ask("/safe/1", f"s{number}").headers[SEAL.lower()]
             case.assertTrue(seal.startswith(staying.id))
 
 
@@ -174,10 +173,9 @@
 
 
 def test_repeats_of_all_instances_draw_on_one_budget() -> None:
-    """Instances that have just started repeat as if each were alone.
+    """Three instances each spend the whole shared budget of five retries.
 
-    Three of them share a budget of five repeats, and each sent all five. Two of them
-    have two, and one has one.
+    Two of them may send two retries, and one may send one.
     """
     with fleet() as running:
         for _ in range(2):
@@ -194,9 +192,9 @@
 
 
 def test_a_life_that_follows_another_waits_for_its_part() -> None:
-    """An instance is killed and comes back, and repeats what its former life repeated.
+    """A restarted instance spends the retry budget a second time.
 
-    What that one sent is still in the window, and nobody told the new life of it.
+    Retries of its previous incarnation are still in the window but unknown to it.
     """
     with fleet() as running, ExitStack() as stack:
         desks = [running.platform.add_desk(EndpointSettings(DESKS)) for _ in range(2)]
@@ -229,10 +227,10 @@
 
 
 def test_a_request_that_crashes_endpoints_is_known_to_all() -> None:
-    """A poisoned request takes one endpoint after another down.
+    """A request that crashes endpoints takes down one after another.
 
-    Its caller sends it to another instance each time; no instance alone has seen it
-    crash more than one endpoint.
+    Its caller sends it to a different instance each time, so that no single instance
+    sees enough crashes.
     """
     with fleet() as running:
         for _ in range(4):
--- a/tests/unit/gateway/test_gateway_rules.py
+++ b/tests/unit/gateway/test_gateway_rules.py
@@ -1,4 +1,4 @@
-"""Tests of whole calls by what is in force: configuration, keys, leaving, limits."""
+"""Tests of whole calls: configuration, keys, draining and limits in force."""
 
 from contextlib import ExitStack
 from dataclasses import replace
@@ -43,9 +43,9 @@
 
 
 def test_without_a_configuration_nothing_is_denied() -> None:
-    """A caller is told that its route does not exist, and gives up for good.
+    """A caller gets a permanent error for its route from an instance that just started.
 
-    The instance had just started and knew no configuration yet.
+    The instance has no configuration yet, so the caller should retry.
     """
     with gateway_world(None) as world:
         ready = call(world.running.ready_address, "GET", "/-/ready")
@@ -110,10 +110,10 @@
 
 
 def test_a_draining_endpoint_gets_nothing_new_and_finishes() -> None:
-    """A call reaches an endpoint that is about to end.
+    """A call is sent to an endpoint that is about to exit.
 
-    It has said that it drains, or its row is gone, and serves on for a while; what
-    runs there goes on, and kept connections to it must not be used.
+    The endpoint reported that it drains, or its row was removed, and it keeps serving
+    for a while. Its running calls continue, but pooled connections must not be reused.
     """
     for reported in (True, False):
         with gateway_world() as world, world.running.channel() as channel:
@@ -124,7 +124,7 @@
             staying = world.add_desk()
             world.platform.drain(leaving, reported)
             directory = world.running.server.directory
-            world.running.wait_until(lambda: not takes_new(directory, leaving.id))  # noqa: B023
+            world.running.wait_until(lambda: not is_usable(directory, leaving.id))  # noqa: B023
             for number in range(6):
                 result = world.running.ask("/safe/1", f"s{number}")
                 case.assertTrue(result.headers[SEAL.lower()].startswith(staying.id))
@@ -137,16 +137,16 @@
             case.assertEqual([], idle.get(leaving.id, []))  # type: ignore[call-overload]
 
 
-def takes_new(directory: object, name: str) -> bool:
+def is_usable(directory: object, name: str) -> bool:
     entries = directory.endpoints  # type: ignore[attr-defined]
     return name in entries and entries[name].takes_new_work
 
 
-def test_connections_to_endpoints_that_are_gone_leave_nothing() -> None:
-    """The instance grows with each endpoint that ever was.
+def test_connections_to_removed_endpoints_are_dropped() -> None:
+    """The instance's memory grows with each endpoint ever listed.
 
-    Endpoints come and go all day under ids of their own; what is kept for one must
-    go with it.
+    Endpoints are replaced all day under new ids; the state of a removed one must be
+    removed too.
     """
     with gateway_world() as world:
         for number in range(4):
@@ -169,11 +169,10 @@
         world.running.wait_until(lambda: not pool.idle)
 
 
-def test_a_connection_that_its_endpoint_closes_when_idle_costs_no_call() -> None:
-    """A call is lost on a connection that its endpoint has closed.
+def test_connection_closed_by_idle_endpoint_loses_no_call() -> None:
+    """A call is lost on a pooled connection that its endpoint has closed.
 
-    The end came while nobody used the connection; it must leave the pool then, and
-    not be found by the next call.
+    A connection closed while idle must leave the pool at once.
     """
     with gateway_world() as world:
         idle = timedelta(milliseconds=50)
@@ -186,7 +185,7 @@
         case.assertEqual([], world.platform.log.ran_twice())
 
 
-def test_a_caller_that_sends_its_head_too_slowly() -> None:
+def test_slow_request_head_gets_408() -> None:
     with gateway_world(replace(USUAL_CONFIG, limits=QUICK_LIMITS)) as world:
         for part in (b"POST /safe/1 HT", b"POST /safe/1 HTTP/1.1\r\nHost: h\r\n"):
             with world.running.channel() as channel:
@@ -197,24 +196,24 @@
                 case.assertTrue(channel.ended())
 
 
-def test_a_connection_that_sends_nothing_is_closed_in_the_end() -> None:
+def test_idle_connection_is_closed_after_its_timeout() -> None:
     with gateway_world(replace(USUAL_CONFIG, limits=QUICK_LIMITS)) as world:
         world.add_desk()
         with world.running.channel() as channel:
             channel.send("POST", "/safe/1", {REQUEST_ID: "c1", **BEARER})
-            told = channel.read_answer().headers["keep-alive"]
-            case.assertEqual("timeout=1", told)
+            advertised = channel.read_answer().headers["keep-alive"]
+            case.assertEqual("timeout=1", advertised)
             took = eventually(lambda: not world.running.gateway.connections)
-            # Longer than was told: a request that crosses the close would be lost.
+            # Longer than advertised: a request that crosses the close would be lost.
             case.assertGreater(took, QUICK_LIMITS.idle_timeout)
             case.assertTrue(channel.ended())
 
 
-def test_blank_lines_between_requests_are_no_slow_request() -> None:
-    """A kept connection gets an answer that nobody asked for.
+def test_blank_lines_between_requests_start_no_request() -> None:
+    """A keep-alive connection gets an unsolicited 408.
 
-    Some callers send a blank line behind a body. It began a request that never
-    came, and its caller was told 408 on a connection that it kept for later.
+    Some callers send a blank line after a body. It must not start a request, whose
+    timeout would then expire.
     """
     with gateway_world(replace(USUAL_CONFIG, limits=QUICK_LIMITS)) as world:
         desk = world.add_desk()
@@ -238,11 +237,10 @@
             case.assertEqual(200, channel.read_answer().status)
 
 
-def test_a_body_that_comes_steadily_is_not_too_slow() -> None:
-    """A long body is cut in the middle.
+def test_body_timeout_restarts_with_each_chunk() -> None:
+    """A long request body is cut although it arrives steadily.
 
-    The time for a whole body ran from its head on, though bytes of it came all the
-    while; only a body of which nothing comes is too slow.
+    The timeout applies to the time without new bytes, not to the whole body.
     """
     with gateway_world() as world, world.running.channel() as channel:
         world.add_desk()
@@ -264,11 +262,11 @@
         case.assertEqual(200, channel.read_answer().status)
 
 
-def test_timers_do_not_outlive_calls() -> None:
-    """The instance keeps each call for its whole time limit.
+def test_timers_end_with_their_calls() -> None:
+    """Memory of ended calls is held until their deadlines.
 
-    A timer for the deadline of a call that has ended holds the call, its body and
-    its answer until then.
+    A deadline timer that is not cancelled references the call, its body and its
+    response.
     """
     with gateway_world() as world, world.running.channel() as channel:
         desks = [world.add_desk() for _ in range(2)]
--- a/tests/unit/gateway/test_gateway_stopping.py
+++ b/tests/unit/gateway/test_gateway_stopping.py
@@ -1,4 +1,4 @@
-"""Tests of a stop: callers are served on, and nothing of an answer is lost."""
+"""Tests of graceful shutdown: callers are served, and no response is truncated."""
 
 import asyncio
 import socket
@@ -25,12 +25,12 @@
 
 NARROW = 65536
 WIDE = 1 << 20
-A_WHILE_S = 0.3
+SHORT_WAIT_S = 0.3
 
 
 @contextmanager
 def stopping(world: World, lag: timedelta = timedelta(0)) -> Iterator[Future[int]]:
-    """Begin to stop an instance; the balancer notices at once, or after a lag."""
+    """Begin to shut an instance down, with a lag of the balancer."""
     server = world.running.server
     with patch.object(server_module, "BALANCER_LAG", lag):
         loop = world.running.thread.loop
@@ -61,7 +61,7 @@
             future.cancel()
 
 
-def test_an_open_call_is_waited_for() -> None:
+def test_shutdown_waits_for_open_calls() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         desk = world.add_desk()
         desk.hold()
@@ -75,18 +75,18 @@
 
 
 def finished(future: Future[int]) -> bool:
-    """Return whether a stop ends within a while."""
+    """Return whether a shutdown ends within a short time."""
     try:
-        future.result(A_WHILE_S)
+        future.result(SHORT_WAIT_S)
     except TimeoutError:
         return False
     return True
 
 
-def test_the_line_of_a_stop_says_how_long_it_took() -> None:
-    """An instance is killed by its platform in the middle of a planned stop.
+def test_log_line_of_shutdown_has_its_duration() -> None:
+    """A platform kills an instance during a planned shutdown.
 
-    How near its stops come to the time allowed has to be seen before that happens.
+    The duration of shutdowns must be visible before they reach the time allowed.
     """
     with gateway_world() as world, world.running.channel() as channel:
         desk = world.add_desk()
@@ -100,28 +100,28 @@
             future.result()
         fields = caught.one(GATEWAY_STOPPED)
         case.assertEqual(0, fields["cut"])
-        case.assertGreaterEqual(fields["after_ms"], A_WHILE_S * 1000)
+        case.assertGreaterEqual(fields["after_ms"], SHORT_WAIT_S * 1000)
 
 
-def test_a_slow_caller_gets_the_rest_of_its_answer() -> None:
-    """A stream that was written whole ends early at its reader.
+def test_slow_caller_gets_its_whole_response() -> None:
+    """A stream is truncated although its endpoint has finished.
 
-    Its endpoint had finished, so no call was open, but half of the answer was still
-    on its way to a slow caller when the process ended.
+    No call is open any more, but half of the response is still buffered for a slow
+    caller when the process exits.
     """
     with gateway_world() as world, world.running.channel() as channel:
         world.add_engine().play(Garbage(whole_stream(EVENTS)))
         set_buffers(world, channel, NARROW)
         transport = accepted(world).transport
         assert transport is not None
-        # The endpoint isn't held back: all of its answer waits in this instance.
+        # No backpressure on the endpoint: its whole response is buffered here.
         world.running.call_in_loop(lambda: transport.set_write_buffer_limits(WIDE))
         channel.send("POST", "/stream/1", {REQUEST_ID: "c1", **BEARER})
         world.running.wait_until(lambda: not world.running.gateway.calls)
         world.running.wait_until(lambda: transport.get_write_buffer_size() > 0)
         with stopping(world) as future:
             case.assertFalse(finished(future))
-            # Only the caller's side: the instance's own may be gone by the next look.
+            # Only the caller's side: the instance's socket may be closed already.
             channel.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WIDE)
             result = channel.read_answer()
             case.assertEqual(EVENTS, len(result.events))
@@ -130,7 +130,7 @@
             case.assertEqual(0, future.result())
 
 
-def test_what_can_not_be_finished_is_ended_within_the_grace() -> None:
+def test_unfinished_calls_are_ended_within_the_grace_period() -> None:
     with gateway_world() as world, world.running.channel() as channel:
         desk = world.add_desk(EndpointSettings(DESKS))
         desk.hold()
--- a/tests/unit/gateway/test_metrics_page.py
+++ b/tests/unit/gateway/test_metrics_page.py
@@ -1,4 +1,4 @@
-"""The gateway's metrics page shows calls by what became of them."""
+"""Tests of the gateway's metrics page and its call metrics."""
 
 import asyncio
 from datetime import timedelta
@@ -13,8 +13,8 @@
 from tests.support.functions import function_tests
 
 
-class Wire(asyncio.Transport):
-    """Keeps what is written."""
+class RecordingTransport(asyncio.Transport):
+    """Records written bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,19 +22,19 @@
         self.closed = False
 
     def write(self, data: Any) -> None:
-        """Keep some bytes."""
+        """Record written bytes."""
         self.written += bytes(data)
 
     def close(self) -> None:
-        """Note that it is closed."""
+        """Record the close."""
         self.closed = True
 
 
 class EndedCall:
-    """The parts of a call that are counted."""
+    """The parts of a call that metrics read."""
 
     class request:  # noqa: N801
-        """What the kernel knew of it."""
+        """The call's kernel request."""
 
         target = "letters"
         prompt_tokens = 20_000
@@ -45,29 +45,29 @@
     longest_pause = timedelta(milliseconds=40)
 
 
-def asked(request: bytes, page: bytes = b"a 1\n") -> Wire:
-    connection, wire = MetricsConnection(lambda: page), Wire()
-    connection.connection_made(wire)
+def request_page(request: bytes, page: bytes = b"a 1\n") -> RecordingTransport:
+    connection, transport = MetricsConnection(lambda: page), RecordingTransport()
+    connection.connection_made(transport)
     connection.data_received(request)
-    return wire
+    return transport
 
 
 def test_page_is_served_at_its_path_and_the_connection_kept() -> None:
-    wire = asked(b"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n" * 2)
-    assert wire.written.count(b"HTTP/1.1 200 OK\r\n") == 2
-    assert wire.written.endswith(b"\r\n\r\na 1\n")
-    assert b"Content-Type: text/plain; version=0.0.4" in wire.written
-    assert not wire.closed
+    transport = request_page(b"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n" * 2)
+    assert transport.written.count(b"HTTP/1.1 200 OK\r\n") == 2
+    assert transport.written.endswith(b"\r\n\r\na 1\n")
+    assert b"Content-Type: text/plain; version=0.0.4" in transport.written
+    assert not transport.closed
 
 
-def test_other_paths_and_nonsense_get_no_page() -> None:
-    assert b"404" in asked(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").written
-    nonsense = asked(b"\x00\x01 nonsense\r\n\r\n")
-    assert nonsense.closed
-    assert b"a 1" not in nonsense.written
+def test_other_paths_and_invalid_requests_get_no_page() -> None:
+    assert b"404" in request_page(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").written
+    invalid = request_page(b"\x00\x01 nonsense\r\n\r\n")
+    assert invalid.closed
+    assert b"a 1" not in invalid.written
 
 
-def test_calls_are_counted_by_what_became_of_them() -> None:
+def test_calls_are_counted_by_outcome() -> None:
     metrics = Metrics()
     meter = CallMetrics(metrics)
     problem = Problem(ProblemCode.OVERLOADED, "all slots are taken")
--- a/tests/unit/gateway/test_overwritten_rows.py
+++ b/tests/unit/gateway/test_overwritten_rows.py
@@ -1,4 +1,4 @@
-"""Tests of whole calls while another writer has written over an endpoint's row."""
+"""Tests of whole calls while another writer has overwritten an endpoint's row."""
 
 from base64 import b64encode
 from unittest import TestCase
@@ -18,34 +18,34 @@
     return {str(name) for name, entry in entries.items() if entry.takes_new_work}
 
 
-def test_an_endpoint_whose_row_is_overwritten_gets_no_calls_until_it_reports() -> None:
-    """A tool writes over an endpoint's row, and nobody knows where it stands.
+def test_endpoint_with_overwritten_row_gets_no_calls_until_it_reports() -> None:
+    """Calls are sent to an endpoint whose row was overwritten by another tool.
 
-    Calls went on to it by what the row had said. Now what runs there goes on to its
-    end, new calls go to its neighbour alone, and its next report brings it back.
+    The endpoint's state is unknown then. Its running calls finish, new calls go to the
+    other endpoint, and its next report makes it usable again.
     """
     with gateway_world() as world, world.running.channel() as channel:
-        resting = world.add_desk()
-        resting.hold()
+        overwritten = world.add_desk()
+        overwritten.hold()
         channel.send("POST", "/unsafe/1", {REQUEST_ID: "c1", **BEARER})
         world.platform.log.wait_until(lambda log: len(log.runs) == 1)
         other = world.add_desk()
-        name = RowName(TABLE_SERVERS, "", resting.id)
+        name = RowName(TABLE_SERVERS, "", overwritten.id)
         value = b64encode(b'{"state":"ready"}').decode()
         world.platform.store.write(Transaction(puts=(Put(name, value),)))
         world.running.wait_until(lambda: used(world) == {other.id})
         for number in range(6):
             result = world.running.ask("/safe/1", f"s{number}")
             case.assertTrue(result.headers[SEAL.lower()].startswith(other.id))
-        resting.let_go()
+        overwritten.let_go()
         result = channel.read_answer()
-        case.assertTrue(result.headers[SEAL.lower()].startswith(resting.id))
-        world.platform.beat(resting)
-        world.running.wait_until(lambda: used(world) == {resting.id, other.id})
+        case.assertTrue(result.headers[SEAL.lower()].startswith(overwritten.id))
+        world.platform.beat(overwritten)
+        world.running.wait_until(lambda: used(world) == {overwritten.id, other.id})
         world.platform.remove(other)
-        world.running.wait_until(lambda: used(world) == {resting.id})
+        world.running.wait_until(lambda: used(world) == {overwritten.id})
         result = world.running.ask("/safe/1", "last")
-        case.assertTrue(result.headers[SEAL.lower()].startswith(resting.id))
+        case.assertTrue(result.headers[SEAL.lower()].startswith(overwritten.id))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_peer_work_updates.py
+++ b/tests/unit/gateway/test_peer_work_updates.py
@@ -1,4 +1,4 @@
-"""Tests of what the kernel knows of peers' works, told only what changes."""
+"""Tests of incremental updates of peers' work in the kernel."""
 
 from datetime import timedelta
 from random import Random
@@ -38,13 +38,13 @@
 EMPTY = RoutingTable(Revision(1), (), {}, ClientLimits(), ())
 
 
-class Hearer:
-    """An instance's sharing, and a book of the works that it tells the kernel.
+class ReceivingInstance:
+    """A gossip adapter, and a load tracker fed by the messages that it posts.
 
     Attributes
     ----------
-    whole : int
-        Times that all works of a peer were told.
+    replacements : int
+        Number of messages that replaced a peer's whole work.
     """
 
     def __init__(self, network: Network) -> None:
@@ -53,7 +53,7 @@
         self.steady = ManualClock(timedelta(seconds=100))
         self.book = LoadTracker()
         self.figures: EngineFigures | None = FIGURES
-        self.whole = 0
+        self.replacements = 0
         me = self.node.me
         directory = Directory(
             ScriptedConfigurations(), ScriptedEndpoints(), self.steady, Random(1)
@@ -76,10 +76,10 @@
         self.sharing.gossip = self.gossip
 
     def take(self, message: Message) -> None:
-        """Keep the book as the kernel does."""
+        """Update the load tracker as the kernel does."""
         now = self.steady.monotonic()
         if isinstance(message, PeerWorkReplaced):
-            self.whole += 1
+            self.replacements += 1
             self.book.replace_peer(message.instance, message.works, now)
         elif isinstance(message, PeerWorkChanged):
             works, ended = message.works, message.ended
@@ -88,7 +88,7 @@
             self.book.remove_peer(message.instance)
 
     def run(self, span: timedelta, suspended: bool = False) -> None:
-        """Let time pass; a suspended machine's steady clock stands still."""
+        """Advance time; the steady clock stops while the machine is suspended."""
         self.network.run(span)
         if not suspended:
             self.steady.advance(span)
@@ -97,7 +97,7 @@
         effects.clear()
 
     def expected(self) -> dict[str, dict[str, InFlightRequest]]:
-        """Return the works of all living peers, each worked out anew."""
+        """Return the work of all live peers, computed from the gossip's full state."""
         found = {}
         for load in self.gossip.loads():
             works = [
@@ -107,16 +107,16 @@
             found[str(load.instance)] = {str(each.request): each for each in works}
         return {name: works for name, works in found.items() if works}
 
-    def on_engines(self) -> list[tuple[str, str]]:
-        """Return the works on each engine, as the book sums them up."""
+    def work_by_engine(self) -> list[tuple[str, str]]:
+        """Return the work on each engine in the load tracker."""
         return sorted(
             (str(engine), str(work.request))
             for engine, works in self.book.by_engine.items()
             for work in works.values()
         )
 
-    def told(self) -> dict[str, dict[str, InFlightRequest]]:
-        """Return what the book has of peers."""
+    def tracked_work(self) -> dict[str, dict[str, InFlightRequest]]:
+        """Return the work of peers in the load tracker."""
         return {
             str(name): {str(request): work for request, work in works.items()}
             for name, works in self.book.peers.items()
@@ -128,17 +128,17 @@
     return WorkNote(number, EndpointId(f"i-{host:08x}"), prompt, 600, 250)
 
 
-def test_changes_told_one_by_one_make_the_same_book() -> None:
-    """Engines seem full of works that ended long ago, or idle while peers fill them.
+def test_incremental_changes_match_full_state() -> None:
+    """Engines seem full of ended work, or idle while peers use them.
 
-    The kernel is told only the works of a datagram. Peers die, come back as another
-    life, are cut off and lose datagrams; after each step its book must hold what a
-    whole telling of all works would bring.
+    The kernel receives only the work of each datagram. Peers exit, restart, are
+    partitioned and lose datagrams; after each step the load tracker must match the
+    full state.
     """
     network = Network(seed=3, loss=0.05, doubled=0.05, spread=ms(20))
-    hearer = Hearer(network)
+    receiver = ReceivingInstance(network)
     random = Random(4)
-    seed = hearer.node.me.address
+    seed = receiver.node.me.address
     peers = {each: network.add(identity(each), [seed]) for each in range(1, 6)}
     boots = 0
     running: list[tuple[Exchange, int]] = []
@@ -158,65 +158,65 @@
             boots += 1
             number = random.randrange(1, 6)
             network.stop(peers[number])
-            reborn = identity(number, 5000 + boots, 1 + boots)
-            peers[number] = network.add(reborn, [seed])
+            restarted = identity(number, 5000 + boots, 1 + boots)
+            peers[number] = network.add(restarted, [seed])
         if step % 100 == 50:
             network.part([peers[1], peers[2]])
         if step % 100 == 95:
             network.heal()
-        hearer.run(ms(100))
-        told = hearer.told()
-        case.assertEqual(hearer.expected(), told, step)
-        works = [each for known in told.values() for each in known.values()]
+        receiver.run(ms(100))
+        tracked_work = receiver.tracked_work()
+        case.assertEqual(receiver.expected(), tracked_work, step)
+        works = [each for known in tracked_work.values() for each in known.values()]
         hosts = sorted((str(each.host), str(each.request)) for each in works)
-        case.assertEqual(hosts, hearer.on_engines(), step)
-        compared += len(hearer.told())
+        case.assertEqual(hosts, receiver.work_by_engine(), step)
+        compared += len(receiver.tracked_work())
     case.assertGreater(compared, STEPS)
-    case.assertLess(hearer.whole, STEPS / 4)
+    case.assertLess(receiver.replacements, STEPS / 4)
 
 
-def test_works_are_older_after_a_suspension_from_the_next_word_on() -> None:
-    """An engine seems to read a prompt for as long again as the machine was suspended.
+def test_work_ages_by_suspension_with_next_update() -> None:
+    """Prefill of a peer's prompt seems to last longer by the time of a suspension.
 
-    The kernel's clock stands still meanwhile, so that works which it was told before
-    seem younger than they are.
+    The kernel's clock stops meanwhile, so that work received before seems younger
+    than it is.
     """
     network = Network()
-    hearer = Hearer(network)
-    peer = network.add(identity(1), [hearer.node.me.address])
-    hearer.run(timedelta(seconds=2))
+    receiver = ReceivingInstance(network)
+    peer = network.add(identity(1), [receiver.node.me.address])
+    receiver.run(timedelta(seconds=2))
     peer.say(LOAD, 1, note(1, 1), network.now)
-    hearer.run(ms(100))
-    (work,) = hearer.told()["front-1"].values()
-    hearer.run(timedelta(seconds=2), suspended=True)
+    receiver.run(ms(100))
+    (work,) = receiver.tracked_work()["front-1"].values()
+    receiver.run(timedelta(seconds=2), suspended=True)
     peer.say(LOAD, 2, note(2, 2), network.now)
-    hearer.run(ms(100))
-    older = hearer.told()["front-1"][str(work.request)]
+    receiver.run(ms(100))
+    older = receiver.tracked_work()["front-1"][str(work.request)]
     case.assertEqual(timedelta(seconds=2), work.started_at - older.started_at)
-    case.assertEqual(hearer.expected(), hearer.told())
+    case.assertEqual(receiver.expected(), receiver.tracked_work())
 
 
-def test_what_engines_read_is_known_from_the_next_word_after_their_figures() -> None:
-    """Engines that read long prompts seem idle to an instance that has just started.
+def test_prefill_parts_follow_configuration_with_next_update() -> None:
+    """Engines busy with long prefills seem idle to an instance that just started.
 
-    It hears peers' works before its own configuration, without which nobody knows how
-    long an engine reads.
+    It receives peers' work before its own configuration, which has the engine figures
+    that prefill times are computed from.
     """
     network = Network()
-    hearer = Hearer(network)
-    hearer.figures = None
-    peer = network.add(identity(1), [hearer.node.me.address])
-    hearer.run(timedelta(seconds=2))
+    receiver = ReceivingInstance(network)
+    receiver.figures = None
+    peer = network.add(identity(1), [receiver.node.me.address])
+    receiver.run(timedelta(seconds=2))
     peer.say(LOAD, 1, note(1, 1, 60_000), network.now)
-    hearer.run(ms(100))
-    hearer.figures = FIGURES
-    hearer.sharing.schedule_configuration_offer = lambda: None  # type: ignore[method-assign]
-    hearer.sharing.directory_changed(TableChanged(EMPTY, UpdateOrigin.STORE))
+    receiver.run(ms(100))
+    receiver.figures = FIGURES
+    receiver.sharing.schedule_configuration_offer = lambda: None  # type: ignore[method-assign]
+    receiver.sharing.directory_changed(TableChanged(EMPTY, UpdateOrigin.STORE))
     peer.say(LOAD, 2, note(2, 2), network.now)
-    hearer.run(ms(100))
-    first, _ = hearer.told()["front-1"].values()
+    receiver.run(ms(100))
+    first, _ = receiver.tracked_work()["front-1"].values()
     case.assertEqual(["i-00000001"], [part.endpoint for part in first.parts])
-    case.assertEqual(hearer.expected(), hearer.told())
+    case.assertEqual(receiver.expected(), receiver.tracked_work())
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_subset_selector.py
+++ b/tests/unit/gateway/test_subset_selector.py
@@ -1,4 +1,4 @@
-"""Tests of which engines an instance of a large fleet uses, and whom it tells."""
+"""Tests of the engine subsets and work recipients of a large fleet."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -38,29 +38,29 @@
     return fleet
 
 
-def used(neighbours: SubsetSelector) -> set[EndpointId]:
+def used(selector: SubsetSelector) -> set[EndpointId]:
     """Return the engines that an instance uses."""
-    views = [each.view(NOW) for each in neighbours.fleet.service_endpoints(POOL)]
-    return {view.endpoint for view in neighbours.select_engines(views)}
+    views = [each.view(NOW) for each in selector.fleet.service_endpoints(POOL)]
+    return {view.endpoint for view in selector.select_engines(views)}
 
 
-def test_all_engines_are_used_where_everyone_tells_everyone() -> None:
-    neighbours = SubsetSelector(OWN, fleet_of(112))
-    case.assertEqual(112, len(used(neighbours)))
-    neighbours.update_peers(PEERS[:40], large=False)
-    case.assertEqual(112, len(used(neighbours)))
-    case.assertIsNone(neighbours.work_recipients([EndpointId("i-3")]))
+def test_small_fleet_uses_all_engines() -> None:
+    selector = SubsetSelector(OWN, fleet_of(112))
+    case.assertEqual(112, len(used(selector)))
+    selector.update_peers(PEERS[:40], large=False)
+    case.assertEqual(112, len(used(selector)))
+    case.assertIsNone(selector.work_recipients([EndpointId("i-3")]))
 
 
-def test_a_work_is_told_to_all_who_may_choose_its_engines() -> None:
-    """Two instances that don't know of each other's works fill an engine twice.
+def test_work_is_published_to_all_peers_that_share_its_engines() -> None:
+    """Two instances overload an engine because neither knows the other's work.
 
-    Whoever uses an engine hears of each work on it, also of one that only helps.
+    Every user of an engine must receive all work on it, as host or as helper.
     """
     fleet = fleet_of(112)
-    neighbours = SubsetSelector(OWN, fleet)
-    neighbours.update_peers(PEERS, large=True)
-    mine = sorted(used(neighbours))
+    selector = SubsetSelector(OWN, fleet)
+    selector.update_peers(PEERS, large=True)
+    mine = sorted(used(selector))
     case.assertEqual(SUBSET_SIZE, len(mine))
     sharing = set()
     for peer in PEERS:
@@ -68,21 +68,21 @@
         other.update_peers([each for each in [OWN, *PEERS] if each != peer], large=True)
         if used(other) & {mine[0], mine[7]}:
             sharing.add(peer)
-    case.assertEqual(sharing, neighbours.work_recipients([mine[0], mine[7]]))
+    case.assertEqual(sharing, selector.work_recipients([mine[0], mine[7]]))
     case.assertLess(len(sharing), 60)
 
 
-def test_few_engines_are_used_by_all_and_all_are_told() -> None:
-    neighbours = SubsetSelector(OWN, fleet_of(MIN_ENGINES_FOR_SUBSETS - 1))
-    neighbours.update_peers(PEERS, large=True)
-    case.assertEqual(MIN_ENGINES_FOR_SUBSETS - 1, len(used(neighbours)))
-    case.assertEqual(frozenset(PEERS), neighbours.work_recipients([EndpointId("i-3")]))
+def test_few_engines_are_used_by_all_peers() -> None:
+    selector = SubsetSelector(OWN, fleet_of(MIN_ENGINES_FOR_SUBSETS - 1))
+    selector.update_peers(PEERS, large=True)
+    case.assertEqual(MIN_ENGINES_FOR_SUBSETS - 1, len(used(selector)))
+    case.assertEqual(frozenset(PEERS), selector.work_recipients([EndpointId("i-3")]))
 
 
-def test_calls_of_plain_endpoints_are_told_to_nobody_in_a_large_fleet() -> None:
-    neighbours = SubsetSelector(OWN, fleet_of(112))
-    neighbours.update_peers(PEERS, large=True)
-    case.assertEqual(frozenset(), neighbours.work_recipients([]))
+def test_plain_calls_have_no_recipients_in_large_fleet() -> None:
+    selector = SubsetSelector(OWN, fleet_of(112))
+    selector.update_peers(PEERS, large=True)
+    case.assertEqual(frozenset(), selector.work_recipients([]))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_zone_watch.py
+++ b/tests/unit/gateway/test_zone_watch.py
@@ -1,4 +1,4 @@
-"""Tests of zones whose instances have all fallen silent."""
+"""Tests of zones whose instances are all silent."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Answering:
+class FakeAttempt:
     """An open attempt."""
 
     endpoint: EndpointId
@@ -32,12 +32,12 @@
 
 
 @dataclass
-class Watched:
-    """A watch, and what it is told and reports."""
+class WatchHarness:
+    """A zone watch with its inputs and its posted messages."""
 
     now: timedelta = timedelta(seconds=100)
     silent: dict[AvailabilityZoneId, timedelta] = field(default_factory=dict)
-    attempts: list[Answering] = field(default_factory=list)
+    attempts: list[FakeAttempt] = field(default_factory=list)
     posted: list[Message] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -45,7 +45,7 @@
         self.watch.silent_zones = lambda: self.silent
 
     def run(self, span: timedelta) -> None:
-        """Look at each tick of a time in which nothing else is received."""
+        """Check at each tick while nothing else is received."""
         end = self.now + span
         while self.now < end:
             self.watch.check(self.attempts, self.now)
@@ -54,44 +54,44 @@
 
 
 def test_a_silent_zone_is_reported_until_it_is_received() -> None:
-    watched = Watched(silent={FAR: HALF})
-    watched.run(3 * RENEWAL_INTERVAL)
+    harness = WatchHarness(silent={FAR: HALF})
+    harness.run(3 * RENEWAL_INTERVAL)
     since = timedelta(seconds=100) - HALF
-    case.assertEqual([ZoneUnreachable(FAR, since)] * 3, watched.posted)
+    case.assertEqual([ZoneUnreachable(FAR, since)] * 3, harness.posted)
     case.assertLess(RENEWAL_INTERVAL, SUSPICION_PERIOD)
-    watched.silent = {}
-    watched.run(TICK)
-    case.assertEqual(ZoneReachable(FAR), watched.posted[-1])
+    harness.silent = {}
+    harness.run(TICK)
+    case.assertEqual(ZoneReachable(FAR), harness.posted[-1])
 
 
-def test_an_answer_from_a_zone_speaks_against_its_silence() -> None:
-    """Endpoints must not be avoided where all instances beside them were killed."""
-    watched = Watched(silent={FAR: HALF})
-    watched.attempts = [Answering(EndpointId("e"), watched.now - HALF / 2)]
-    watched.run(RENEWAL_INTERVAL)
-    case.assertEqual([], watched.posted)
+def test_zone_with_answering_endpoint_is_not_reported() -> None:
+    """Endpoints must stay usable if only the zone's instances were killed."""
+    harness = WatchHarness(silent={FAR: HALF})
+    harness.attempts = [FakeAttempt(EndpointId("e"), harness.now - HALF / 2)]
+    harness.run(RENEWAL_INTERVAL)
+    case.assertEqual([], harness.posted)
 
 
-def test_an_attempt_that_was_silent_before_says_nothing() -> None:
-    watched = Watched(silent={FAR: HALF})
-    watched.attempts = [
-        Answering(EndpointId("e"), watched.now - HALF * 2),
-        Answering(EndpointId("f"), None),
+def test_attempt_without_recent_event_does_not_count() -> None:
+    harness = WatchHarness(silent={FAR: HALF})
+    harness.attempts = [
+        FakeAttempt(EndpointId("e"), harness.now - HALF * 2),
+        FakeAttempt(EndpointId("f"), None),
     ]
-    watched.run(TICK)
+    harness.run(TICK)
     since = timedelta(seconds=100) - HALF
-    case.assertEqual([ZoneUnreachable(FAR, since)], watched.posted)
+    case.assertEqual([ZoneUnreachable(FAR, since)], harness.posted)
 
 
-def test_a_zone_without_instances_is_tried_again_after_a_while() -> None:
-    """A zone that lost its instances alone must not lose its endpoints for good."""
-    watched = Watched(silent={FAR: MAX_SILENCE + TICK})
-    watched.run(3 * RENEWAL_INTERVAL)
-    case.assertEqual([], watched.posted)
+def test_long_silent_zone_is_not_reported() -> None:
+    """A zone that lost only its instances must not lose its endpoints permanently."""
+    harness = WatchHarness(silent={FAR: MAX_SILENCE + TICK})
+    harness.run(3 * RENEWAL_INTERVAL)
+    case.assertEqual([], harness.posted)
 
 
 def sent_to(bench: GatewayBench, name: str) -> list[str]:
-    """Let calls come at the same moment; return the zones they go to."""
+    """Submit calls at the same instant; return the zones they are sent to."""
     for number in range(CALLS):
         bench.begin(request_of(bench, f"{name}{number}", time=LONG))
     sent = [d for d in bench.emitted(Dispatch) if d.request_id.startswith(name)]
@@ -100,8 +100,8 @@
     return [zone_of(dispatch) for dispatch in sent]
 
 
-def test_no_call_is_sent_into_a_cut_zone_once_its_instances_are_silent() -> None:
-    """Calls must not find out a partition one by one, each by its own time-out."""
+def test_calls_avoid_zone_whose_instances_are_silent() -> None:
+    """Calls must not each detect a partition by their own timeout."""
     bench = bench_of_zones(FAR, OTHER)
     case.assertIn(FAR, sent_to(bench, "before"))
     bench.clock.advance(HALF)
@@ -111,8 +111,8 @@
     case.assertIn(FAR, sent_to(bench, "healed"))
 
 
-def test_an_endpoint_that_has_answered_since_keeps_its_zone() -> None:
-    """A first event that came after the last datagram shows that the zone is there."""
+def test_zone_stays_usable_if_endpoint_answered_since() -> None:
+    """An event received after the last datagram shows that the zone is reachable."""
     bench = bench_of_zones(FAR, OTHER)
     since = bench.clock.monotonic()
     bench.clock.advance(HALF)
