--- a/src/mimosafork/endpoints/reservations.py
+++ b/src/mimosafork/endpoints/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations, prefilled parts and KV imports of gangs, over HTTP."""
+"""Memory reservations, prefills of prompt parts and KV imports of gangs, over HTTP."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -9,16 +9,16 @@
 import msgspec
 
 from ..clock import Clock
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.attempts import Exposure
 from ..kernel.messages.base import Effect, Message
 from ..kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportFailed,
     ImportKv,
     KvImported,
     MemoryReserved,
-    PartFailure,
     PrefillSegment,
     ReservationFailed,
     ReserveMemory,
@@ -29,27 +29,27 @@
 from ..network.http import Answer, HttpClient
 from ..runtime.kernel_task import KernelTask
 from .calls import EndpointCall, ModelCall
-from .connector import Lane
+from .connector import WorkerPool
 from .segments import prompt_part
 from .wire import STREAMS_PATH, OwnerMember, StreamMember, milliseconds, stream_path
 
 STEP_THREADS = 4
 PREFILL_THREADS = 4
-"""Gangs of this instance that prefill at a time; each is many seconds of work of an
-engine, so a small entry instance never has more for long."""
+"""Concurrent prefills of this instance for gangs; each takes an engine many seconds, so
+the limit bounds the load that a small entry instance can cause."""
 
 STEP_TIMEOUT = timedelta(seconds=2)
 IMPORT_TIMEOUT = timedelta(seconds=10)
-ATTACHMENTS = 2
-"""How often a prefill whose connection broke is attached to again: it runs on, and
-without its handle nobody could free its export before the deadline."""
+REATTACH_ATTEMPTS = 2
+"""Attempts to reattach to a prefill whose connection broke: it continues to run, and
+without its handle its export can't be freed before the deadline."""
 
 CREATED = 201
 OK = 200
 REFUSALS = frozenset({409, 429, 503})
 NO_MEMORY = "memory"
-WHOLE = frozenset({"length", "stop"})
-EVENT = b"data: "
+COMPLETE_FINISHES = frozenset({"length", "stop"})
+EVENT_PREFIX = b"data: "
 
 
 class RefusalMember(msgspec.Struct):
@@ -66,35 +66,35 @@
 
 
 class ReservationAdapter:
-    """Carries out the steps of gangs, in threads of its own.
+    """Executes the steps of gangs in threads of its own.
 
     Parameters
     ----------
-    identity : Identity
-        Owner of all that is held.
+    identity : InstanceIdentity
+        Owner of all holdings.
     http : HttpClient
     clock : Clock
-    tell_kernel : Callable
+    send_to_kernel : Callable
         Takes messages for the kernel; never blocks.
     """
 
     def __init__(
         self,
-        identity: Identity,
+        identity: InstanceIdentity,
         http: HttpClient,
         clock: Clock,
-        tell_kernel: Callable[[Message], None],
+        send_to_kernel: Callable[[Message], None],
     ) -> None:
         self.identity = identity
         self.http = http
         self.clock = clock
-        self.tell_kernel = tell_kernel
-        self.steps = Lane("gang-step", STEP_THREADS)
-        self.prefills = Lane("gang-prefill", PREFILL_THREADS)
+        self.send_to_kernel = send_to_kernel
+        self.steps = WorkerPool("gang-step", STEP_THREADS)
+        self.prefills = WorkerPool("gang-prefill", PREFILL_THREADS)
 
     def register(self, kernel_task: KernelTask) -> None:
         """Register for all steps but the prefill, which comes with its prompt."""
-        for effect in (ReserveMemory, ImportKv, FreePart):
+        for effect in (ReserveMemory, ImportKv, FreeOwnHolding):
             kernel_task.register(effect, self._queue)
 
     def start(self) -> None:
@@ -103,23 +103,23 @@
         self.prefills.start()
 
     def stop(self) -> None:
-        """End the threads; what is still held expires at the engines."""
+        """Stop the threads; remaining holdings expire at the engines."""
         self.steps.stop(STEP_TIMEOUT)
         self.prefills.stop(timedelta(0))
 
     def _queue(self, effect: Effect) -> None:
-        self.steps.put(lambda: self.carry_out(effect))
+        self.steps.put(lambda: self.execute(effect))
 
     def prefill(self, effect: PrefillSegment, call: EndpointCall) -> None:
         """Queue the prefill of a part of a call's prompt."""
         self.prefills.put(lambda: self._prefill(effect, call))
 
     @singledispatchmethod
-    def carry_out(self, effect: Effect) -> None:
-        """Make the call and tell the kernel what came of it."""
+    def execute(self, effect: Effect) -> None:
+        """Make the call and send its result to the kernel."""
         raise NotImplementedError(type(effect).__name__)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: ReserveMemory) -> None:
         body = {
             "id": effect.reservation,
@@ -128,12 +128,12 @@
             "ttl_s": effect.time_to_live.total_seconds(),
         }
         failure = self._create(effect.address, "/v1/reservations", body, STEP_TIMEOUT)
-        done: Message = MemoryReserved(effect.request_id, effect.reservation)
+        result: Message = MemoryReserved(effect.request_id, effect.reservation)
         if failure is not None:
-            done = ReservationFailed(effect.request_id, effect.reservation, failure)
-        self.tell_kernel(done)
+            result = ReservationFailed(effect.request_id, effect.reservation, failure)
+        self.send_to_kernel(result)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: ImportKv) -> None:
         body = {
             "id": effect.import_id,
@@ -143,19 +143,19 @@
             "ttl_s": effect.time_to_live.total_seconds(),
         }
         failure = self._create(effect.address, "/v1/kv/imports", body, IMPORT_TIMEOUT)
-        done: Message = KvImported(effect.request_id, effect.import_id)
+        result: Message = KvImported(effect.request_id, effect.import_id)
         if failure is not None:
-            done = ImportFailed(effect.request_id, effect.import_id, failure)
-        self.tell_kernel(done)
+            result = ImportFailed(effect.request_id, effect.import_id, failure)
+        self.send_to_kernel(result)
 
-    @carry_out.register
-    def _(self, effect: FreePart) -> None:
+    @execute.register
+    def _(self, effect: FreeOwnHolding) -> None:
         path = f"/v1/holdings/{effect.kind.value}/{quote(effect.holding_id, safe='')}"
         for _ in range(2):
             try:
                 self.http.call("DELETE", effect.address, path, timeout=STEP_TIMEOUT)
             except NetworkError:
-                # Tried once more; then the engine frees it at its expiry.
+                # Retried once; otherwise the engine frees it when it expires.
                 continue
             return
 
@@ -164,26 +164,26 @@
 
     def _create(
         self, address: str, path: str, body: Any, timeout: timedelta
-    ) -> PartFailure | None:
-        """Post and return why it failed; None if it did not."""
+    ) -> GangStepFailure | None:
+        """Post and return the failure; None if it succeeded."""
         try:
             answer = self.http.call("POST", address, path, body, timeout=timeout)
         except NeverSentError:
-            return PartFailure.UNREACHED
+            return GangStepFailure.UNREACHED
         except NetworkError:
-            return PartFailure.LOST
+            return GangStepFailure.LOST
         if answer.status == CREATED:
             return None
         return _refusal(answer)
 
     def _prefill(self, effect: PrefillSegment, call: EndpointCall) -> None:
-        self.tell_kernel(self.prefilled(effect, call))
+        self.send_to_kernel(self.run_prefill(effect, call))
 
-    def prefilled(self, effect: PrefillSegment, call: EndpointCall) -> Message:
-        """Prefill a part and return what came of it; blocks until its end."""
+    def run_prefill(self, effect: PrefillSegment, call: EndpointCall) -> Message:
+        """Prefill a part and return the result; blocks until it ends."""
         time_left = effect.deadline - self.clock.monotonic()
         if not isinstance(call, ModelCall) or time_left <= timedelta(0):
-            failure = PartFailure.UNREACHED
+            failure = GangStepFailure.UNREACHED
             return _failed(effect, failure, Exposure.NEVER_SENT)
         member = self._stream(effect, call, time_left)
         try:
@@ -191,12 +191,12 @@
                 "POST", effect.address, STREAMS_PATH, member, timeout=time_left
             )
         except NeverSentError:
-            return _failed(effect, PartFailure.UNREACHED, Exposure.NEVER_SENT)
+            return _failed(effect, GangStepFailure.UNREACHED, Exposure.NEVER_SENT)
         except NetworkError:
-            return self.attached(effect)
+            return self.reattach(effect)
         if answer.status in REFUSALS:
             return _failed(effect, _refusal(answer), Exposure.REFUSED)
-        return _ended(effect, answer)
+        return _prefill_result(effect, answer)
 
     def _stream(
         self, effect: PrefillSegment, call: ModelCall, time_left: timedelta
@@ -218,10 +218,10 @@
             reservation=effect.reservation,
         )
 
-    def attached(self, effect: PrefillSegment) -> Message:
+    def reattach(self, effect: PrefillSegment) -> Message:
         """Wait for the end of a prefill whose connection broke."""
         path = f"{stream_path(effect.stream_id)}?offset=0"
-        for _ in range(ATTACHMENTS):
+        for _ in range(REATTACH_ATTEMPTS):
             time_left = effect.deadline - self.clock.monotonic()
             if time_left <= timedelta(0):
                 break
@@ -229,27 +229,31 @@
                 answer = self.http.call("GET", effect.address, path, timeout=time_left)
             except NetworkError:
                 continue
-            return _ended(effect, answer)
-        return _failed(effect, PartFailure.LOST, Exposure.POSSIBLE)
+            return _prefill_result(effect, answer)
+        return _failed(effect, GangStepFailure.LOST, Exposure.POSSIBLE)
 
 
-def _refusal(answer: Answer) -> PartFailure:
-    """Return the failure that a refusing answer means."""
+def _refusal(answer: Answer) -> GangStepFailure:
+    """Return the failure that an error answer stands for."""
     if answer.status not in REFUSALS:
-        return PartFailure.FAILED
+        return GangStepFailure.FAILED
     try:
         reason = msgspec.json.decode(answer.body, type=RefusalMember).refused
     except msgspec.MsgspecError:
-        return PartFailure.FAILED
-    return PartFailure.NO_MEMORY if reason == NO_MEMORY else PartFailure.REFUSED
+        return GangStepFailure.FAILED
+    return GangStepFailure.NO_MEMORY if reason == NO_MEMORY else GangStepFailure.REFUSED
 
 
-def _ended(effect: PrefillSegment, answer: Answer) -> Message:
-    """Return what a stream's events say; without a handle it has failed."""
+def _prefill_result(effect: PrefillSegment, answer: Answer) -> Message:
+    """Return the result of a stream; without a KV handle it has failed."""
     if answer.status == OK:
         for line in answer.body.splitlines():
             event = _event(line)
-            if event is not None and event.finish in WHOLE and event.kv_handle:
+            if (
+                event is not None
+                and event.finish in COMPLETE_FINISHES
+                and event.kv_handle
+            ):
                 return SegmentPrefilled(
                     effect.request_id,
                     effect.stream_id,
@@ -257,19 +261,19 @@
                     effect.address,
                     event.kv_handle,
                 )
-    return _failed(effect, PartFailure.FAILED, Exposure.POSSIBLE)
+    return _failed(effect, GangStepFailure.FAILED, Exposure.POSSIBLE)
 
 
 def _event(line: bytes) -> LastEventMember | None:
-    if not line.startswith(EVENT):
+    if not line.startswith(EVENT_PREFIX):
         return None
     try:
-        return msgspec.json.decode(line[len(EVENT) :], type=LastEventMember)
+        return msgspec.json.decode(line[len(EVENT_PREFIX) :], type=LastEventMember)
     except msgspec.MsgspecError:
         return None
 
 
 def _failed(
-    effect: PrefillSegment, failure: PartFailure, exposure: Exposure
+    effect: PrefillSegment, failure: GangStepFailure, exposure: Exposure
 ) -> SegmentFailed:
     return SegmentFailed(effect.request_id, effect.stream_id, failure, exposure)
--- a/src/mimosafork/endpoints/wire.py
+++ b/src/mimosafork/endpoints/wire.py
@@ -1,4 +1,4 @@
-"""The HTTP request of an attempt, by sort of endpoint."""
+"""HTTP requests of attempts, by kind of endpoint."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..kernel.context import Identity
+from ..kernel.context import InstanceIdentity
 from ..kernel.messages.dispatch import Dispatch
 from ..network.http import INSTANCE_HEADER
 from .calls import EndpointCall, ModelCall, ServiceCall
@@ -20,7 +20,7 @@
 
 
 class OwnerMember(msgspec.Struct):
-    """Who owns a stream on an engine."""
+    """Owner of a stream on an engine."""
 
     instance: str
     incarnation: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WireRequest:
-    """One HTTP request, ready to be sent."""
+    """An HTTP request that is ready to be sent."""
 
     method: str
     path: str
@@ -62,15 +62,21 @@
 
 @singledispatch
 def wire_request(
-    call: EndpointCall, dispatch: Dispatch, identity: Identity, time_left: timedelta
+    call: EndpointCall,
+    dispatch: Dispatch,
+    identity: InstanceIdentity,
+    time_left: timedelta,
 ) -> WireRequest:
-    """Return the request that carries out a dispatch."""
+    """Return the HTTP request for a dispatch."""
     raise NotImplementedError(type(call).__name__)
 
 
 @wire_request.register
 def _(
-    call: ModelCall, dispatch: Dispatch, identity: Identity, time_left: timedelta
+    call: ModelCall,
+    dispatch: Dispatch,
+    identity: InstanceIdentity,
+    time_left: timedelta,
 ) -> WireRequest:
     headers = {INSTANCE_HEADER: str(identity.instance)}
     if dispatch.attach:
@@ -99,7 +105,10 @@
 
 @wire_request.register
 def _(
-    call: ServiceCall, dispatch: Dispatch, identity: Identity, time_left: timedelta
+    call: ServiceCall,
+    dispatch: Dispatch,
+    identity: InstanceIdentity,
+    time_left: timedelta,
 ) -> WireRequest:
     headers = dict(call.headers)
     headers[INSTANCE_HEADER] = str(identity.instance)
--- a/src/mimosafork/gateway/call.py
+++ b/src/mimosafork/gateway/call.py
@@ -1,4 +1,4 @@
-"""A caller's call while it is open: what has been sent to the caller of it."""
+"""State of an open call and of its response to the caller."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -6,44 +6,44 @@
 import msgspec
 
 from ..ids import AccountId, AvailabilityZoneId, EndpointId, RequestId
-from ..kernel.messages.dispatch import Helper
+from ..kernel.messages.dispatch import PrefillHelper
 from ..kernel.messages.requests import Request
 from ..routing.table import Route
-from .answer_reader import AnswerHead
-from .attempt_notes import AttemptNotes
-from .dialect import CallMarks
-from .event_stream import StreamEvent
+from .attempt_diagnostics import AttemptDiagnostics
+from .dialect import CallMetadata
+from .event_stream import RawStreamEvent
 from .heads import Header
-from .outlook import Inputs
+from .instance_view import DecisionInputs
 from .request_reader import RequestMessage
+from .response_reader import ResponseHead
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
-    """An endpoint's answer, read to its end."""
+class CompleteResponse(msgspec.Struct, frozen=True):
+    """A response of an endpoint with its complete body."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
 class Responder(Protocol):
-    """The caller's connection, as a call sees it."""
+    """Interface of a call to the caller's connection."""
 
-    def answer(
+    def send_response(
         self, status: int, reason: bytes, headers: list[Header], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
-    def begin(self, status: int, reason: bytes, headers: list[Header]) -> None:
-        """Send the head of an answer whose body comes in parts."""
+    def begin_response(self, status: int, reason: bytes, headers: list[Header]) -> None:
+        """Send the head of a response whose body follows in parts."""
 
-    def part(self, data: bytes) -> None:
-        """Send a part of a body that was begun."""
+    def send_body(self, data: bytes) -> None:
+        """Send a part of the body."""
 
-    def end(self) -> None:
-        """End a body that was begun; it is whole."""
+    def end_response(self) -> None:
+        """Complete the body."""
 
-    def break_off(self) -> None:
-        """Close the connection so that the answer can't look whole."""
+    def abort_response(self) -> None:
+        """Abort the connection so that the response can't look complete."""
 
 
 class Call(msgspec.Struct):
@@ -52,103 +52,103 @@
     Attributes
     ----------
     request_id : RequestId
-        This instance's own; the caller's stands in `marks`.
+        Id that this instance assigned; the caller's own id is in `metadata`.
     arrived_at : timedelta
-        Monotonic instant of the first byte.
+        Monotonic time of the first byte.
     head_sent : bool
-        The caller has got the head of its answer.
-    last_event : int or None
-        Number of the last event that the caller has: sent to it, or named by it.
-    events : int
-        Events sent to the caller.
-    failure : WholeAnswer or None
-        An endpoint's own answer that tells of a failure, for the caller if nothing
-        better follows.
+        Whether the response head was sent to the caller.
+    last_event_id : int or None
+        Last event that the caller has: sent to it, or named in its request.
+    events_sent : int
+        Number of events sent to the caller.
+    endpoint_failure : CompleteResponse or None
+        Error response of an endpoint; sent to the caller if no later attempt
+        succeeds.
     first_sent_at, last_sent_at : timedelta or None
-        When the first event, or the answer, and the latest event went out.
+        When the first event or the complete response, and the latest event, were sent.
     cut : bool
-        The connection was closed in the middle of the answer, which had begun.
+        Whether the connection was closed in the middle of the response.
     longest_pause : timedelta or None
-        Between two events in turn; None before the second.
-    version : int or None
-        Of the configuration by which it was taken.
+        Longest time between consecutive events; None before the second event.
+    table_version : int or None
+        Version of the routing table that admitted the call.
     endpoints : list of EndpointId
-        To which it was sent, in order.
-    helpers : tuple of Helper
-        Of the latest attempt.
+        Endpoints of all attempts, in order.
+    helpers : tuple of PrefillHelper
+        Helpers of the latest attempt.
     placed_at : timedelta or None
-        When it was first given a place.
-    inputs : Inputs or None
-        By which it was last given one.
-    behind : bool
-        The caller doesn't keep up: nothing more should be read for it.
-    notes : AttemptNotes
-        Of the latest attempt.
+        When the call was first placed.
+    inputs : DecisionInputs or None
+        Inputs of the latest placement.
+    caller_stalled : bool
+        Whether the caller reads too slowly, so that reading for it is paused.
+    diagnostics : AttemptDiagnostics
+        Diagnostics of the latest attempt.
     zones : list of AvailabilityZoneId or None
-        Of `endpoints`, in their order.
+        Zones of `endpoints`, in their order.
     first_token_at : timedelta or None
-        Monotonic instant at which placement expected the first event, by the attempt
-        that was to bring it.
+        Monotonic time of the first event as predicted at the latest placement before
+        the first event.
     """
 
     request_id: RequestId
     message: RequestMessage
-    marks: CallMarks
+    metadata: CallMetadata
     route: Route
     account: AccountId | None
     request: Request
     responder: Responder
     arrived_at: timedelta
     head_sent: bool = False
-    last_event: int | None = None
-    events: int = 0
-    failure: WholeAnswer | None = None
+    last_event_id: int | None = None
+    events_sent: int = 0
+    endpoint_failure: CompleteResponse | None = None
     first_sent_at: timedelta | None = None
     status: int = 0
     concluded: bool = False
     cut: bool = False
     last_sent_at: timedelta | None = None
     longest_pause: timedelta | None = None
-    version: int | None = None
+    table_version: int | None = None
     endpoints: list[EndpointId] = msgspec.field(default_factory=list)
-    helpers: tuple[Helper, ...] = ()
+    helpers: tuple[PrefillHelper, ...] = ()
     placed_at: timedelta | None = None
-    inputs: Inputs | None = None
-    behind: bool = False
-    notes: AttemptNotes = msgspec.field(default_factory=AttemptNotes)
+    inputs: DecisionInputs | None = None
+    caller_stalled: bool = False
+    diagnostics: AttemptDiagnostics = msgspec.field(default_factory=AttemptDiagnostics)
     zones: list[AvailabilityZoneId | None] = msgspec.field(default_factory=list)
     first_token_at: timedelta | None = None
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has got a part of its answer."""
+        """Whether part of the response was sent to the caller."""
         return self.head_sent
 
-    def begin_stream(self, head: AnswerHead, headers: list[Header]) -> None:
-        """Send the head of a stream, unless an earlier attempt has.
+    def begin_stream(self, head: ResponseHead, headers: list[Header]) -> None:
+        """Send the head of a stream, unless an earlier attempt has sent it.
 
-        The caller keeps the head and the signature of the first endpoint when
-        another one goes on with the stream.
+        When another endpoint resumes the stream, the head and the signature of the
+        first one remain valid for the caller.
         """
         if self.head_sent:
             return
         self.head_sent = True
         self.status = head.status
-        self.responder.begin(head.status, head.reason, headers)
+        self.responder.begin_response(head.status, head.reason, headers)
 
-    def pass_event(self, event: StreamEvent, now: timedelta) -> None:
-        """Send an event, unless the caller has it already.
+    def forward_event(self, event: RawStreamEvent, now: timedelta) -> None:
+        """Send an event, unless the caller already has it.
 
-        An endpoint that goes on with a stream may begin too early; an event that
-        came twice would double its text.
+        An endpoint that resumes a stream may start too early; a repeated event would
+        duplicate its text.
         """
         if event.number is not None:
-            if self.last_event is not None and event.number <= self.last_event:
+            if self.last_event_id is not None and event.number <= self.last_event_id:
                 return
-            self.last_event = event.number
+            self.last_event_id = event.number
         self._note_pause(now)
-        self.events += 1
-        self.responder.part(event.data)
+        self.events_sent += 1
+        self.responder.send_body(event.data)
 
     def _note_pause(self, now: timedelta) -> None:
         if self.first_sent_at is None:
--- a/src/mimosafork/gateway/call_lines.py
+++ b/src/mimosafork/gateway/call_log.py
@@ -1,4 +1,4 @@
-"""Tells log and metrics of calls: how each ended, who decided it, and by what."""
+"""Log lines and metrics of calls: outcome, deciding rule and its inputs."""
 
 import logging
 from collections.abc import Iterable
@@ -22,13 +22,13 @@
     CALL_REFUSED,
 )
 from ..telemetry.logs import log_event
-from .attempt_notes import AttemptNotes, Names
+from .attempt_diagnostics import AttemptDiagnostics, NameList
 from .call import Call
-from .dialect import CallMarks
-from .failure_words import OUT_OF_TIME, failure_word
-from .intake import Refusal
-from .meters import CallMeter
-from .outlook import LineFields, Look, Unknown, milliseconds
+from .call_metrics import CallMetrics
+from .dialect import CallMetadata
+from .failure_labels import OUT_OF_TIME, failure_label
+from .instance_view import EmptyInstanceView, InstanceView, LogFields, milliseconds
+from .intake import CallRefusal
 from .policies.placing import WorkPlacer
 from .policies.quarantining import CrashQuarantine
 from .policies.retrying import BudgetedRetry
@@ -37,9 +37,9 @@
 logger = logging.getLogger(__name__)
 
 ROUTING = "routing"
-"""The rule that refuses what no route or key of the configuration fits."""
+"""Rule name for calls without a matching route or key in the configuration."""
 
-RULES = {
+RULE_BY_PROBLEM = {
     ProblemCode.QUARANTINED: CrashQuarantine.name,
     ProblemCode.OVERLOADED: WorkPlacer.name,
     ProblemCode.NO_ENDPOINT: BudgetedRetry.name,
@@ -48,62 +48,62 @@
     ProblemCode.CALLER_GONE: "caller",
     ProblemCode.SHUTTING_DOWN: "stop",
 }
-"""Who decides that a call ends with a problem: a plug-in, or what happened."""
+"""Plug-in or event that decides that a call ends with a problem."""
 
-LIST_MARK = ","
+LIST_SEPARATOR = ","
 
 
-class CallLines:
-    """Writes one line for each attempt that failed and for each call's end.
+class CallLog:
+    """Writes a log line for each failed attempt and for the end of each call.
 
     Parameters
     ----------
     clock : Clock
-        The kernel's.
+        The kernel's clock.
 
     Attributes
     ----------
-    look : Look
-        Tells what decisions go by.
-    meter : CallMeter or None
-        Counts what is told here, where there is a metrics page.
+    instance_view : InstanceView
+        Provides the inputs of decisions.
+    meter : CallMetrics or None
+        Updates the metrics; None without a metrics page.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.look: Look = Unknown()
-        self.meter: CallMeter | None = None
+        self.instance_view: InstanceView = EmptyInstanceView()
+        self.meter: CallMetrics | None = None
 
     def placed(self, call: Call, dispatch: Dispatch) -> None:
-        """Note where a call goes, and by what; its end tells it."""
+        """Record the placement of an attempt and its inputs for later log lines."""
         if call.placed_at is None:
             call.placed_at = self.clock.monotonic()
         call.endpoints.append(dispatch.endpoint)
         call.helpers = dispatch.helpers
-        spread = self.look.spread(dispatch)
-        call.notes = AttemptNotes(spread)
-        call.zones.append(spread.zone)
+        placement = self.instance_view.attempt_placement(dispatch)
+        call.diagnostics = AttemptDiagnostics(placement)
+        call.zones.append(placement.zone)
         if call.first_sent_at is None:
-            call.first_token_at = spread.first_token_at
-        call.inputs = self.look.inputs(ServiceId(call.request.target))
+            call.first_token_at = placement.first_token_at
+        call.inputs = self.instance_view.inputs(ServiceId(call.request.target))
         if self.meter is not None:
-            self.meter.placed(call)
+            self.meter.count_attempt(call)
 
     def refused(
         self,
         message: RequestMessage,
-        marks: CallMarks,
-        refusal: Refusal,
+        metadata: CallMetadata,
+        refusal: CallRefusal,
         table: RoutingTable | None,
     ) -> None:
-        """Tell of a call that no route or key fits."""
+        """Log a call that matches no route or key."""
         if self.meter is not None:
-            self.meter.refused(refusal.reason)
-        inputs = self.look.inputs(ServiceId(""))
+            self.meter.count_rejected_call(refusal.reason)
+        inputs = self.instance_view.inputs(ServiceId(""))
         log_event(
             logger,
             CALL_REFUSED,
-            call=marks.call_id,
+            call=metadata.call_id,
             reason=refusal.reason,
             status=int(refusal.status),
             host=message.head.host,
@@ -117,69 +117,69 @@
     def attempt_failed(
         self, call: Call, failure: AttemptFailed, reused: bool, then: Iterable[Effect]
     ) -> None:
-        """Tell of an attempt without a whole answer, and of what was decided.
+        """Log an attempt without a complete response, and the decision on it.
 
         Parameters
         ----------
         reused : bool
-            Its connection had served another call.
+            Whether its connection had served another call.
         then : iterable of Effect
-            What the kernel decided on it.
+            The effects that the kernel decided.
         """
         now = self.clock.monotonic()
-        left = call.request.deadline - now
-        word = failure_word(failure, left)
+        time_left = call.request.deadline - now
+        label = failure_label(failure, time_left)
         if self.meter is not None:
-            self.meter.attempt_failed(call, word)
+            self.meter.count_failed_attempt(call, label)
         log_event(
             logger,
-            ATTEMPT_OUT_OF_TIME if word == OUT_OF_TIME else ATTEMPT_FAILED,
-            call=call.marks.call_id,
-            **self._whose(call),
+            ATTEMPT_OUT_OF_TIME if label == OUT_OF_TIME else ATTEMPT_FAILED,
+            call=call.metadata.call_id,
+            **self._call_fields(call),
             endpoint=failure.endpoint,
-            zone=call.notes.spread.zone,
-            own_zone=self.look.own_zone,
+            zone=call.diagnostics.placement.zone,
+            own_zone=self.instance_view.own_zone,
             helpers=helpers_of(call),
             helper_zones=helper_zones_of(call),
             attempt=failure.attempt,
-            kind=word,
+            kind=label,
             exposure=failure.exposure.value,
             repeatability=call.request.repeatability.value,
             content=call.request.body_digest,
             status=failure.status,
             refusal=failure.refusal,
             fault_at=failure.fault_at,
-            events=call.events,
+            events=call.events_sent,
             reused=reused,
             **connection_fields(call),
             after_ms=milliseconds(now - call.arrived_at),
             since_event_ms=since_event(call, now),
             expected_ms=since_arrival(call, call.first_token_at),
             first_ms=since_arrival(call, call.first_sent_at),
-            left_ms=milliseconds(left),
+            left_ms=milliseconds(time_left),
             rule=BudgetedRetry.name,
-            then=decided(then),
-            **self.look.inputs(ServiceId(call.request.target)).fields(),
+            then=describe_decision(then),
+            **self.instance_view.inputs(ServiceId(call.request.target)).fields(),
         )
 
     def restored(self, call: Call, dispatch: Dispatch) -> None:
-        """Tell that a silent attempt goes on, as no other has answered before."""
+        """Log that a silent attempt is continued, as no other one answered first."""
         log_event(
             logger,
             ATTEMPT_RESTORED,
-            call=call.marks.call_id,
-            **self._whose(call),
+            call=call.metadata.call_id,
+            **self._call_fields(call),
             endpoint=dispatch.endpoint,
             attempt=dispatch.attempt,
-            events=call.events,
+            events=call.events_sent,
             after_ms=milliseconds(self.clock.monotonic() - call.arrived_at),
             since_event_ms=since_event(call, self.clock.monotonic()),
         )
 
     def ended(self, call: Call, conclusion: Conclude) -> None:
-        """Tell how a call ended: shortly where it was served."""
+        """Log the end of a call; the line of a served call is shorter."""
         if self.meter is not None:
-            self.meter.ended(call, conclusion)
+            self.meter.count_ended_call(call, conclusion)
         if conclusion.problem is None:
             self._served(call, conclusion)
         else:
@@ -190,11 +190,11 @@
         log_event(
             logger,
             CALL_ENDED,
-            call=call.marks.call_id,
-            **self._whose(call),
+            call=call.metadata.call_id,
+            **self._call_fields(call),
             status=call.status,
             attempts=conclusion.attempts,
-            **self._course(call),
+            **self._progress_fields(call),
             **inputs,
         )
 
@@ -204,47 +204,47 @@
         log_event(
             logger,
             CALL_NOT_SERVED,
-            call=call.marks.call_id,
-            **self._whose(call),
+            call=call.metadata.call_id,
+            **self._call_fields(call),
             outcome=conclusion.outcome.value,
             status=call.status,
             cut=call.cut,
-            rule=RULES.get(problem.code, "kernel"),
+            rule=RULE_BY_PROBLEM.get(problem.code, "kernel"),
             why=problem.code.value,
             detail=problem.detail,
             repeatability=call.request.repeatability.value,
             content=call.request.body_digest,
             allowed_ms=milliseconds(call.request.deadline - call.arrived_at),
             attempts=conclusion.attempts,
-            own_zone=self.look.own_zone,
-            **self._course(call),
+            own_zone=self.instance_view.own_zone,
+            **self._progress_fields(call),
             since_event_ms=since_event(call, self.clock.monotonic()),
-            load_age_ms=milliseconds(self.look.load_age()),
-            **self.look.inputs(ServiceId(call.request.target)).fields(),
+            load_age_ms=milliseconds(self.instance_view.load_age()),
+            **self.instance_view.inputs(ServiceId(call.request.target)).fields(),
         )
 
-    def _whose(self, call: Call) -> LineFields:
+    def _call_fields(self, call: Call) -> LogFields:
         return {
             "route": call.route.name,
             "account": call.account,
             "service": call.request.target,
-            "version": call.version,
+            "version": call.table_version,
         }
 
-    def _course(self, call: Call) -> LineFields:
+    def _progress_fields(self, call: Call) -> LogFields:
         terms = call.request.terms
         return {
             "objective_ms": None if terms is None else milliseconds(terms.objective),
             "longest_gap_ms": None
             if terms is None
             else milliseconds(terms.longest_pause),
-            "endpoints": LIST_MARK.join(call.endpoints),
-            "zones": Names(tuple(call.zones)) if any(call.zones) else None,
+            "endpoints": LIST_SEPARATOR.join(call.endpoints),
+            "zones": NameList(tuple(call.zones)) if any(call.zones) else None,
             "helpers": helpers_of(call),
             "helper_zones": helper_zones_of(call),
             **connection_fields(call),
             "prompt_tokens": call.request.prompt_tokens,
-            "events": call.events,
+            "events": call.events_sent,
             "waited_ms": since_arrival(call, call.placed_at),
             "first_ms": since_arrival(call, call.first_sent_at),
             "expected_ms": since_arrival(call, call.first_token_at),
@@ -254,37 +254,37 @@
 
 
 def helpers_of(call: Call) -> str | None:
-    """Return the helpers of a call's last attempt; None if it had none."""
-    return LIST_MARK.join(each.endpoint for each in call.helpers) or None
+    """Return the helpers of a call's latest attempt; None if it had none."""
+    return LIST_SEPARATOR.join(each.endpoint for each in call.helpers) or None
 
 
-def helper_zones_of(call: Call) -> Names | None:
-    """Return the zones of a call's last helpers, in their order; None without any."""
-    zones = call.notes.spread.helper_zones
-    return Names(zones) if any(zones) else None
+def helper_zones_of(call: Call) -> NameList | None:
+    """Return the zones of a call's latest helpers, in order; None without any."""
+    zones = call.diagnostics.placement.helper_zones
+    return NameList(zones) if any(zones) else None
 
 
-def connection_fields(call: Call) -> LineFields:
-    """Return how the last attempt's connection came to be, and how it ended."""
-    notes = call.notes
+def connection_fields(call: Call) -> LogFields:
+    """Return the connect time of the latest attempt and how its connection was lost."""
+    notes = call.diagnostics
     return {
         "connect_ms": milliseconds(notes.connect_time),
-        "ending": notes.ending,
+        "ending": notes.connection_loss,
     }
 
 
 def since_event(call: Call, now: timedelta) -> int | None:
-    """Return milliseconds since the last event; None if there was none."""
+    """Return the milliseconds since the last event; None if there was none."""
     return None if call.last_sent_at is None else milliseconds(now - call.last_sent_at)
 
 
 def since_arrival(call: Call, instant: timedelta | None) -> int | None:
-    """Return milliseconds from a call's first byte; None if it never came to it."""
+    """Return the milliseconds since a call's first byte; None if the time is None."""
     return None if instant is None else milliseconds(instant - call.arrived_at)
 
 
-def decided(effects: Iterable[Effect]) -> str:
-    """Return what becomes of a call after a failed attempt."""
+def describe_decision(effects: Iterable[Effect]) -> str:
+    """Return a description of what follows a failed attempt."""
     kinds = {type(effect) for effect in effects}
     if Conclude in kinds:
         return "given up"
--- a/src/mimosafork/gateway/event_stream.py
+++ b/src/mimosafork/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events of an event stream, with their ids."""
+"""Splitter for server-sent events."""
 
 import re
 
@@ -10,27 +10,28 @@
 EVENT_STREAM = b"text/event-stream"
 
 
-class StreamEvent(msgspec.Struct, frozen=True):
-    """One event with the empty line that ends it; `number` is its id, if any."""
+class RawStreamEvent(msgspec.Struct, frozen=True):
+    """One event with its terminating empty line; `number` is its id, if any."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Cuts a stream into whole events.
+    """Splits a byte stream into complete events.
 
-    An endpoint may stop in the middle of an event. A caller that got the first half
-    would join it to whatever follows, so only whole events leave this class.
+    An endpoint may break off in the middle of an event. A caller that had received the
+    first half would join it with the next event, so only complete events are returned.
     """
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
-    def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes; return the events that they complete."""
-        # No end was found before: a new one ends in the new bytes. Searching all
-        # again would make a long event in many pieces cost the square of its length.
+    def feed(self, data: bytes) -> list[RawStreamEvent]:
+        """Add received bytes; return the events that they complete."""
+        # The buffer holds no complete terminator, so a new one ends in the new bytes.
+        # Searching the whole buffer each time would be quadratic for a long event that
+        # arrives in many pieces.
         searched = max(0, len(self.buffer) - LONGEST_END + 1)
         self.buffer += data
         events = []
@@ -38,17 +39,17 @@
         for match in EVENT_END.finditer(self.buffer, searched):
             block = bytes(self.buffer[start : match.end()])
             start = match.end()
-            events.append(StreamEvent(block, number_of(block)))
+            events.append(RawStreamEvent(block, event_id_of(block)))
         del self.buffer[:start]
         return events
 
     @property
     def remainder(self) -> bytes:
-        """What came after the last whole event."""
+        """Bytes after the last complete event."""
         return bytes(self.buffer)
 
 
-def number_of(block: bytes) -> int | None:
-    """Return the id of an event; None if it has none."""
+def event_id_of(block: bytes) -> int | None:
+    """Return the numeric id of an event, or None."""
     match = EVENT_ID.search(block)
     return int(match[1]) if match else None
--- a/src/mimosafork/gateway/policies/quarantining.py
+++ b/src/mimosafork/gateway/policies/quarantining.py
@@ -1,4 +1,4 @@
-"""Keeps a request that crashes endpoints from reaching further ones."""
+"""Quarantines requests whose content crashes endpoints."""
 
 import logging
 from datetime import timedelta
@@ -12,8 +12,12 @@
 from ...kernel.messages.base import Message
 from ...kernel.messages.outcomes import Outcome
 from ...kernel.messages.problems import Problem, ProblemCode
-from ...kernel.messages.sharing import CrashCleared, CrashSuspected, CrashTold
-from ...kernel.plugins import Concluded, Proceed, Refuse, Stage, Verdict
+from ...kernel.messages.sharing import (
+    CrashSuspicionUpdated,
+    PublishCrashClearance,
+    PublishCrashSuspicion,
+)
+from ...kernel.plugins import Proceed, Refuse, RequestConcluded, ReviewDecision, Stage
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ...telemetry.catalogue.gateway import CONTENT_CLEARED, CONTENT_QUARANTINED
@@ -21,92 +25,92 @@
 
 logger = logging.getLogger(__name__)
 
-CRASHES = 2
-"""Endpoints that a request may have brought down before it is refused."""
+MAX_CRASHES = 2
+"""Number of endpoints that a content may crash before it is quarantined."""
 
-KEPT_FOR = timedelta(seconds=60)
-COME_BACK = timedelta(seconds=5)
+SUSPICION_TTL = timedelta(seconds=60)
+RETRY_AFTER = timedelta(seconds=5)
 
-OWN = "own attempts"
-PEER = "peer"
-"""Whose word a line tells."""
+SOURCE_OWN = "own attempts"
+SOURCE_PEER = "peer"
+"""Sources of a quarantine decision in log lines."""
 
 
-class Suspicion(msgspec.Struct):
-    """Endpoints whose connections broke under a request, and when last."""
+class CrashSuspicion(msgspec.Struct):
+    """Endpoints whose connections broke while running a content."""
 
     endpoints: set[EndpointId] = msgspec.field(default_factory=set)
-    seen_at: timedelta = timedelta(0)
+    last_crash_at: timedelta = timedelta(0)
 
 
 @register("crash-quarantine")
 class CrashQuarantine(Stage):
-    """Refuses a request that broke its connection at several endpoints."""
+    """Rejects requests whose content broke connections at several endpoints."""
 
     order = 20
 
     def __init__(self) -> None:
-        # The one that was seen last stands last.
-        self.suspicions: dict[Digest, Suspicion] = {}
+        # Ordered by the time of the last crash, most recent last.
+        self.suspicions: dict[Digest, CrashSuspicion] = {}
 
-    def review(self, record: RequestRecord, context: Context) -> Verdict:
-        """Refuse what has crashed endpoints before."""
-        problem = self.objection(record.request.body_digest, context.now)
+    def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
+        """Reject a request whose content is quarantined."""
+        problem = self.rejection_for(record.request.body_digest, context.now)
         return Proceed() if problem is None else Refuse(problem)
 
-    def objection(self, digest: Digest, now: timedelta) -> Problem | None:
-        """Return why a content is sent nowhere; None if it may be."""
+    def rejection_for(self, digest: Digest, now: timedelta) -> Problem | None:
+        """Return the problem for a quarantined content; None if it may be sent."""
         suspicion = self.suspicions.get(digest)
-        if suspicion is None or now - suspicion.seen_at > KEPT_FOR:
+        if suspicion is None or now - suspicion.last_crash_at > SUSPICION_TTL:
             return None
-        if len(suspicion.endpoints) <= CRASHES:
+        if len(suspicion.endpoints) <= MAX_CRASHES:
             return None
         detail = f"broke off at {len(suspicion.endpoints)} endpoints"
-        return Problem(ProblemCode.QUARANTINED, detail, COME_BACK)
+        return Problem(ProblemCode.QUARANTINED, detail, RETRY_AFTER)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Learn from how attempts end."""
+        """Update suspicions from attempt outcomes and peer reports."""
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
         if message.kind is not FailureKind.BROKEN or message.digest is None:
             return
-        suspicion = self._seen(message.digest, context.now)
+        suspicion = self._record_crash(message.digest, context.now)
         if message.endpoint is not None:
-            self._add(message.digest, suspicion, {message.endpoint}, OWN)
-            context.emit(CrashSuspected(message.digest, message.endpoint))
+            self._add(message.digest, suspicion, {message.endpoint}, SOURCE_OWN)
+            context.emit(PublishCrashSuspicion(message.digest, message.endpoint))
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
-        # By its conclusion, as the record is gone when its last attempt's end is
-        # told: a content that ran well was never cleared, and its crashes of other
-        # causes added up until it was refused.
+    def _(self, message: RequestConcluded, context: Context) -> None:
+        # Uses the conclusion, as the request record no longer exists when the end of
+        # its last attempt is reported. Otherwise a good content would never be cleared
+        # and unrelated crashes would add up until it is rejected.
         if message.conclusion.outcome is not Outcome.COMPLETED:
             return
         digest = message.record.request.body_digest
-        if self._clear(digest, OWN):
-            context.emit(CrashCleared(digest))
+        if self._clear(digest, SOURCE_OWN):
+            context.emit(PublishCrashClearance(digest))
 
     @handle.register
-    def _(self, message: CrashTold, context: Context) -> None:
+    def _(self, message: CrashSuspicionUpdated, context: Context) -> None:
         if message.cleared:
-            self._clear(message.digest, PEER)
+            self._clear(message.digest, SOURCE_PEER)
             return
-        suspicion = self._seen(message.digest, context.now)
-        self._add(message.digest, suspicion, set(message.endpoints), PEER)
+        suspicion = self._record_crash(message.digest, context.now)
+        self._add(message.digest, suspicion, set(message.endpoints), SOURCE_PEER)
 
     def _add(
         self,
         digest: Digest,
-        suspicion: Suspicion,
+        suspicion: CrashSuspicion,
         endpoints: set[EndpointId],
         source: str,
     ) -> None:
         before = len(suspicion.endpoints)
         suspicion.endpoints |= endpoints
         count = len(suspicion.endpoints)
-        if before <= CRASHES < count:
+        if before <= MAX_CRASHES < count:
             log_event(
                 logger,
                 CONTENT_QUARANTINED,
@@ -117,23 +121,23 @@
             )
 
     def _clear(self, digest: Digest, source: str) -> bool:
-        """Forget a suspicion; return whether there was one."""
+        """Remove a suspicion; return whether there was one."""
         suspicion = self.suspicions.pop(digest, None)
         if suspicion is None:
             return False
-        if len(suspicion.endpoints) > CRASHES:
+        if len(suspicion.endpoints) > MAX_CRASHES:
             log_event(logger, CONTENT_CLEARED, content=digest, source=source)
         return True
 
-    def _seen(self, digest: Digest, now: timedelta) -> Suspicion:
-        """Return the suspicion of a content that was seen now; forget old ones."""
+    def _record_crash(self, digest: Digest, now: timedelta) -> CrashSuspicion:
+        """Return the suspicion of a content that crashed now; drop expired ones."""
         suspicion = self.suspicions.pop(digest, None)
-        if suspicion is None or now - suspicion.seen_at > KEPT_FOR:
-            suspicion = Suspicion()
-        suspicion.seen_at = now
+        if suspicion is None or now - suspicion.last_crash_at > SUSPICION_TTL:
+            suspicion = CrashSuspicion()
+        suspicion.last_crash_at = now
         self.suspicions[digest] = suspicion
         oldest = next(iter(self.suspicions))
-        while now - self.suspicions[oldest].seen_at > KEPT_FOR:
+        while now - self.suspicions[oldest].last_crash_at > SUSPICION_TTL:
             del self.suspicions[oldest]
             oldest = next(iter(self.suspicions))
         return suspicion
--- a/src/mimosafork/gateway/policies/retrying.py
+++ b/src/mimosafork/gateway/policies/retrying.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is followed by another."""
+"""Retry policy of the gateway, limited by attempts, time and a budget."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -15,181 +15,193 @@
 from ...kernel.messages.base import Message
 from ...kernel.messages.problems import Problem, ProblemCode
 from ...kernel.messages.requests import Repeatability, Request, Submit
-from ...kernel.plugins import Concluded, GiveUp, RetryDecision, RetryLater, RetryPolicy
+from ...kernel.plugins import (
+    GiveUp,
+    RequestConcluded,
+    RetryDecision,
+    RetryLater,
+    RetryPolicy,
+)
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
-from .allowance import Allowance, SlackShare, Terms
+from .retry_budget import RetryLimits, ServiceRetryBudget, SlackShare
 
-RATIO = 0.2
-SLACK = 100.0
-WINDOW = timedelta(seconds=10)
+RETRY_RATIO = 0.2
+RETRY_SLACK = 100.0
+RETRY_WINDOW = timedelta(seconds=10)
 
-SHORTEST_TIME = timedelta(milliseconds=60)
-MOST_SENDS = 6
-"""Arrivals of one call that no endpoint ran are bounded too."""
+MIN_TIME_LEFT = timedelta(milliseconds=60)
+MAX_SENDS = 6
+"""Maximum sends of one call, including those that endpoints rejected unexecuted."""
 
-PAID_FOR = timedelta(milliseconds=200)
-"""A repeat that is not sent within this after it was counted is counted anew: it
-falls into another window than the one that had room for it."""
+CHARGE_TTL = timedelta(milliseconds=200)
+"""A retry that is not sent within this time after it was counted is counted again, as
+it falls into another window than the one whose budget allowed it."""
 
-AT_ONCE = timedelta(milliseconds=1)
-AFTER_REFUSAL = timedelta(milliseconds=20)
-COME_BACK = timedelta(milliseconds=500)
+MIN_RETRY_DELAY = timedelta(milliseconds=1)
+REJECTION_RETRY_DELAY = timedelta(milliseconds=20)
+RETRY_AFTER = timedelta(milliseconds=500)
 FIRST_SERVER_ERROR = 500
-BUDGET_USED = "the budget of repeats is used"
+RETRY_BUDGET_EXHAUSTED = "the budget of repeats is used"
 
 
 @register("budgeted-retry")
 class BudgetedRetry(RetryPolicy):
-    """Sends again what may run again, within attempts, time and a budget.
+    """Retries repeatable calls, limited by attempts, time and a budget.
 
-    All instances together may repeat a ratio of their requests and a slack in each
-    window. Each one may repeat the ratio of its own requests and its part of the slack.
+    In each window, the retries of the whole fleet are limited to a ratio of its
+    requests plus a slack. Each instance may use the ratio of its own requests and its
+    share of the slack.
 
-    Guard: an instance that spent from a sum over the fleet was right only while words
-    came in time, nobody forgot and everybody counted the same others. Full engines
-    turned calls away, and 68 busy instances sent 399 repeats where 373 were allowed;
-    after a kill of all, the new lives spent the slack a second time. Parts that are
-    fixed by right add up to the whole however late or lost any word is.
+    A budget computed from fleet-wide sums is exceeded when peer updates are late or
+    lost, instances restart, or instances count different peers: with full engines, 68
+    busy instances sent 399 retries where 373 were allowed, and after a restart of all
+    instances the slack was used a second time. Fixed shares add up to the fleet's
+    budget however late or lost any update is.
 
     Attributes
     ----------
     ratio, slack : float
-        A window's repeats of all instances together are at most the ratio of its
-        requests and the slack.
+        Limits of the fleet's retries per window: a share of its requests, and a
+        constant number.
     window : timedelta
         Length of a window.
-    share : callable
-        Returns this instance's part of the slack.
+    slack_share : callable
+        Returns this instance's share of the slack.
     """
 
     def __init__(self) -> None:
-        self.ratio = RATIO
-        self.slack = SLACK
-        self.window = WINDOW
-        self.allowances: dict[ServiceId, Allowance] = {}
-        self.share: Callable[[], SlackShare] = SlackShare
-
-    def allowance(self, service: ServiceId) -> Allowance:
-        """Return what was sent of a service's calls."""
-        known = self.allowances.get(service)
+        self.ratio = RETRY_RATIO
+        self.slack = RETRY_SLACK
+        self.window = RETRY_WINDOW
+        self.budgets: dict[ServiceId, ServiceRetryBudget] = {}
+        self.slack_share: Callable[[], SlackShare] = SlackShare
+
+    def budget(self, service: ServiceId) -> ServiceRetryBudget:
+        """Return the retry budget of a service."""
+        known = self.budgets.get(service)
         if known is None:
-            known = self.allowances[service] = Allowance(self.window)
+            known = self.budgets[service] = ServiceRetryBudget(self.window)
         known.window = self.window
         return known
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Count requests."""
+        """Update the retry budgets."""
 
     @handle.register
     def _(self, message: Submit, context: Context) -> None:
         service = ServiceId(message.request.target)
-        self.allowance(service).count_request(context.now)
+        self.budget(service).count_request(context.now)
 
     @handle.register
-    def _(self, message: Concluded, context: Context) -> None:
+    def _(self, message: RequestConcluded, context: Context) -> None:
         service = ServiceId(message.record.request.target)
-        self.allowance(service).close(message.record.request_id)
+        self.budget(service).forget_call(message.record.request_id)
 
     @handle.register
     def _(self, message: AttemptRestored, context: Context) -> None:
         record = context.state.requests.get(message.request_id)
         if record is not None:
-            self.allowance(ServiceId(record.request.target)).close(message.request_id)
+            self.budget(ServiceId(record.request.target)).forget_call(
+                message.request_id
+            )
 
     def decide(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> RetryDecision:
-        """Return whether and when to try again."""
-        why_not = self.objection(record, failure, context.now)
+        """Return whether and when to retry."""
+        why_not = self.give_up_reason(record, failure, context.now)
         if why_not is not None:
-            return GiveUp(problem_of(failure, why_not))
-        self._promise(record, failure)
+            return GiveUp(give_up_problem(failure, why_not))
+        self._reserve_retry(record, failure)
         refused = failure.exposure is Exposure.REFUSED
-        return RetryLater(AFTER_REFUSAL if refused else AT_ONCE)
+        return RetryLater(REJECTION_RETRY_DELAY if refused else MIN_RETRY_DELAY)
 
-    def _promise(self, record: RequestRecord, failure: AttemptFailed) -> None:
-        """Keep a place for a repeat; what reached no endpoint is none yet."""
-        allowance = self.allowance(ServiceId(record.request.target))
+    def _reserve_retry(self, record: RequestRecord, failure: AttemptFailed) -> None:
+        """Reserve budget for a retry; attempts that reached no endpoint are free."""
+        allowance = self.budget(ServiceId(record.request.target))
         if failure.exposure is not Exposure.NEVER_SENT:
-            allowance.promise(record.request_id)
-        elif allowance.repeated(record.request_id):
-            allowance.take_back(record.request_id)
-            allowance.promise(record.request_id)
+            allowance.reserve(record.request_id)
+        elif allowance.is_retry(record.request_id):
+            allowance.refund(record.request_id)
+            allowance.reserve(record.request_id)
 
-    def still_paid(self, request: Request, context: Context) -> bool:
-        """Return whether a call that is about to be sent is within the budget.
+    def charge_retry(self, request: Request, context: Context) -> bool:
+        """Count a call that is about to be sent; return whether the budget allows it.
 
-        A repeat may have waited for room, or for an endpoint that can be reached, and
-        what earned it may have left the window. It is counted as of now.
+        A retry may have waited for capacity or for a reachable endpoint, and the
+        requests that earned it may have left the window. It is counted at this time.
         """
         service = ServiceId(request.target)
-        allowance = self.allowance(service)
-        if not allowance.repeated(request.request_id):
+        allowance = self.budget(service)
+        if not allowance.is_retry(request.request_id):
             return True
-        sent_at = allowance.sent.get(request.request_id)
-        if sent_at is not None and context.now - sent_at <= PAID_FOR:
+        sent_at = allowance.sent_at.get(request.request_id)
+        if sent_at is not None and context.now - sent_at <= CHARGE_TTL:
             return True
-        allowance.take_back(request.request_id)
-        if allowance.room(self.terms(), context.now) < 1:
+        allowance.refund(request.request_id)
+        if allowance.available(self.limits(), context.now) < 1:
             return False
-        allowance.count_repeat(request.request_id, context.now)
+        allowance.count_retry(request.request_id, context.now)
         return True
 
-    def objection(
+    def give_up_reason(
         self, record: RequestRecord, failure: AttemptFailed, now: timedelta
     ) -> str | None:
-        """Return why there is no further attempt; None if there may be one."""
+        """Return why there is no retry; None if there may be one."""
         terms = record.request.terms
         if failure.exposure is Exposure.POSSIBLE:
             if record.request.repeatability is Repeatability.NON_IDEMPOTENT:
                 return "it may have run and may not run again"
             if failure.status is not None and failure.status < FIRST_SERVER_ERROR:
                 return "the endpoint's answer is final"
-        if record.request.deadline - now < SHORTEST_TIME:
+        if record.request.deadline - now < MIN_TIME_LEFT:
             return "too little time is left"
         ran = sum(a.exposure is Exposure.POSSIBLE for a in record.attempts)
         if terms is not None and ran >= terms.max_attempts:
             return "all attempts are used"
         sent = sum(a.exposure is not Exposure.NEVER_SENT for a in record.attempts)
-        if sent >= MOST_SENDS or len(record.attempts) >= 2 * MOST_SENDS:
+        if sent >= MAX_SENDS or len(record.attempts) >= 2 * MAX_SENDS:
             return "it was refused too often"
-        if not self.affords(ServiceId(record.request.target), failure, now):
-            return BUDGET_USED
+        if not self.within_budget(ServiceId(record.request.target), failure, now):
+            return RETRY_BUDGET_EXHAUSTED
         return None
 
-    def affords(
+    def within_budget(
         self, service: ServiceId, failure: AttemptFailed, now: timedelta
     ) -> bool:
-        """Return whether the budget has room for one more repeat."""
-        return failure.exposure is Exposure.NEVER_SENT or self.room(service, now) >= 1
-
-    def terms(self) -> Terms:
-        """Return what this instance may repeat of a service's calls."""
-        share = self.share()
-        return Terms(self.ratio, share.of(self.slack), share.since)
-
-    def room(self, service: ServiceId, now: timedelta) -> float:
-        """Return for how many further repeats the budget has room."""
-        allowance = self.allowance(service)
-        return allowance.room(self.terms(), now) - len(allowance.promised)
-
-    def sent(self, service: ServiceId) -> int:
-        """Return how many repeats this instance has counted in its life."""
-        return self.allowance(service).total
-
-    def sharers(self) -> int:
-        """Return among how many instances the slack is shared; 0 without a part."""
-        share = self.share()
-        has_part = share.known and share.since is None
+        """Return whether the budget allows one more retry."""
+        return (
+            failure.exposure is Exposure.NEVER_SENT
+            or self.available_retries(service, now) >= 1
+        )
+
+    def limits(self) -> RetryLimits:
+        """Return the retry limits of this instance for a service."""
+        share = self.slack_share()
+        return RetryLimits(self.ratio, share.portion_of(self.slack), share.restarted_at)
+
+    def available_retries(self, service: ServiceId, now: timedelta) -> float:
+        """Return how many more retries the budget allows."""
+        allowance = self.budget(service)
+        return allowance.available(self.limits(), now) - len(allowance.reserved)
+
+    def retries_sent(self, service: ServiceId) -> int:
+        """Return the number of retries that this incarnation has counted."""
+        return self.budget(service).total_retries
+
+    def slack_sharers(self) -> int:
+        """Return the number of instances sharing the slack; 0 without a share."""
+        share = self.slack_share()
+        has_part = share.known and share.restarted_at is None
         return share.instances if has_part else 0
 
 
-def problem_of(failure: AttemptFailed, detail: str) -> Problem:
-    """Return what the caller is told of."""
+def give_up_problem(failure: AttemptFailed, detail: str) -> Problem:
+    """Return the problem that is reported to the caller."""
     if failure.kind is FailureKind.DEADLINE:
         return Problem(ProblemCode.DEADLINE_PASSED, detail)
     if failure.exposure is Exposure.POSSIBLE:
         return Problem(ProblemCode.ENDPOINT_FAILED, detail)
-    return Problem(ProblemCode.NO_ENDPOINT, detail, COME_BACK)
+    return Problem(ProblemCode.NO_ENDPOINT, detail, RETRY_AFTER)
--- /dev/null
+++ b/src/mimosafork/gateway/response_reader.py
@@ -0,0 +1,179 @@
+"""Incremental parser for HTTP responses from endpoints."""
+
+from collections.abc import Callable
+
+import httptools
+import msgspec
+
+from .errors import BadResponseError
+from .heads import (
+    CONTENT_LENGTH,
+    TRANSFER_ENCODING,
+    Header,
+    connection_tokens,
+    first_header_value,
+)
+
+BODILESS_STATUSES = frozenset({204, 304})
+FIRST_FINAL_STATUS = 200
+
+MAX_NON_BODY_BYTES = 64 * 1024
+"""Limit on consecutive bytes outside a body: interim responses, the response head,
+trailers and chunk extensions. Real responses have a few hundred such bytes."""
+
+
+class ResponseHead(msgspec.Struct, frozen=True):
+    """Status line and headers of a response.
+
+    Attributes
+    ----------
+    framed : bool
+        Whether the response delimits its own body; otherwise closing the connection
+        ends it.
+    """
+
+    status: int
+    reason: bytes
+    headers: tuple[Header, ...]
+    framed: bool
+
+    @property
+    def closes(self) -> bool:
+        """Whether the endpoint closes the connection after this response."""
+        return not self.framed or b"close" in connection_tokens(self.headers)
+
+
+class ResponseSink(msgspec.Struct, frozen=True):
+    """Callbacks for the head, the body and the end of a response."""
+
+    head: Callable[[ResponseHead], None]
+    data: Callable[[bytes], None]
+    end: Callable[[], None]
+
+
+class ResponseReader:
+    """Parses the responses on one connection.
+
+    Attributes
+    ----------
+    sink : ResponseSink or None
+        None while no response is expected.
+    unexpected_bytes : bool
+        Bytes that belong to no request were received; the connection must not be
+        reused.
+    """
+
+    def __init__(self) -> None:
+        self.sink: ResponseSink | None = None
+        self.unexpected_bytes = False
+        self.bodiless = False
+        self.open = False
+        self.framed = True
+        self.status = 0
+        self.reason = b""
+        self.headers: list[Header] = []
+        self.non_body_bytes = 0
+        self.parser = httptools.HttpResponseParser(self)
+
+    def expect(self, sink: ResponseSink, without_body: bool) -> None:
+        """Expect a response; `without_body` marks the response to a HEAD request."""
+        self.sink = sink
+        self.bodiless = without_body
+
+    def feed(self, data: bytes) -> None:
+        """Parse received bytes.
+
+        The parser buffers a line until its end and accepts any number of lines, so an
+        endpoint that never ends its head or trailers would exhaust memory. Bytes
+        outside a body are counted, and a response beyond the limit is malformed.
+
+        Raises
+        ------
+        BadAnswerError
+            If a response is expected and the bytes are malformed.
+        """
+        self.non_body_bytes += len(data)
+        self._parse(data)
+        if self.non_body_bytes > MAX_NON_BODY_BYTES:
+            self.unexpected_bytes = True
+            if self.sink is not None:
+                raise BadResponseError(
+                    "response head or trailers exceed the size limit"
+                )
+
+    def _parse(self, data: bytes) -> None:
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserCallbackError as error:
+            # The parser wraps exceptions of its callbacks. They are bugs of this
+            # program and must not be reported as malformed bytes of the endpoint.
+            self.unexpected_bytes = True
+            raise error.__context__ or error from None
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            self.unexpected_bytes = True
+            if self.sink is not None:
+                raise BadResponseError(f"malformed HTTP response: {error}") from None
+
+    def finish(self) -> bool:
+        """Handle an orderly EOF; return whether it completed a response."""
+        if self.sink is None or not self.open or self.framed:
+            return False
+        self._end()
+        return True
+
+    def on_message_begin(self) -> None:
+        """Start a response."""
+        if self.sink is None:
+            self.unexpected_bytes = True
+        self.headers = []
+        self.reason = b""
+
+    def on_status(self, status: bytes) -> None:
+        """Collect the reason phrase."""
+        self.reason += status
+
+    def on_header(self, name: bytes, value: bytes | None) -> None:
+        """Collect a header; drop trailers, which follow the head."""
+        if self.open:
+            return
+        self.headers.append(Header(name, value or b""))
+
+    def on_headers_complete(self) -> None:
+        """Pass the head to the sink, unless it is an interim response."""
+        self.status = self.parser.get_status_code()
+        if self.sink is None or self.status < FIRST_FINAL_STATUS:
+            return
+        length = first_header_value(self.headers, CONTENT_LENGTH)
+        coding = first_header_value(self.headers, TRANSFER_ENCODING)
+        bodiless = self.bodiless or self.status in BODILESS_STATUSES
+        self.framed = bodiless or length is not None or coding is not None
+        self.open = True
+        head = ResponseHead(self.status, self.reason, tuple(self.headers), self.framed)
+        self.sink.head(head)
+        if self.bodiless:
+            # The parser doesn't know that the request was HEAD. Unless the head itself
+            # rules out a body, the parser would read the next response as this one's
+            # body and that call would never complete. Don't reuse the connection.
+            ruled_out = self.status in BODILESS_STATUSES or (
+                length == b"0" and coding is None
+            )
+            self.unexpected_bytes = self.unexpected_bytes or not ruled_out
+            self._end()
+
+    def on_body(self, body: bytes) -> None:
+        """Pass body bytes to the sink."""
+        self.non_body_bytes = 0
+        if self.open and self.sink is not None:
+            self.sink.data(body)
+
+    def on_message_complete(self) -> None:
+        """Complete the response."""
+        if self.open and self.framed:
+            self._end()
+
+    def _end(self) -> None:
+        self.open = False
+        self.non_body_bytes = 0
+        sink, self.sink = self.sink, None
+        if sink is not None:
+            sink.end()
--- a/src/mimosafork/kernel/messages/cache.py
+++ b/src/mimosafork/kernel/messages/cache.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of engines' prefix caches."""
+"""Values and messages about engines' prefix caches, exchanged between instances."""
 
 import msgspec
 
@@ -8,15 +8,16 @@
 from .watch import EndpointKey
 
 
-class CacheNews(PeerValue, msgspec.Struct, frozen=True):
-    """Prefixes that entered or left an engine's cache since the last batch.
+class CacheChanges(PeerValue, msgspec.Struct, frozen=True):
+    """Prefixes stored in or evicted from an engine's cache since the last batch.
 
     Attributes
     ----------
     batch : int
-        Counts the writer's batches of this engine; a gap shows that one was missed.
+        Sequence number of the writer's batches for this engine; a gap means that a
+        batch was missed.
     stored, evicted : bytes
-        Short marks, four bytes each.
+        Short prefix marks, four bytes each.
     """
 
     incarnation: Incarnation
@@ -26,37 +27,37 @@
 
 
 class CacheSummary(PeerValue, msgspec.Struct, frozen=True):
-    """All prefixes of an engine that its watcher has told, as of a batch."""
+    """All prefixes published by an engine's watcher up to a batch."""
 
     incarnation: Incarnation
     batch: int
     marks: bytes
 
 
-class CacheWanted(PeerValue, msgspec.Struct, frozen=True):
-    """The writer has missed something of an engine's cache; a summary, please."""
+class CacheSummaryRequest(PeerValue, msgspec.Struct, frozen=True):
+    """Request for a summary: the writer has missed changes of an engine's cache."""
 
     batch: int
 
 
-class CacheNewsHeard(Message, frozen=True):
-    """A peer has told news of an engine's cache."""
+class CacheChangesReceived(Message, frozen=True):
+    """Changes of an engine's cache were received from a peer."""
 
     key: EndpointKey
-    news: CacheNews
+    changes: CacheChanges
     origin: Origin
 
 
-class CacheSummaryHeard(Message, frozen=True):
-    """A peer has told what an engine's cache holds."""
+class CacheSummaryReceived(Message, frozen=True):
+    """A summary of an engine's cache was received from a peer."""
 
     key: EndpointKey
     summary: CacheSummary
     origin: Origin
 
 
-class CacheWantedHeard(Message, frozen=True):
-    """A peer wants a summary of an engine's cache."""
+class CacheSummaryRequestReceived(Message, frozen=True):
+    """A peer requested a summary of an engine's cache."""
 
     key: EndpointKey
     origin: Origin
--- a/src/mimosafork/kernel/messages/routing.py
+++ b/src/mimosafork/kernel/messages/routing.py
@@ -1,48 +1,49 @@
-"""Messages about what is routed: the table in force, endpoints, peers' work."""
+"""Messages about routing: routing table, endpoints, in-flight work of peers."""
 
 from datetime import timedelta
 
 from ...ids import AvailabilityZoneId, EndpointId, InstanceId, RequestId
-from ...placement.work import Work
+from ...placement.load_tracker import InFlightRequest
 from ...routing.listing import ListedEndpoint
 from ...routing.table import RoutingTable
 from .base import Message
 
 
-class TableInForce(Message, frozen=True):
-    """A newer version of the routing table is in force."""
+class RoutingTableChanged(Message, frozen=True):
+    """A newer version of the routing table is active."""
 
     table: RoutingTable
 
 
 class EndpointUsable(Message, frozen=True):
-    """An endpoint takes new work."""
+    """An endpoint accepts new requests."""
 
     listed: ListedEndpoint
 
 
 class EndpointLeaving(Message, frozen=True):
-    """An endpoint takes no new work any more; what runs there goes on.
+    """An endpoint accepts no new requests; those in flight continue.
 
     Attributes
     ----------
     final : bool
-        It has said so itself; otherwise it is merely missing, and may be listed again.
+        The endpoint reported it itself; otherwise it is only missing from the list, and
+        may be listed again.
     """
 
     endpoint: EndpointId
     final: bool = False
 
 
-class PeerWorkTold(Message, frozen=True):
-    """A peer's whole running work, in times of this instance's clock."""
+class PeerWorkReplaced(Message, frozen=True):
+    """The complete in-flight work of a peer, in times of this instance's clock."""
 
     instance: InstanceId
-    works: tuple[Work, ...]
+    works: tuple[InFlightRequest, ...]
 
 
 class PeerWorkChanged(Message, frozen=True):
-    """Some of a peer's works have begun, changed or ended.
+    """Parts of a peer's in-flight work have started, changed or ended.
 
     Attributes
     ----------
@@ -52,23 +53,23 @@
     """
 
     instance: InstanceId
-    works: tuple[Work, ...]
+    works: tuple[InFlightRequest, ...]
     ended: tuple[RequestId, ...]
 
 
-class PeerSilent(Message, frozen=True):
-    """Nothing is known any more of a peer's work."""
+class PeerWorkUnknown(Message, frozen=True):
+    """The in-flight work of a peer is no longer known."""
 
     instance: InstanceId
 
 
 class ZoneUnreachable(Message, frozen=True):
-    """Nothing is received from an availability zone.
+    """No messages are received from an availability zone.
 
     Attributes
     ----------
     since : timedelta
-        Monotonic instant of the latest sign of it.
+        Monotonic time of the last message from it.
     """
 
     zone: AvailabilityZoneId
@@ -76,6 +77,6 @@
 
 
 class ZoneReachable(Message, frozen=True):
-    """An availability zone that was unreachable is received again."""
+    """Messages from an unreachable availability zone are received again."""
 
     zone: AvailabilityZoneId
--- a/src/mimosafork/kernel/messages/sharing.py
+++ b/src/mimosafork/kernel/messages/sharing.py
@@ -1,37 +1,37 @@
-"""What the kernel has peers told, and what it hears from them."""
+"""In-flight work and crash suspicions, published to and received from peers."""
 
 from ...ids import Digest, EndpointId, RequestId
-from ...placement.work import Work
+from ...placement.load_tracker import InFlightRequest
 from .base import Effect, Message
 
 
-class WorkBegun(Effect, frozen=True):
-    """Own work was sent, or has written its first token."""
+class PublishWork(Effect, frozen=True):
+    """Publish that own work was dispatched or has produced its first token."""
 
-    work: Work
+    work: InFlightRequest
 
 
-class WorkEnded(Effect, frozen=True):
-    """Own work has ended."""
+class PublishWorkEnd(Effect, frozen=True):
+    """Publish that own work has ended."""
 
     request_id: RequestId
 
 
-class CrashSuspected(Effect, frozen=True):
-    """An endpoint's connection broke under a request."""
+class PublishCrashSuspicion(Effect, frozen=True):
+    """Publish that an endpoint's connection broke while it ran a request."""
 
     digest: Digest
     endpoint: EndpointId
 
 
-class CrashCleared(Effect, frozen=True):
-    """A request that was suspected has run to its end."""
+class PublishCrashClearance(Effect, frozen=True):
+    """Publish that a suspected request has run to completion."""
 
     digest: Digest
 
 
-class CrashTold(Message, frozen=True):
-    """What all instances together know of a suspected request."""
+class CrashSuspicionUpdated(Message, frozen=True):
+    """The combined suspicion of all instances against a request has changed."""
 
     digest: Digest
     endpoints: frozenset[EndpointId]
--- a/src/mimosafork/kernel/messages/watch.py
+++ b/src/mimosafork/kernel/messages/watch.py
@@ -1,4 +1,4 @@
-"""Messages about watching endpoints and passing on what is seen."""
+"""Messages about probing endpoints and publishing the results."""
 
 from base64 import urlsafe_b64encode
 from hashlib import blake2b
@@ -12,14 +12,14 @@
 from .peers import Origin, PeerValue
 
 EndpointKey = NewType("EndpointKey", str)
-"""Short name of an endpoint in what peers tell, eight letters."""
+"""Short key of an endpoint in peer messages, eight characters."""
 
 KEY_BYTES = 6
-"""Of 600 endpoints two share a key once in some billion fleets."""
+"""With 600 endpoints, two share a key in one of some billion fleets."""
 
 
 def endpoint_key(endpoint: EndpointId) -> EndpointKey:
-    """Return an endpoint's short name."""
+    """Return the short key of an endpoint."""
     digest = blake2b(endpoint.encode(), digest_size=KEY_BYTES).digest()
     return EndpointKey(urlsafe_b64encode(digest).decode())
 
@@ -29,50 +29,50 @@
 
     Attributes
     ----------
-    first : bool
-        This instance is the first of its watchers: the one that reads its cache
-        events and tells the others of its load.
+    is_primary : bool
+        This instance is the primary watcher: it reads the cache events and publishes
+        the load.
     """
 
     endpoint: EndpointId
     address: str
     kind: EndpointKind
-    first: bool
+    is_primary: bool
 
 
 class WatchEndpoints(Effect, frozen=True):
-    """Probe exactly these endpoints from now on."""
+    """Replace the set of probed endpoints."""
 
     endpoints: tuple[WatchedEndpoint, ...]
 
 
 class FetchCacheSnapshot(Effect, frozen=True):
-    """Read an engine's whole prefix cache, as what is known of it has a gap."""
+    """Read an engine's complete prefix cache after missed events."""
 
     endpoint: EndpointId
 
 
-class SpeakForZone(Message, frozen=True):
-    """Speak for the availability zone now; posted every second to whom it falls.
+class PublishForZone(Message, frozen=True):
+    """Publish for the availability zone; posted every second on its publisher.
 
-    Plug-ins then publish to the whole fleet what the other zones should know of
+    Plug-ins then publish to the whole fleet what the other zones need to know about
     this one.
     """
 
     availability_zone: AvailabilityZoneId
 
 
-PREFILL_UNIT = 256
-KV_WHOLE = 65_535
+PREFILL_UNIT_TOKENS = 256
+KV_SHARE_SCALE = 65_535
 
 
 class EndpointProfile(PeerValue, msgspec.Struct, frozen=True):
-    """What seldom changes of an endpoint.
+    """Rarely changing properties of an endpoint.
 
     Attributes
     ----------
     prefill_rate : int
-        Prompt tokens a second.
+        Prefill throughput in prompt tokens per second.
     """
 
     incarnation: Incarnation
@@ -84,21 +84,21 @@
 
 
 class EndpointLoad(PeerValue, msgspec.Struct, frozen=True):
-    """What always changes of an endpoint, in few bytes.
+    """Frequently changing load of an endpoint, in a compact form.
 
     Attributes
     ----------
-    life : int
-        Last 32 bits of its incarnation.
+    incarnation_bits : int
+        Low 32 bits of its incarnation.
     lag_ms : int
         Age of the report when the value was written.
     prefill_units : int
-        Prompt tokens that wait, in `PREFILL_UNIT` each.
+        Prompt tokens waiting for prefill, in units of `PREFILL_UNIT_TOKENS`.
     kv_share : int
-        Used KV memory in parts of `KV_WHOLE` of the capacity.
+        Used KV memory as a fraction of the capacity, scaled by `KV_SHARE_SCALE`.
     """
 
-    life: int
+    incarnation_bits: int
     sequence: int
     lag_ms: int
     running: int
@@ -108,8 +108,8 @@
     draining: bool
 
 
-class EndpointSilence(PeerValue, msgspec.Struct, frozen=True):
-    """An endpoint does not answer the writer's probes.
+class EndpointProbeFailure(PeerValue, msgspec.Struct, frozen=True):
+    """An endpoint did not answer the writer's probes.
 
     Attributes
     ----------
@@ -121,25 +121,25 @@
     age_ms: int
 
 
-class EndpointProfileHeard(Message, frozen=True):
-    """A peer has told an endpoint's profile."""
+class EndpointProfileReceived(Message, frozen=True):
+    """An endpoint's profile was received from a peer."""
 
     key: EndpointKey
     profile: EndpointProfile
     origin: Origin
 
 
-class EndpointLoadHeard(Message, frozen=True):
-    """A peer has told an endpoint's load."""
+class EndpointLoadReceived(Message, frozen=True):
+    """An endpoint's load was received from a peer."""
 
     key: EndpointKey
     load: EndpointLoad
     origin: Origin
 
 
-class EndpointSilenceHeard(Message, frozen=True):
-    """A peer can't reach an endpoint."""
+class EndpointProbeFailureReceived(Message, frozen=True):
+    """A failed probe of an endpoint was reported by a peer."""
 
     key: EndpointKey
-    silence: EndpointSilence
+    failure: EndpointProbeFailure
     origin: Origin
--- a/tests/support/gateway_kernels.py
+++ b/tests/support/gateway_kernels.py
@@ -1,4 +1,4 @@
-"""A gateway's kernel with its policies, plain endpoints and a clock that is set."""
+"""A gateway's kernel with its policies, plain endpoints and a manual clock."""
 
 from datetime import timedelta
 from random import Random
@@ -17,7 +17,7 @@
     RequestId,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import (
     AttemptFailed,
@@ -41,25 +41,25 @@
 
 from .kernels import Bench
 
-DESK = ServiceId("desks")
+PLAIN_SERVICE = ServiceId("desks")
 ZONE = AvailabilityZoneId("zone-a")
 DEADLINE = timedelta(seconds=10)
 RETRY_PAUSE = timedelta(milliseconds=20)
 
 
 class GatewayBench(Bench):
-    """Adds what tests of a gateway's policies say often."""
+    """Adds common steps of tests of the gateway's policies."""
 
     def list_endpoint(self, name: str, slots: int = 8) -> None:
-        """Tell the kernel that an endpoint takes work."""
-        self.tell(EndpointUsable(listed(name, slots)))
+        """List an endpoint as usable."""
+        self.handle(EndpointUsable(listed(name, slots)))
 
     def dispatches(self, request_id: str) -> list[Dispatch]:
         """Return the attempts of a request so far."""
         return [d for d in self.emitted(Dispatch) if d.request_id == request_id]
 
     def begin(self, request: Request) -> Dispatch:
-        """Submit a request that is sent at once; return its attempt."""
+        """Submit a request that is dispatched at once; return its attempt."""
         self.submit(request)
         return self.dispatches(request.request_id)[-1]
 
@@ -71,8 +71,8 @@
         status: int | None = None,
         refusal: str | None = None,
     ) -> None:
-        """Let an attempt fail."""
-        self.tell(
+        """Fail an attempt."""
+        self.handle(
             AttemptFailed(
                 dispatch.request_id,
                 dispatch.attempt,
@@ -86,27 +86,27 @@
         )
 
     def finish(self, dispatch: Dispatch) -> None:
-        """Let an attempt answer and end well."""
-        self.tell(FirstToken(dispatch.request_id, dispatch.attempt))
-        self.tell(AttemptFinished(dispatch.request_id, dispatch.attempt))
+        """Complete an attempt successfully."""
+        self.handle(FirstToken(dispatch.request_id, dispatch.attempt))
+        self.handle(AttemptFinished(dispatch.request_id, dispatch.attempt))
 
     def retried(self, dispatch: Dispatch) -> Dispatch | None:
-        """Let the pause pass; return the next attempt, if there is one."""
-        self.pass_time(RETRY_PAUSE, RetryDue(dispatch.request_id))
+        """Advance past the retry delay; return the next attempt, if there is one."""
+        self.handle_after(RETRY_PAUSE, RetryDue(dispatch.request_id))
         newest = self.dispatches(dispatch.request_id)[-1]
         return newest if newest.attempt > dispatch.attempt else None
 
     def concluded(self, request_id: str) -> Conclude:
-        """Return the end of a request, which must be one."""
+        """Return the conclusion of a request, which must exist."""
         found = self.conclusion(request_id)
         assert found is not None
         return found
 
 
 def gateway_bench(endpoints: int = 3) -> GatewayBench:
-    """Return a kernel that knows some plain endpoints."""
+    """Return a kernel with some plain endpoints."""
     clock = ManualClock(start=timedelta(seconds=100))
-    identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
+    identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(1), create(PLUGINS))
     bench = GatewayBench(kernel, clock)
     for number in range(endpoints):
@@ -118,7 +118,7 @@
     """Return a listed plain endpoint."""
     return ListedEndpoint(
         EndpointId(name),
-        DESK,
+        PLAIN_SERVICE,
         "127.0.0.1:1",
         ZONE,
         slots,
@@ -127,40 +127,42 @@
 
 
 def digest_of(request_id: str) -> Digest:
-    """Return the digest of a request: by its id up to a dash."""
+    """Return the digest of a request, derived from its id up to the first dash."""
     return Digest(request_id.partition("-")[0].encode().hex())
 
 
 def request_of(
     bench: GatewayBench,
     request_id: str,
-    once: bool = False,
+    non_idempotent: bool = False,
     time: timedelta = DEADLINE,
     **terms: int,
 ) -> Request:
-    """Return a call of the plain service; `once` if it may run only once."""
-    return plain_request(request_id, bench.clock.monotonic(), once, time, **terms)
+    """Return a call of the plain service."""
+    return plain_request(
+        request_id, bench.clock.monotonic(), non_idempotent, time, **terms
+    )
 
 
 def plain_request(
     request_id: str,
     now: timedelta,
-    once: bool = False,
+    non_idempotent: bool = False,
     time: timedelta = DEADLINE,
     **terms: int,
 ) -> Request:
-    """Return a call of the plain service that arrives at an instant."""
+    """Return a call of the plain service that arrives at a given time."""
     repeatable = Repeatability.IDEMPOTENT
     usual = CallTerms(max_attempts=3, objective=timedelta(milliseconds=300))
     return Request(
         request_id=RequestId(request_id),
         account=AccountId("account-a"),
         kind=RequestKind.SERVICE,
-        target=DESK,
+        target=PLAIN_SERVICE,
         prompt_tokens=0,
         max_tokens=0,
         deadline=now + time,
         body_digest=digest_of(request_id),
-        repeatability=Repeatability.NON_IDEMPOTENT if once else repeatable,
+        repeatability=Repeatability.NON_IDEMPOTENT if non_idempotent else repeatable,
         terms=replace(usual, **terms),
     )
--- a/tests/support/gateway_tables.py
+++ b/tests/support/gateway_tables.py
@@ -1,10 +1,10 @@
-"""Routes, accounts and rows of a small deployment for the gateway's machines."""
+"""Routes, accounts and rows of a small deployment for state machine tests."""
 
 from datetime import timedelta
 
 from mimosafork.directory.errors import UnreadableError
 from mimosafork.directory.rows import Row, RowPage
-from mimosafork.gateway.dialect import CallMarks
+from mimosafork.gateway.dialect import CallMetadata
 from mimosafork.gateway.heads import parse_request_head
 from mimosafork.gateway.request_reader import RequestMessage
 from mimosafork.ids import AccountId, AvailabilityZoneId, EndpointId, Revision
@@ -18,10 +18,10 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 
-from .gateway_kernels import DESK
+from .gateway_kernels import PLAIN_SERVICE
 from .reserving_engines import FIGURES, HUGE, POOL
 
 HOST = "front.example"
@@ -29,17 +29,17 @@
 KEYS = ("key-a", "key-b")
 
 ROUTES = {
-    "safe": (CallKind.IDEMPOTENT, DESK, timedelta(seconds=6)),
-    "once": (CallKind.NON_IDEMPOTENT, DESK, timedelta(seconds=6)),
+    "safe": (CallKind.IDEMPOTENT, PLAIN_SERVICE, timedelta(seconds=6)),
+    "once": (CallKind.NON_IDEMPOTENT, PLAIN_SERVICE, timedelta(seconds=6)),
     "stream": (CallKind.STREAM, POOL, timedelta(seconds=12)),
     "sealed": (CallKind.STREAM, POOL, timedelta(seconds=12)),
     "huge": (CallKind.STREAM, POOL, timedelta(seconds=15)),
 }
-"""Kind, service and longest time of each route; all streams but `sealed` resume."""
+"""Kind, service and timeout of each route; all streams but `sealed` are resumable."""
 
 
-class TableHistory:
-    """All configurations that the operator ever sent, by their number."""
+class FakeConfigurationHistory:
+    """All configurations that the operator has published, by version."""
 
     def __init__(self) -> None:
         self.tables: dict[int, RoutingTable] = {}
@@ -47,12 +47,12 @@
     def add(
         self, version: int, routes: set[str], keys: set[str], most_attempts: int
     ) -> Row:
-        """Write a configuration; return its row."""
+        """Add a configuration; return its row."""
         self.tables[version] = RoutingTable(
             Revision(version),
             tuple(route_of(name, most_attempts) for name in sorted(routes)),
             {
-                DESK: Service(DESK, "/healthz", 200),
+                PLAIN_SERVICE: Service(PLAIN_SERVICE, "/healthz", 200),
                 POOL: Service(POOL, "/healthz", 200, FIGURES),
             },
             ClientLimits(),
@@ -64,45 +64,45 @@
         return Row("configuration", "", "it", str(version).encode(), version)
 
     def decode(self, row: Row) -> RoutingTable:
-        """Return the configuration that a row names."""
+        """Return the configuration of a row."""
         return self.tables[int(row.value)]
 
     async def whole(self) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
     async def changes(self, after: int, wait: timedelta) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
 
-class EndpointRows:
-    """A row's value names state, service, address, zone and slots."""
+class FakeEndpointRows:
+    """Decodes rows whose value is state, service, address, zone and slots."""
 
     def decode(self, row: Row) -> ListedEndpoint:
-        """Return what a row says."""
+        """Return the endpoint of a row."""
         try:
             state, service, address, zone, slots = row.value.decode().split()
-            word = ListedState(state)
+            listed_state = ListedState(state)
         except ValueError as error:
             raise UnreadableError(str(error)) from error
-        place = DESK if service == DESK else POOL
+        service_id = PLAIN_SERVICE if service == PLAIN_SERVICE else POOL
         return ListedEndpoint(
             EndpointId(row.key),
-            place,
+            service_id,
             address,
             AvailabilityZoneId(zone),
             int(slots),
-            word,
+            listed_state,
             sequence=row.version,
         )
 
     async def whole(self) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
     async def changes(self, after: int, wait: timedelta) -> RowPage:
-        """Not called: rows are offered."""
+        """Not called: rows are pushed."""
         raise NotImplementedError
 
 
@@ -117,7 +117,7 @@
         kind,
         timeout,
         timedelta(seconds=3 if streams else 0.3),
-        (Split(service, 1.0),),
+        (TrafficSplit(service, 1.0),),
         max_attempts=most_attempts,
         resumable=streams and name != "sealed",
         sized=streams,
@@ -126,7 +126,7 @@
 
 
 def message_of(route: str, body: str) -> RequestMessage:
-    """Return a caller's request on a route."""
+    """Return a request message for a route."""
     content = body.encode()
     lines = (
         f"POST /{route}/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: {len(content)}"
@@ -134,8 +134,8 @@
     return RequestMessage(parse_request_head(lines.encode()), content)
 
 
-def marks_of(route: str, call_id: str, key: str) -> CallMarks:
-    """Return what a caller says about its call."""
+def marks_of(route: str, call_id: str, key: str) -> CallMetadata:
+    """Return the call attributes sent by a caller."""
     prompt = {"huge": HUGE, "stream": SMALL, "sealed": SMALL}.get(route, 0)
     most = 1_000 if prompt else 0
-    return CallMarks(call_id, key=ApiKey(key), prompt_tokens=prompt, most_tokens=most)
+    return CallMetadata(call_id, key=ApiKey(key), prompt_tokens=prompt, max_tokens=most)
--- a/tests/support/kernels.py
+++ b/tests/support/kernels.py
@@ -1,4 +1,4 @@
-"""Kernels with a small fleet and a clock that moves only when told to."""
+"""Kernel test harness with a small fleet and a manual clock."""
 
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
@@ -30,7 +30,7 @@
     ModelPolicy,
     ServicePolicy,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
 from mimosafork.kernel.messages.base import Effect, Message
@@ -40,7 +40,7 @@
     EndpointEntry,
     EndpointKind,
     InstancesListed,
-    LifeState,
+    LifecycleState,
     LoadReport,
     LoadReported,
 )
@@ -58,12 +58,12 @@
 
 @dataclass
 class Bench:
-    """A kernel and what it has emitted.
+    """A kernel, its clock and its emitted effects.
 
     Attributes
     ----------
     effects : list of Effect
-        Everything emitted so far, oldest first.
+        All emitted effects, oldest first.
     """
 
     kernel: Kernel
@@ -71,27 +71,27 @@
     effects: list[Effect] = field(default_factory=list)
     sequence: int = 0
 
-    def tell(self, message: Message) -> list[Effect]:
-        """Handle a message; return and keep the effects."""
+    def handle(self, message: Message) -> list[Effect]:
+        """Handle a message; record and return the effects."""
         emitted = self.kernel.handle(message)
         self.effects.extend(emitted)
         return emitted
 
     def submit(self, request: Request) -> list[Effect]:
         """Submit a request."""
-        return self.tell(Submit(request))
+        return self.handle(Submit(request))
 
-    def pass_time(self, step: timedelta, message: Message) -> list[Effect]:
-        """Let time pass, then handle a message."""
+    def handle_after(self, step: timedelta, message: Message) -> list[Effect]:
+        """Advance the clock, then handle a message."""
         self.clock.advance(step)
-        return self.tell(message)
+        return self.handle(message)
 
     def emitted(self, kind: type[E]) -> list[E]:
-        """Return all effects of a type so far."""
+        """Return all recorded effects of a type."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
     def conclusion(self, request_id: str) -> Conclude | None:
-        """Return the final answer of a request, which must be at most one."""
+        """Return the final answer of a request; fail if there are several."""
         found = [
             effect
             for effect in self.emitted(Conclude)
@@ -101,7 +101,7 @@
         return found[0] if found else None
 
     def dispatches(self, request_id: str) -> list[Dispatch]:
-        """Return the attempts of a request."""
+        """Return the dispatched attempts of a request."""
         return [
             effect
             for effect in self.emitted(Dispatch)
@@ -109,14 +109,14 @@
         ]
 
     def report(self, endpoint: str, **changes: object) -> list[Effect]:
-        """Deliver a load report of an idle engine, with changes."""
+        """Deliver a load report of an idle engine with some fields changed."""
         self.sequence += 1
         base = load_report(endpoint, self.sequence)
-        return self.tell(LoadReported(replace(base, **changes)))
+        return self.handle(LoadReported(replace(base, **changes)))
 
 
 def load_report(endpoint: str, sequence: int) -> LoadReport:
-    """Return the report of an idle engine that serves the model."""
+    """Return a load report of an idle engine that serves the model."""
     return LoadReport(
         endpoint=EndpointId(endpoint),
         incarnation=Incarnation(1),
@@ -136,19 +136,19 @@
 def engine_entry(
     endpoint: str, zone: str = ZONE, incarnation: int = 1
 ) -> EndpointEntry:
-    """Return a live model engine as the platform lists it."""
+    """Return the list entry of a live model engine."""
     return EndpointEntry(
         endpoint=EndpointId(endpoint),
         kind=EndpointKind.MODEL_ENGINE,
         address=f"{endpoint}:1",
         availability_zone=AvailabilityZoneId(zone),
         incarnation=Incarnation(incarnation),
-        state=LifeState.LIVE,
+        state=LifecycleState.LIVE,
     )
 
 
 def service_entry(endpoint: str) -> EndpointEntry:
-    """Return a live plain service as the platform lists it."""
+    """Return the list entry of a live plain service."""
     engine = engine_entry(endpoint)
     return replace(engine, kind=EndpointKind.PLAIN_SERVICE, service=SERVICE)
 
@@ -189,14 +189,14 @@
     return replace(request, **changes)
 
 
-def failed(
+def attempt_failure(
     name: str,
     attempt: int = 1,
     kind: FailureKind = FailureKind.BROKEN,
     exposure: Exposure = Exposure.POSSIBLE,
     delivered_tokens: int = 0,
 ) -> AttemptFailed:
-    """Return the message that an attempt of a request has failed."""
+    """Return a failure message for an attempt of a request."""
     return AttemptFailed(
         RequestId(name), AttemptNumber(attempt), kind, exposure, delivered_tokens
     )
@@ -209,15 +209,15 @@
     settings: Configuration | None = None,
     seed: int = 7,
 ) -> Iterator[Bench]:
-    """Give a kernel that knows its configuration and endpoints.
+    """Yield a kernel that has its configuration and endpoints.
 
-    Model engines have reported that they are idle.
+    All model engines have reported that they are idle.
     """
     clock = ManualClock()
-    identity = Identity(InstanceId("i1"), Incarnation(1), ZONE)
+    identity = InstanceIdentity(InstanceId("i1"), Incarnation(1), ZONE)
     bench = Bench(Kernel(identity, clock, Random(seed), plugins), clock)
-    bench.tell(ConfigurationReceived(settings or configuration()))
-    bench.tell(InstancesListed(tuple(endpoints), ()))
+    bench.handle(ConfigurationReceived(settings or configuration()))
+    bench.handle(InstancesListed(tuple(endpoints), ()))
     for entry in endpoints:
         if entry.kind is EndpointKind.MODEL_ENGINE:
             bench.report(entry.endpoint, incarnation=entry.incarnation)
--- a/tests/support/reserving_engines.py
+++ b/tests/support/reserving_engines.py
@@ -1,4 +1,4 @@
-"""Model engines that keep reservations, under a gateway's kernel."""
+"""Simulated model engines with memory reservations, and a gateway's kernel."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -19,20 +19,20 @@
     Revision,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import TICK, Kernel
 from mimosafork.kernel.messages.attempts import AttemptFailed, Exposure, FailureKind
 from mimosafork.kernel.messages.base import Effect, Message, Tick
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     MemoryReserved,
-    PartFailure,
     ReservationFailed,
     ReserveMemory,
 )
 from mimosafork.kernel.messages.requests import CallTerms, Request, RequestKind
-from mimosafork.kernel.messages.routing import EndpointUsable, TableInForce
+from mimosafork.kernel.messages.routing import EndpointUsable, RoutingTableChanged
 from mimosafork.kernel.messages.timers import WakeAt
 from mimosafork.kernel.registry import create
 from mimosafork.routing.engine import EngineFigures
@@ -53,16 +53,16 @@
     step_ms=1.31,
     per_sequence_ms=0.0018,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_m=0.162,
-    chunk=2_048,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_m_pairs=0.162,
+    prefill_chunk_tokens=2_048,
     hop_ms=0.1,
 )
 
 
 @dataclass(slots=True)
 class HeldMemory:
-    """Memory that a model engine has set aside."""
+    """Memory that a model engine has reserved."""
 
     tokens: int
     until: timedelta
@@ -70,130 +70,130 @@
 
 
 @dataclass(slots=True)
-class ModelEngine:
-    """An engine's memory: it reserves, renews, releases and lets run out.
+class FakeModelEngine:
+    """Memory of an engine, with reservations that are renewed, freed and expire.
 
     Attributes
     ----------
     taken : int
         Tokens that others hold.
     silent : bool
-        Its orders get no answer and are not carried out.
+        Orders to it are lost.
     """
 
     name: str
-    tickets: dict[str, HeldMemory] = field(default_factory=dict)
+    reservations: dict[str, HeldMemory] = field(default_factory=dict)
     taken: int = 0
     silent: bool = False
     seen: set[str] = field(default_factory=set)
 
     @property
     def free(self) -> int:
-        """Tokens that nobody holds."""
-        return MEMORY - self.taken - sum(t.tokens for t in self.tickets.values())
+        """Tokens that aren't held."""
+        return MEMORY - self.taken - sum(t.tokens for t in self.reservations.values())
 
     def reserve(
         self, order: ReserveMemory, now: timedelta, late: timedelta = timedelta(0)
-    ) -> PartFailure | None:
-        """Set memory aside, or renew what is.
+    ) -> GangStepFailure | None:
+        """Reserve memory, or renew a reservation.
 
         Parameters
         ----------
         late : timedelta
-            Since the order arrived, from which its time counts.
+            Time since the order arrived, from which its time to live counts.
         """
         self.seen.add(order.reservation)
         until = now - late + order.time_to_live
-        known = self.tickets.get(order.reservation)
+        known = self.reservations.get(order.reservation)
         if known is not None:
             known.until = until
             known.renewals += 1
             return None
         if order.tokens > self.free:
-            return PartFailure.NO_MEMORY
-        self.tickets[order.reservation] = HeldMemory(order.tokens, until)
+            return GangStepFailure.NO_MEMORY
+        self.reservations[order.reservation] = HeldMemory(order.tokens, until)
         return None
 
     def expire(self, now: timedelta) -> None:
-        """Free what has run out."""
-        held = self.tickets.items()
-        self.tickets = {name: each for name, each in held if now < each.until}
+        """Free expired reservations."""
+        held = self.reservations.items()
+        self.reservations = {name: each for name, each in held if now < each.until}
 
 
 class ReservingBench(Bench):
-    """A kernel whose orders are carried out by model engines.
+    """A kernel whose orders are carried out by simulated engines.
 
     Attributes
     ----------
-    unanswered : list of ReserveMemory or FreePart
-        Orders that silent engines got.
-    order : list of str
-        Engines in the order in which they were asked, renewals too.
+    unanswered_orders : list of ReserveMemory or FreeOwnHolding
+        Orders to silent engines.
+    reserve_order : list of str
+        Engines in the order of their requests, including renewals.
     """
 
-    engines: dict[str, ModelEngine]
+    engines: dict[str, FakeModelEngine]
 
-    def arm(self, names: Iterable[str]) -> None:
-        """Set up the engines and tell the kernel of them."""
-        self.engines = {name: ModelEngine(name) for name in names}
-        self.unanswered: list[ReserveMemory | FreePart] = []
-        self.order: list[str] = []
+    def set_up_engines(self, names: Iterable[str]) -> None:
+        """Create the engines and make them known to the kernel."""
+        self.engines = {name: FakeModelEngine(name) for name in names}
+        self.unanswered_orders: list[ReserveMemory | FreeOwnHolding] = []
+        self.reserve_order: list[str] = []
         self.wakes: list[WakeAt] = []
-        self.held_back: list[Message] | None = None
-        self.tell(TableInForce(table_of_pool()))
+        self.delayed_answers: list[Message] | None = None
+        self.handle(RoutingTableChanged(table_of_pool()))
         for name in self.engines:
-            self.tell(EndpointUsable(listed_engine(name)))
+            self.handle(EndpointUsable(listed_engine(name)))
 
     def serve(self, message: Message) -> None:
         """Handle a message, and let the engines answer all orders at once."""
         messages = [message]
         while messages:
-            for effect in self.tell(messages.pop(0)):
+            for effect in self.handle(messages.pop(0)):
                 answer = self._carry_out(effect)
                 if answer is None:
                     continue
-                if self.held_back is None:
+                if self.delayed_answers is None:
                     messages.append(answer)
                 else:
-                    self.held_back.append(answer)
+                    self.delayed_answers.append(answer)
 
     def _carry_out(self, effect: Effect) -> Message | None:
         if isinstance(effect, WakeAt):
             self.wakes.append(effect)
         if isinstance(effect, ReserveMemory):
-            self.order.append(effect.endpoint)
+            self.reserve_order.append(effect.endpoint)
             engine = self.engines[effect.endpoint]
             if engine.silent:
-                self.unanswered.append(effect)
+                self.unanswered_orders.append(effect)
                 return None
             failure = engine.reserve(effect, self.clock.monotonic())
             request, name = effect.request_id, effect.reservation
             if failure is None:
                 return MemoryReserved(request, name)
             return ReservationFailed(request, name, failure)
-        if isinstance(effect, FreePart):
+        if isinstance(effect, FreeOwnHolding):
             engine = self.engines[effect.endpoint]
             if engine.silent:
-                self.unanswered.append(effect)
+                self.unanswered_orders.append(effect)
             else:
-                engine.tickets.pop(effect.holding_id, None)
+                engine.reservations.pop(effect.holding_id, None)
         return None
 
-    def answer_held_back(self) -> None:
-        """Deliver the answers that were held back, and those that follow."""
-        waiting, self.held_back = self.held_back or [], None
+    def deliver_delayed_answers(self) -> None:
+        """Deliver the delayed answers, and those that follow."""
+        waiting, self.delayed_answers = self.delayed_answers or [], None
         for message in waiting:
             self.serve(message)
 
-    def lose_orders(self, failure: PartFailure = PartFailure.LOST) -> None:
-        """Tell the kernel that the open orders of silent engines got no answer."""
-        lost = [o for o in self.unanswered if isinstance(o, ReserveMemory)]
-        self.unanswered = [o for o in self.unanswered if o not in lost]
+    def lose_orders(self, failure: GangStepFailure = GangStepFailure.LOST) -> None:
+        """Report to the kernel that the open orders of silent engines got no answer."""
+        lost = [o for o in self.unanswered_orders if isinstance(o, ReserveMemory)]
+        self.unanswered_orders = [o for o in self.unanswered_orders if o not in lost]
         for order in lost:
             self.serve(ReservationFailed(order.request_id, order.reservation, failure))
 
     def run(self, time: timedelta, ticking: bool = True) -> None:
-        """Let time pass in ticks; engines free what runs out.
+        """Let time pass in ticks; engines free what expires.
 
         Parameters
         ----------
@@ -216,9 +216,9 @@
     def held(self) -> dict[str, str]:
         """Return all reservations by id, with the engine that holds them."""
         return {
-            ticket: engine.name
+            reservation: engine.name
             for engine in self.engines.values()
-            for ticket in engine.tickets
+            for reservation in engine.reservations
         }
 
     def last_dispatch(self, request_id: str) -> Dispatch:
@@ -242,17 +242,17 @@
 
 
 def reserving_bench(engines: int = 6, seed: int = 1) -> ReservingBench:
-    """Return a kernel that knows some engines that keep reservations."""
+    """Return a kernel that knows some engines with reservations."""
     clock = ManualClock(start=START)
-    identity = Identity(InstanceId("entry-1"), Incarnation(1), ZONE)
+    identity = InstanceIdentity(InstanceId("entry-1"), Incarnation(1), ZONE)
     kernel = Kernel(identity, clock, Random(seed), create(PLUGINS))
     bench = ReservingBench(kernel, clock)
-    bench.arm(f"e{number}" for number in range(engines))
+    bench.set_up_engines(f"e{number}" for number in range(engines))
     return bench
 
 
 def listed_engine(name: str) -> ListedEndpoint:
-    """Return the entry of an engine in the list of endpoints."""
+    """Return the entry of an engine in the endpoint list."""
     address = address_of(name)
     ready = ListedState.READY
     return ListedEndpoint(EndpointId(name), POOL, address, ZONE, 8, ready)
@@ -264,7 +264,7 @@
 
 
 def table_of_pool() -> RoutingTable:
-    """Return a table with the engines' service."""
+    """Return a routing table with the engines' service."""
     services = {POOL: Service(POOL, "/healthz", 200, FIGURES)}
     return RoutingTable(Revision(1), (), services, ClientLimits(), ())
 
@@ -275,7 +275,7 @@
     prompt: int = HUGE,
     time: timedelta = timedelta(seconds=15),
 ) -> Request:
-    """Return a request whose prompt no engine can hold alone."""
+    """Return a request whose prompt fits into no single engine."""
     terms = CallTerms(
         max_attempts=3,
         objective=timedelta(seconds=3),
--- a/tests/unit/endpoints/test_reservations.py
+++ b/tests/unit/endpoints/test_reservations.py
@@ -1,4 +1,4 @@
-"""Gangs on engine stand-ins, over HTTP."""
+"""Tests of gangs on engine stand-ins, over HTTP."""
 
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
@@ -13,14 +13,14 @@
 from mimosafork.endpoints.segments import prompt_part
 from mimosafork.endpoints.wire import STREAMS_PATH, wire_request
 from mimosafork.ids import EndpointId, Incarnation, InstanceId, ModelId, RequestId
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.messages.attempts import AttemptFinished, Exposure
 from mimosafork.kernel.messages.base import Effect, Message
 from mimosafork.kernel.messages.dispatch import Dispatch
 from mimosafork.kernel.messages.placement import (
-    FreePart,
+    FreeOwnHolding,
+    GangStepFailure,
     ImportKv,
-    PartFailure,
     PrefillSegment,
     ReservationFailed,
     ReserveMemory,
@@ -39,7 +39,7 @@
 CAPACITY = 4_000
 PROMPT = "".join(f"Objection {number} of the páramo. " for number in range(800))
 PROMPT_TOKENS = -(-len(PROMPT.encode()) // 4)
-IDENTITY = Identity(
+IDENTITY = InstanceIdentity(
     InstanceId("i1"), Incarnation(1), engine_entry("x").availability_zone
 )
 MINUTE = timedelta(minutes=1)
@@ -52,32 +52,34 @@
     bench: Bench
     callers: dict[str, Caller]
     adapter: ReservationAdapter
-    told: list[Message] = field(default_factory=list)
+    messages: list[Message] = field(default_factory=list)
     dispatch: Dispatch | None = None
     stop_before: type[Effect] | None = None
 
     def call(self) -> ModelCall:
-        """Return the caller's call."""
+        """Return the call of the client."""
         return ModelCall(ModelId("demo"), None, PROMPT, 20)
 
     def serve(self, effects: list[Effect]) -> None:
-        """Carry out effects and tell the kernel what came of them."""
+        """Execute effects and send their results to the kernel."""
         waiting = list(effects)
         while waiting:
             effect = waiting.pop(0)
             if self.stop_before is not None and isinstance(effect, self.stop_before):
                 return
             if isinstance(effect, PrefillSegment):
-                self.adapter.tell_kernel(self.adapter.prefilled(effect, self.call()))
-            elif isinstance(effect, ReserveMemory | ImportKv | FreePart):
-                self.adapter.carry_out(effect)
+                self.adapter.send_to_kernel(
+                    self.adapter.run_prefill(effect, self.call())
+                )
+            elif isinstance(effect, ReserveMemory | ImportKv | FreeOwnHolding):
+                self.adapter.execute(effect)
             elif isinstance(effect, Dispatch):
                 self.dispatch = effect
-            while self.told:
-                waiting += self.bench.tell(self.told.pop(0))
+            while self.messages:
+                waiting += self.bench.handle(self.messages.pop(0))
 
     def holdings(self) -> dict[str, list[str]]:
-        """Return what each engine holds."""
+        """Return the holdings of each engine."""
         return {
             name: [each["id"] for each in caller.get("/v1/holdings")["holdings"]]
             for name, caller in self.callers.items()
@@ -101,7 +103,7 @@
             bench.report(name, kv_capacity=CAPACITY)
         http = HttpClient(IDENTITY.instance)
         zone = GangZone(bench, callers, None)  # type: ignore[arg-type]
-        zone.adapter = ReservationAdapter(IDENTITY, http, clock, zone.told.append)
+        zone.adapter = ReservationAdapter(IDENTITY, http, clock, zone.messages.append)
         yield zone
 
 
@@ -112,11 +114,11 @@
     zone.serve(zone.bench.submit(long))
 
 
-def test_prompt_in_parts_gets_the_answer_of_the_whole_one() -> None:
-    """A reading of a large dossier answers another question than was asked.
+def test_a_split_prompt_gets_the_answer_of_the_whole_one() -> None:
+    """Guards against an answer to another prompt than was sent.
 
-    Its parts were cut inside a character, or joined in the wrong order. An engine
-    that holds the whole prompt gives the answer to compare with.
+    The parts could be cut inside a character, or joined in the wrong order. An engine
+    that holds the whole prompt gives the expected answer.
     """
     with gang_zone() as zone:
         request(zone)
@@ -142,34 +144,34 @@
             expected, _ = whole(alone.start("whole", PROMPT, max_tokens=20))
         assert text == expected
         finished = AttemptFinished(RequestId("r"), zone.dispatch.attempt)
-        zone.serve(zone.bench.tell(finished))
+        zone.serve(zone.bench.handle(finished))
         assert not any(zone.holdings().values()), zone.holdings()
 
 
-def test_caller_gone_in_the_middle_leaves_nothing_on_any_engine() -> None:
+def test_a_client_disconnect_leaves_no_holdings() -> None:
     with gang_zone() as zone:
         zone.stop_before = ImportKv
         request(zone)
         assert any(zone.holdings().values())
         zone.stop_before = None
-        zone.serve(zone.bench.tell(CallerGone(RequestId("r"))))
+        zone.serve(zone.bench.handle(CallerGone(RequestId("r"))))
         assert not any(zone.holdings().values()), zone.holdings()
 
 
-def test_full_engine_refuses_and_nothing_stays_reserved() -> None:
+def test_a_refused_reservation_frees_the_others() -> None:
     with gang_zone() as zone:
         reservation = {"id": "x", "owner": {"instance": "i2", "incarnation": 1}}
         body = {**reservation, "tokens": CAPACITY - 10, "ttl_s": 60}
         answer = zone.callers["e2"].call("POST", "/v1/reservations", json=body)
         assert answer.status == 201
         request(zone)
-        failures = zone.bench.emitted(FreePart)
+        failures = zone.bench.emitted(FreeOwnHolding)
         assert failures
         assert zone.holdings() == {"e1": [], "e2": ["x"], "e3": []}
         assert zone.bench.conclusion("r") is None
 
 
-def test_dead_engine_is_told_apart_from_one_that_did_not_answer() -> None:
+def test_an_unreachable_engine_is_distinguished_from_a_lost_answer() -> None:
     with gang_zone() as zone:
         reserve = ReserveMemory(
             RequestId("r"),
@@ -180,50 +182,50 @@
             MINUTE,
         )
         zone.callers["e1"].fault(kind="outage", reset=True)
-        zone.adapter.carry_out(reserve)
-        zone.adapter.carry_out(replace(reserve, address="127.0.0.1:1"))
-        lost, unreached = zone.told
+        zone.adapter.execute(reserve)
+        zone.adapter.execute(replace(reserve, address="127.0.0.1:1"))
+        lost, unreached = zone.messages
         assert isinstance(lost, ReservationFailed)
-        assert lost.failure is PartFailure.LOST
+        assert lost.failure is GangStepFailure.LOST
         assert isinstance(unreached, ReservationFailed)
-        assert unreached.failure is PartFailure.UNREACHED
+        assert unreached.failure is GangStepFailure.UNREACHED
 
 
-def test_prefill_without_its_reservation_is_refused() -> None:
-    """The reservation has expired at the engine; the part was surely not run."""
+def test_a_prefill_without_its_reservation_is_refused() -> None:
+    """The reservation has expired at the engine, so the part has certainly not run."""
     with gang_zone() as zone:
         zone.stop_before = PrefillSegment
         request(zone)
         (prefill,) = zone.bench.emitted(PrefillSegment)
-        free = FreePart(
+        free = FreeOwnHolding(
             prefill.endpoint,
             prefill.address,
             HoldingKind.RESERVATION,
             prefill.reservation,
         )
-        zone.adapter.carry_out(free)
-        message = zone.adapter.prefilled(prefill, zone.call())
+        zone.adapter.execute(free)
+        message = zone.adapter.run_prefill(prefill, zone.call())
         assert isinstance(message, SegmentFailed)
-        assert message.failure is PartFailure.NO_MEMORY
+        assert message.failure is GangStepFailure.NO_MEMORY
         assert message.exposure is Exposure.REFUSED
 
 
-def test_prefill_whose_connection_breaks_is_found_again() -> None:
-    """An export stays on an engine as nobody heard its handle.
+def test_a_prefill_with_a_broken_connection_is_reattached() -> None:
+    """Guards against an export that stays on an engine because its handle was lost.
 
-    The engine computes the part; only the connection is gone.
+    The engine finishes the part; only the connection is broken.
     """
     with gang_zone() as zone:
         zone.stop_before = PrefillSegment
         request(zone)
         (prefill,) = zone.bench.emitted(PrefillSegment)
-        done = zone.adapter.prefilled(prefill, zone.call())
+        done = zone.adapter.run_prefill(prefill, zone.call())
         assert isinstance(done, SegmentPrefilled)
-        found = zone.adapter.attached(prefill)
+        found = zone.adapter.reattach(prefill)
         assert found == done
 
 
-def test_parts_join_to_the_prompt_wherever_they_are_cut() -> None:
+def test_slices_join_to_the_prompt_wherever_it_is_cut() -> None:
     text = "añó€𝄞 " * 50
     tokens = -(-len(text.encode()) // 4)
     for cut in range(tokens + 2):
@@ -232,13 +234,13 @@
     assert "".join(thirds) == text
 
 
-def test_late_prefill_is_not_sent() -> None:
+def test_a_prefill_past_its_deadline_is_not_sent() -> None:
     with gang_zone() as zone:
         zone.stop_before = PrefillSegment
         request(zone)
         (prefill,) = zone.bench.emitted(PrefillSegment)
         late = replace(prefill, deadline=timedelta(0))
-        message = zone.adapter.prefilled(late, zone.call())
+        message = zone.adapter.run_prefill(late, zone.call())
         assert isinstance(message, SegmentFailed)
         assert message.exposure is Exposure.NEVER_SENT
 
--- a/tests/unit/gateway/test_standing.py
+++ b/tests/unit/gateway/test_health_log.py
@@ -1,12 +1,16 @@
-"""Each change of the belief about an endpoint is logged once."""
+"""Tests that each change of endpoint health is logged once."""
 
 from datetime import timedelta
 from random import Random
 
 from mimosafork.clock import ManualClock
 from mimosafork.gateway.policies import PLUGINS
-from mimosafork.gateway.policies.fleet_view import EndpointBelief
-from mimosafork.gateway.policies.standing import Standing, log_reinstated, log_suspicion
+from mimosafork.gateway.policies.fleet_view import EndpointHealth
+from mimosafork.gateway.policies.health_log import (
+    HealthStatus,
+    log_reinstated,
+    log_suspicion,
+)
 from mimosafork.ids import (
     AvailabilityZoneId,
     Digest,
@@ -15,10 +19,10 @@
     InstanceId,
     ServiceId,
 )
-from mimosafork.kernel.context import Identity
+from mimosafork.kernel.context import InstanceIdentity
 from mimosafork.kernel.core import Kernel
 from mimosafork.kernel.messages.routing import EndpointLeaving, EndpointUsable
-from mimosafork.kernel.messages.sharing import CrashTold
+from mimosafork.kernel.messages.sharing import CrashSuspicionUpdated
 from mimosafork.kernel.registry import create
 from mimosafork.routing.listing import ListedEndpoint, ListedState
 from mimosafork.telemetry.catalogue.gateway import (
@@ -38,11 +42,13 @@
 
 
 def new_kernel() -> Kernel:
-    identity = Identity(InstanceId("i1"), Incarnation(1), AvailabilityZoneId("z1"))
+    identity = InstanceIdentity(
+        InstanceId("i1"), Incarnation(1), AvailabilityZoneId("z1")
+    )
     return Kernel(identity, ManualClock(), Random(1), create(PLUGINS))
 
 
-def belief() -> EndpointBelief:
+def endpoint_health() -> EndpointHealth:
     listed = ListedEndpoint(
         EndpointId("e1"),
         ServiceId("letters"),
@@ -51,19 +57,18 @@
         4,
         ListedState.READY,
     )
-    return EndpointBelief(listed)
+    return EndpointHealth(listed)
 
 
-def test_endpoint_that_vanishes_is_told_once_and_told_back() -> None:
-    """An engine's machine dies under eight calls and is up again later.
+def test_unreachable_endpoint_is_logged_once_and_again_when_back() -> None:
+    """An engine's machine fails during eight calls and recovers later.
 
-    Eight failures tell the same; the log has one line for the belief, and one when
-    it answers again.
+    The log has one line for the ejection and one for the recovery, not one per failure.
     """
-    known = belief()
+    known = endpoint_health()
     with caught_lines() as caught:
         for _ in range(8):
-            before = Standing.of(known, START)
+            before = HealthStatus.of(known, START)
             known.note_unreached(START)
             log_suspicion(known, before, "unreached", START)
         log_reinstated(known, START)
@@ -74,38 +79,37 @@
 
 
 def test_endpoint_whose_answers_break_off_is_suspected_once() -> None:
-    known = belief()
+    known = endpoint_health()
     with caught_lines() as caught:
         for _ in range(3):
-            before = Standing.of(known, START)
+            before = HealthStatus.of(known, START)
             known.note_outcome(True, START)
             log_suspicion(known, before, "broken", START)
     fields = caught.one(ENDPOINT_SUSPECTED)
     assert (fields["endpoint"], fields["why"]) == ("e1", "broken")
 
 
-def test_content_that_is_kept_from_endpoints_is_told_once_and_told_free() -> None:
-    """A prompt crashes engine after engine, here and as a peer has seen.
+def test_quarantined_content_is_logged_once_and_again_when_cleared() -> None:
+    """A prompt crashes several engines, as seen here and by a peer.
 
-    From the third engine on its calls are refused. The log says so once, and once
-    more when a call with it has run well somewhere.
+    The quarantine is logged once, and so is its end after a completed call.
     """
     kernel = new_kernel()
     with caught_lines() as caught:
         for endpoints in ({"e1", "e2"}, {"e2", "e3"}, {"e4"}):
             named = frozenset(EndpointId(each) for each in endpoints)
-            kernel.handle(CrashTold(DIGEST, named, cleared=False))
+            kernel.handle(CrashSuspicionUpdated(DIGEST, named, cleared=False))
         for _ in range(2):
-            kernel.handle(CrashTold(DIGEST, frozenset(), cleared=True))
+            kernel.handle(CrashSuspicionUpdated(DIGEST, frozenset(), cleared=True))
     quarantined = caught.one(CONTENT_QUARANTINED)
     assert (quarantined["content"], quarantined["count"]) == ("00ff", 3)
     assert quarantined["endpoints"] == "e1,e2,e3"
     assert caught.one(CONTENT_CLEARED)["source"] == "peer"
 
 
-def test_endpoint_that_leaves_by_a_peers_word_is_told_once() -> None:
+def test_endpoint_reported_leaving_by_a_peer_is_logged_once() -> None:
     kernel = new_kernel()
-    kernel.handle(EndpointUsable(belief().listed))
+    kernel.handle(EndpointUsable(endpoint_health().listed))
     with caught_lines() as caught:
         for _ in range(2):
             kernel.handle(EndpointLeaving(EndpointId("e1"), final=True))
--- a/tests/unit/gateway/test_intake.py
+++ b/tests/unit/gateway/test_intake.py
@@ -1,13 +1,13 @@
-"""Tests of the intake: what a request asks for, or why it ends at once."""
+"""Tests of the admission of requests by the routing table."""
 
 from datetime import timedelta
 from http import HTTPStatus
 from random import Random
 from unittest import TestCase
 
-from mimosafork.gateway.dialect import CallMarks
+from mimosafork.gateway.dialect import CallMetadata
 from mimosafork.gateway.heads import parse_request_head
-from mimosafork.gateway.intake import Admission, Refusal, admit, digest_of
+from mimosafork.gateway.intake import AdmittedCall, CallRefusal, admit, call_digest
 from mimosafork.gateway.request_reader import RequestMessage
 from mimosafork.ids import AccountId, RequestId, Revision, ServiceId
 from mimosafork.kernel.messages.requests import Repeatability, RequestKind
@@ -21,7 +21,7 @@
     RouteName,
     RoutingTable,
     Service,
-    Split,
+    TrafficSplit,
 )
 
 from ...support.functions import function_tests
@@ -37,7 +37,7 @@
 ENGINE = EngineFigures(8, 1000, 4, 1.0, 0.1, 0.1, 100.0, 0.1, 64)
 
 
-def route(name: str, kind: CallKind, *services: Split, **more: object) -> Route:
+def route(name: str, kind: CallKind, *services: TrafficSplit, **more: object) -> Route:
     return Route(
         RouteName(name),
         "front.example",
@@ -45,7 +45,7 @@
         kind,
         timedelta(seconds=10),
         timedelta(milliseconds=300),
-        services or (Split(DESKS, 1.0),),
+        services or (TrafficSplit(DESKS, 1.0),),
         priority=4,
         **more,  # type: ignore[arg-type]
     )
@@ -56,10 +56,15 @@
     (
         route("safe", CallKind.IDEMPOTENT),
         route("once", CallKind.NON_IDEMPOTENT),
-        route("stream", CallKind.STREAM, Split(ENGINES, 1.0)),
-        route("resume", CallKind.STREAM, Split(ENGINES, 1.0), resumable=True),
+        route("stream", CallKind.STREAM, TrafficSplit(ENGINES, 1.0)),
+        route("resume", CallKind.STREAM, TrafficSplit(ENGINES, 1.0), resumable=True),
         route("open", CallKind.IDEMPOTENT, public=True),
-        route("split", CallKind.IDEMPOTENT, Split(DESKS, 3.0), Split(ENGINES, 1.0)),
+        route(
+            "split",
+            CallKind.IDEMPOTENT,
+            TrafficSplit(DESKS, 3.0),
+            TrafficSplit(ENGINES, 1.0),
+        ),
     ),
     {
         DESKS: Service(DESKS, "/healthz", 10),
@@ -74,66 +79,70 @@
     return f"POST {target} HTTP/1.1\r\nHost: {host}".encode()
 
 
-def asked(
+def admission_of(
     target: str,
     key: ApiKey | None = KEY,
     host: str = "front.example",
     table: RoutingTable | None = TABLE,
     time_left: timedelta | None = None,
     seed: int = 1,
-) -> Admission | Refusal:
+) -> AdmittedCall | CallRefusal:
     head = parse_request_head(message_of(target, host=host))
-    marks = CallMarks("c1", time_left=time_left, key=key, prompt_tokens=7)
+    metadata = CallMetadata("c1", time_left=time_left, key=key, prompt_tokens=7)
     message = RequestMessage(head, b"body")
-    return admit(message, marks, table, RequestId("1"), NOW, Random(seed))
+    return admit(message, metadata, table, RequestId("1"), NOW, Random(seed))
 
 
-def admitted(target: str, **more: object) -> Admission:
-    found = asked(target, **more)  # type: ignore[arg-type]
-    assert isinstance(found, Admission), found
+def admitted(target: str, **more: object) -> AdmittedCall:
+    found = admission_of(target, **more)  # type: ignore[arg-type]
+    assert isinstance(found, AdmittedCall), found
     return found
 
 
-def refused(target: str, **more: object) -> HTTPStatus:
-    found = asked(target, **more)  # type: ignore[arg-type]
-    assert isinstance(found, Refusal), found
+def rejected_status(target: str, **more: object) -> HTTPStatus:
+    found = admission_of(target, **more)  # type: ignore[arg-type]
+    assert isinstance(found, CallRefusal), found
     return found.status
 
 
-def test_no_configuration_promises_and_asks_to_come_back() -> None:
-    found = asked("/safe/1", table=None)
-    assert isinstance(found, Refusal)
+def test_without_configuration_calls_get_503_with_retry_after() -> None:
+    found = admission_of("/safe/1", table=None)
+    assert isinstance(found, CallRefusal)
     case.assertEqual(HTTPStatus.SERVICE_UNAVAILABLE, found.status)
     case.assertIsNotNone(found.retry_after)
 
 
 def test_unknown_routes_and_keys() -> None:
-    case.assertEqual(HTTPStatus.NOT_FOUND, refused("/nowhere/1"))
-    case.assertEqual(HTTPStatus.NOT_FOUND, refused("/safe"))
-    case.assertEqual(HTTPStatus.NOT_FOUND, refused("/safe/1", host="other.example"))
-    case.assertEqual(HTTPStatus.UNAUTHORIZED, refused("/safe/1", key=None))
-    case.assertEqual(HTTPStatus.UNAUTHORIZED, refused("/safe/1", key=ApiKey("x")))
-    case.assertEqual(HTTPStatus.NOT_FOUND, refused("/nowhere/1", key=None))
+    case.assertEqual(HTTPStatus.NOT_FOUND, rejected_status("/nowhere/1"))
+    case.assertEqual(HTTPStatus.NOT_FOUND, rejected_status("/safe"))
+    case.assertEqual(
+        HTTPStatus.NOT_FOUND, rejected_status("/safe/1", host="other.example")
+    )
+    case.assertEqual(HTTPStatus.UNAUTHORIZED, rejected_status("/safe/1", key=None))
+    case.assertEqual(
+        HTTPStatus.UNAUTHORIZED, rejected_status("/safe/1", key=ApiKey("x"))
+    )
+    case.assertEqual(HTTPStatus.NOT_FOUND, rejected_status("/nowhere/1", key=None))
 
 
-def test_hosts_match_in_any_case_and_with_a_port() -> None:
+def test_hosts_match_case_insensitively_and_with_a_port() -> None:
     case.assertEqual("safe", admitted("/safe/1?x", host="FRONT.example:80").route.name)
 
 
-def test_public_routes_need_no_key_and_tell_no_account() -> None:
+def test_public_routes_need_no_key_and_have_no_account() -> None:
     for key in (None, KEY, ApiKey("unknown")):
         case.assertIsNone(admitted("/open/1", key=key).account)
     case.assertEqual("account-a", admitted("/safe/1").account)
 
 
-def test_an_accounts_priority_goes_first() -> None:
+def test_the_priority_of_an_account_overrides_the_routes() -> None:
     for key, priority in ((KEY, 0), (ApiKey("key-2"), 4)):
         terms = admitted("/safe/1", key=key).request.terms
         assert terms is not None
         case.assertEqual(priority, terms.priority)
 
 
-def test_what_may_run_again() -> None:
+def test_repeatability_and_kind_by_route() -> None:
     for name, repeatability in (
         ("safe", Repeatability.IDEMPOTENT),
         ("once", Repeatability.NON_IDEMPOTENT),
@@ -161,19 +170,19 @@
     case.assertTrue(120 < drawn.count(DESKS) < 180, drawn.count(DESKS))
 
 
-def test_the_digest_tells_what_decides_the_answer() -> None:
+def test_the_digest_depends_on_target_account_and_body() -> None:
     account = AccountId("a")
     first = RequestMessage(parse_request_head(message_of("/safe/1")), b"body")
     other_path = RequestMessage(parse_request_head(message_of("/safe/2")), b"body")
     other_body = RequestMessage(first.head, b"Body")
     digests = {
-        digest_of(first, account),
-        digest_of(first, None),
-        digest_of(other_path, account),
-        digest_of(other_body, account),
+        call_digest(first, account),
+        call_digest(first, None),
+        call_digest(other_path, account),
+        call_digest(other_body, account),
     }
     case.assertEqual(4, len(digests))
-    case.assertEqual(digest_of(first, account), digest_of(first, account))
+    case.assertEqual(call_digest(first, account), call_digest(first, account))
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/gateway/test_ticks.py
+++ b/tests/unit/gateway/test_ticks.py
@@ -1,4 +1,4 @@
-"""Tests of how often a gateway looks at the time."""
+"""Tests of the tick interval of the gateway."""
 
 from contextlib import ExitStack
 
@@ -8,29 +8,29 @@
 from mimosafork.standins.prepared.words import REQUEST_ID
 
 from ...support.functions import function_tests
-from ...support.gateway import BEARER, gateway_before
+from ...support.gateway import BEARER, running_gateway
 from ...support.prepared import DESKS, deployment
 
 
-def test_time_is_looked_at_often_from_the_first_call_on() -> None:
-    """A call's silent endpoint is given up a quarter of a second late.
+def test_the_first_call_shortens_the_tick_interval() -> None:
+    """A silent endpoint of a call is detected a quarter of a second late.
 
-    An idle gateway ticks rarely, and its next tick was still to come when a call came.
+    An idle gateway ticks rarely, and its next tick was only due after the call began.
     """
     with deployment() as platform, ExitStack() as stack:
         desk = platform.add_desk(EndpointSettings(DESKS))
-        running = stack.enter_context(gateway_before(platform))
-        running.until_known(desk)
+        running = stack.enter_context(running_gateway(platform))
+        running.wait_until_listed(desk)
         gateway = running.server.gateway
-        running.until(lambda: gateway.tick_after == IDLE_TICK)
+        running.wait_until(lambda: gateway.tick_interval == IDLE_TICK)
         desk.hold()
         channel = stack.enter_context(running.channel())
         channel.send("POST", "/safe/1", {REQUEST_ID: "held", **BEARER}, b"held")
-        running.until(lambda: len(gateway.calls) == 1)
-        assert gateway.tick_after == TICK
+        running.wait_until(lambda: len(gateway.calls) == 1)
+        assert gateway.tick_interval == TICK
         desk.let_go()
-        running.until(lambda: not gateway.calls)
-        running.until(lambda: gateway.tick_after == IDLE_TICK)
+        running.wait_until(lambda: not gateway.calls)
+        running.wait_until(lambda: gateway.tick_interval == IDLE_TICK)
 
 
 load_tests = function_tests(__name__)
