--- a/src/mimosafork/policies/admission.py
+++ b/src/mimosafork/policies/admission.py
@@ -10,7 +10,7 @@
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
 
-COME_BACK = timedelta(seconds=5)
+RETRY_AFTER = timedelta(seconds=5)
 
 
 @register("known-target")
@@ -45,5 +45,5 @@
         return Proceed()
 
 
-def _refuse(code: ProblemCode, detail: str, come_back: bool = False) -> Refuse:
-    return Refuse(Problem(code, detail, COME_BACK if come_back else None))
+def _refuse(code: ProblemCode, detail: str, retryable: bool = False) -> Refuse:
+    return Refuse(Problem(code, detail, RETRY_AFTER if retryable else None))
--- a/src/mimosafork/policies/affinity.py
+++ b/src/mimosafork/policies/affinity.py
@@ -19,10 +19,10 @@
 from ..kernel.registry import register
 from .cache_index import CacheIndex
 
-MOST_MARKS = 8192
+MAX_PREFIX_MARKS = 8192
 """Prefix marks that are kept; the oldest go first. About 200 bytes each."""
 
-KEPT_FOR = timedelta(minutes=3)
+PREFIX_TTL = timedelta(minutes=3)
 """A cache under pressure has lost a prefix that nobody used for so long."""
 
 
@@ -45,7 +45,7 @@
             found = self.index.holders(request.prefix_marks)
         for mark in reversed(request.prefix_marks):
             for endpoint, seen_at in self.places.get(mark.digest, {}).items():
-                if now - seen_at <= KEPT_FOR:
+                if now - seen_at <= PREFIX_TTL:
                     found[endpoint] = max(mark.tokens, found.get(endpoint, 0))
         return found
 
@@ -69,5 +69,5 @@
             places = self.places.setdefault(mark.digest, {})
             places[record.current.endpoint] = context.now
             self.places.move_to_end(mark.digest)
-        while len(self.places) > MOST_MARKS:
+        while len(self.places) > MAX_PREFIX_MARKS:
             self.places.popitem(last=False)
--- a/src/mimosafork/policies/bounds.py
+++ b/src/mimosafork/policies/bounds.py
@@ -21,16 +21,16 @@
 LONG_BACKLOG_S = 2.0
 """Work of long prompts that may wait there when a further long one is sent."""
 
-SHORT_FILL = 0.95
+SHORT_MEMORY_SHARE = 0.95
 """Part of an engine's memory up to which short requests are sent. The rest is for
 what other instances send before the next report."""
 
-LONG_FILL_LEAST = 0.6
-LONG_FILL_GROWTH = 0.5
+LONG_MEMORY_SHARE_BASE = 0.6
+LONG_MEMORY_SHARE_GROWTH = 0.5
 """Long prompts are sent up to the first part of an engine's memory, and the second
 part of `long_share` more. What they leave is for short ones alone."""
 
-EMPTY = 0.05
+IDLE_MEMORY_SHARE = 0.05
 """An engine with less than this part of its memory in use takes any prompt that it
 can hold."""
 
@@ -84,11 +84,11 @@
             return True
         if memory > load.capacity:
             return False
-        if load.memory_used < EMPTY * load.capacity:
+        if load.memory_used < IDLE_MEMORY_SHARE * load.capacity:
             return True
-        fill = SHORT_FILL
+        fill = SHORT_MEMORY_SHARE
         if is_long:
-            fill = LONG_FILL_LEAST + LONG_FILL_GROWTH * self.long_share
+            fill = LONG_MEMORY_SHARE_BASE + LONG_MEMORY_SHARE_GROWTH * self.long_share
         return load.memory_used + memory <= fill * load.capacity
 
     def _has_long_room(self, load: EngineLoad, memory: int, waiting: float) -> bool:
--- a/src/mimosafork/policies/candidates.py
+++ b/src/mimosafork/policies/candidates.py
@@ -7,28 +7,28 @@
 from ..kernel.context import Context
 from ..kernel.fleet import Endpoint
 
-SCANNED = 24
+FULL_SCAN_LIMIT = 24
 """Up to so many endpoints all are looked at."""
 
-DRAWN_NEAR = 8
-DRAWN_FAR = 4
+SAME_ZONE_SAMPLE = 8
+OTHER_ZONE_SAMPLE = 4
 """Endpoints drawn at random from a larger group, in the own availability zone and
 outside it. The best of eight is among the best third in 96 of 100 draws."""
 
-KEPT_FOR = timedelta(milliseconds=500)
+GROUP_TTL = timedelta(milliseconds=500)
 """Age at which the grouping by availability zone is made anew."""
 
 
-class Group:
+class TargetEndpoints:
     """The endpoints of one target, by nearness."""
 
     def __init__(self, endpoints: list[Endpoint], own_zone: str, at: timedelta) -> None:
         self.size = len(endpoints)
         self.at = at
-        self.near = [
+        self.same_zone = [
             each for each in endpoints if each.entry.availability_zone == own_zone
         ]
-        self.far = [
+        self.other_zones = [
             each for each in endpoints if each.entry.availability_zone != own_zone
         ]
 
@@ -41,9 +41,9 @@
     """
 
     def __init__(self) -> None:
-        self.groups: dict[ModelId | ServiceId, Group] = {}
+        self.groups: dict[ModelId | ServiceId, TargetEndpoints] = {}
 
-    def of(
+    def select(
         self,
         target: ModelId | ServiceId,
         wanted: Iterable[EndpointId],
@@ -58,11 +58,11 @@
         """
         serving = context.state.fleet.by_target.get(target, {})
         group = self._group(target, serving, context)
-        if group.size <= SCANNED:
-            drawn = [*group.near, *group.far]
+        if group.size <= FULL_SCAN_LIMIT:
+            drawn = [*group.same_zone, *group.other_zones]
         else:
-            drawn = _draw(group.near, DRAWN_NEAR, context)
-            drawn += _draw(group.far, DRAWN_FAR, context)
+            drawn = _sample(group.same_zone, SAME_ZONE_SAMPLE, context)
+            drawn += _sample(group.other_zones, OTHER_ZONE_SAMPLE, context)
             drawn += [serving[name] for name in wanted if name in serving]
         now = context.now
         usable = {
@@ -70,7 +70,7 @@
             for each in drawn
             if each.endpoint_id in serving and each.accepts_new_requests(now)
         }
-        if not usable and group.size > SCANNED:
+        if not usable and group.size > FULL_SCAN_LIMIT:
             # Most of a large group may be leaving or out of reach; then all are
             # looked at rather than a request refused while some could take it.
             usable = {
@@ -85,17 +85,17 @@
         target: ModelId | ServiceId,
         serving: dict[EndpointId, Endpoint],
         context: Context,
-    ) -> Group:
+    ) -> TargetEndpoints:
         group = self.groups.get(target)
-        stale = group is None or context.now - group.at > KEPT_FOR
+        stale = group is None or context.now - group.at > GROUP_TTL
         if group is None or stale or group.size != len(serving):
             zone = context.state.identity.availability_zone
-            group = Group(list(serving.values()), zone, context.now)
+            group = TargetEndpoints(list(serving.values()), zone, context.now)
             self.groups[target] = group
         return group
 
 
-def _draw(endpoints: list[Endpoint], most: int, context: Context) -> list[Endpoint]:
+def _sample(endpoints: list[Endpoint], most: int, context: Context) -> list[Endpoint]:
     if len(endpoints) <= most:
         return list(endpoints)
     return context.random.sample(endpoints, most)
--- a/src/mimosafork/policies/deadlines.py
+++ b/src/mimosafork/policies/deadlines.py
@@ -24,16 +24,16 @@
 """A waiting request is given up when its predicted time is so many times what it
 has left: predictions are not exact, and it has waited already."""
 
-LEAST_SHARE = 0.35
+MIN_DRAIN_SHARE = 0.35
 """Part of its even share of the fleet that a lane is thought to drain at least; it
 may have sent little of late only because little came."""
 
-NO_ENDPOINT_PATIENCE = timedelta(seconds=5)
+NO_ENDPOINT_TIMEOUT = timedelta(seconds=5)
 """How long a request waits for any endpoint to appear."""
 
-LEAST_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 300.0
-PAUSE_SPREAD = 0.3
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 300.0
+RETRY_AFTER_JITTER = 0.3
 """Part by which callers that are sent away together are spread."""
 
 
@@ -90,10 +90,10 @@
         self, record: RequestRecord, context: Context
     ) -> Refuse | None:
         """Return the refusal of a request that no endpoint has taken for a while."""
-        if context.now - record.submitted_at < NO_ENDPOINT_PATIENCE:
+        if context.now - record.submitted_at < NO_ENDPOINT_TIMEOUT:
             return None
         detail = f"no endpoint serves {record.request.target!r} now"
-        return refusal(ProblemCode.NO_ENDPOINT, detail, NO_ENDPOINT_PATIENCE)
+        return refusal(ProblemCode.NO_ENDPOINT, detail, NO_ENDPOINT_TIMEOUT)
 
     def _queue_s(self, record: RequestRecord, context: Context) -> float:
         """Return how long this instance's queue keeps the request.
@@ -118,7 +118,7 @@
         """Return the tokens a second that leave this instance's lane."""
         rate = self.scores.fleet_rate(record.request.target, context)
         instances = max(1, len(context.state.fleet.instances))
-        least = LEAST_SHARE * rate.tokens_per_s / instances
+        least = MIN_DRAIN_SHARE * rate.tokens_per_s / instances
         drained = self.drains[lane].rate(context.now.total_seconds())
         return max(least, drained)
 
@@ -139,8 +139,10 @@
         detail = f"it would take {needed_s:.0f} s and has {max(0.0, left_s):.0f} s left"
         if alone_s > left_s:
             return refusal(ProblemCode.DEADLINE_UNREACHABLE, detail, None)
-        pause_s = (needed_s - left_s) * (1 + PAUSE_SPREAD * context.random.random())
-        pause_s = min(LONGEST_PAUSE_S, max(LEAST_PAUSE_S, pause_s))
+        pause_s = (needed_s - left_s) * (
+            1 + RETRY_AFTER_JITTER * context.random.random()
+        )
+        pause_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, pause_s))
         pause = timedelta(seconds=round(pause_s, 1))
         return refusal(ProblemCode.DEADLINE_UNREACHABLE, detail, pause)
 
--- a/src/mimosafork/policies/ejection.py
+++ b/src/mimosafork/policies/ejection.py
@@ -19,13 +19,13 @@
 from ..kernel.messages.fleet import InstancesListed
 from ..kernel.plugins import Plugin, PluginFinder, RequestConcluded
 from ..kernel.registry import register
-from .prediction import SHORTEST_S, Prediction, fleet_policy
+from .prediction import MIN_FIRST_TOKEN_S, Prediction, fleet_policy
 
-SLOW = 5.0
+SLOW_RATIO = 5.0
 """An endpoint is slow if it takes so many times the median of its peers. Queues that
 are told late make differences of two; a failing card or link, of ten and more."""
 
-KEPT = 16
+MAX_OBSERVATIONS = 16
 """Newest observations that count."""
 
 QUARTERS = 4
@@ -33,30 +33,30 @@
 sick one is slow for all, while callers that read slowly and prompts that met a queue
 make only some of its requests slow."""
 
-ENOUGH = 6
-ENOUGH_ON_TRIAL = 3
+MIN_OBSERVATIONS = 6
+MIN_PROBATION_OBSERVATIONS = 3
 """Observations before an endpoint is judged, and when it has come back."""
 
-ENOUGH_PEERS = 2
+MIN_PEERS = 2
 """Peers with observations of their own; against one alone nobody knows which of
 the two is the odd one."""
 
-OLD = timedelta(minutes=2)
+OBSERVATION_TTL = timedelta(minutes=2)
 """Age from which an observation does not count."""
 
-FIRST_PAUSE = timedelta(seconds=10)
-LONGEST_PAUSE = timedelta(minutes=5)
+BASE_EJECTION_TIME = timedelta(seconds=10)
+MAX_EJECTION_TIME = timedelta(minutes=5)
 """The pause doubles each time."""
 
-FORGIVEN = timedelta(minutes=10)
+EJECTION_RESET_AFTER = timedelta(minutes=10)
 """An endpoint that was not ejected for so long begins with the first pause again."""
 
-USUAL_RATE = 30_000.0
+REFERENCE_RATE = 30_000.0
 """Tokens a second at which work is counted; only ratios between endpoints matter."""
 
-LOOK = timedelta(seconds=1)
+CHECK_INTERVAL = timedelta(seconds=1)
 
-FEWEST_TOKENS = 8
+MIN_ANSWER_TOKENS = 8
 """A shorter answer tells nothing of the time between tokens."""
 
 
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class History:
+class LatencyHistory:
     """What is known of one life of an endpoint.
 
     Attributes
@@ -83,19 +83,23 @@
     """
 
     incarnation: Incarnation
-    first_tokens: deque[Observation] = field(default_factory=lambda: deque(maxlen=KEPT))
-    gaps: deque[Observation] = field(default_factory=lambda: deque(maxlen=KEPT))
+    first_tokens: deque[Observation] = field(
+        default_factory=lambda: deque(maxlen=MAX_OBSERVATIONS)
+    )
+    gaps: deque[Observation] = field(
+        default_factory=lambda: deque(maxlen=MAX_OBSERVATIONS)
+    )
     ejections: int = 0
     ejected_at: timedelta = DISTANT_PAST
 
     @property
-    def on_trial(self) -> bool:
+    def on_probation(self) -> bool:
         """Whether it was ejected and has not been forgiven."""
         return self.ejections > 0
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class FinishedAttempt:
     """When an attempt's last token came, and how many there were."""
 
     at: timedelta
@@ -108,9 +112,9 @@
 
     def __init__(self) -> None:
         self.prediction: Prediction | None = None
-        self.histories: dict[EndpointId, History] = {}
-        self.ended: dict[RequestId, Ended] = {}
-        self.looked_at = DISTANT_PAST
+        self.histories: dict[EndpointId, LatencyHistory] = {}
+        self.ended: dict[RequestId, FinishedAttempt] = {}
+        self.checked_at = DISTANT_PAST
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the prediction."""
@@ -141,8 +145,8 @@
         observed_s = context.now.total_seconds() - expected.at_s
         rate = self.prediction.load_of(endpoint).rate
         # The fixed part keeps requests that need next to no work comparable.
-        work = max(0.0, expected.plain_s - SHORTEST_S) * rate
-        usual_s = SHORTEST_S + work / USUAL_RATE
+        work = max(0.0, expected.plain_s - MIN_FIRST_TOKEN_S) * rate
+        usual_s = MIN_FIRST_TOKEN_S + work / REFERENCE_RATE
         value = observed_s / usual_s
         history = self._history_of(endpoint)
         history.first_tokens.append(Observation(context.now, value))
@@ -151,7 +155,7 @@
     def _(self, message: AttemptFinished, context: Context) -> None:
         if message.usage is not None:
             tokens = message.usage.completion_tokens
-            self.ended[message.request_id] = Ended(context.now, tokens)
+            self.ended[message.request_id] = FinishedAttempt(context.now, tokens)
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
@@ -162,7 +166,7 @@
         endpoint = context.state.fleet.endpoints.get(current.endpoint)
         if endpoint is None or endpoint.entry.incarnation != current.incarnation:
             return
-        if ended.tokens >= FEWEST_TOKENS:
+        if ended.tokens >= MIN_ANSWER_TOKENS:
             taken_s = (ended.at - current.first_token_at).total_seconds()
             gap_s = taken_s / (ended.tokens - 1)
             history = self._history_of(endpoint)
@@ -170,14 +174,14 @@
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
-        if context.now - self.looked_at < LOOK:
+        if context.now - self.checked_at < CHECK_INTERVAL:
             return
-        self.looked_at = context.now
-        self._forget_former_lives(context)
+        self.checked_at = context.now
+        self._reset_restarted(context)
         for target, group in context.state.fleet.by_target.items():
-            self._look_at(target, list(group.values()), context)
+            self._check_target(target, list(group.values()), context)
 
-    def _forget_former_lives(self, context: Context) -> None:
+    def _reset_restarted(self, context: Context) -> None:
         """Let an endpoint that was started again begin without its past."""
         endpoints = context.state.fleet.endpoints
         for name, history in list(self.histories.items()):
@@ -187,14 +191,14 @@
             endpoint.ejected_until = None
             del self.histories[name]
 
-    def _history_of(self, endpoint: Endpoint) -> History:
+    def _history_of(self, endpoint: Endpoint) -> LatencyHistory:
         name = endpoint.endpoint_id
         known = self.histories.get(name)
         if known is None or known.incarnation != endpoint.entry.incarnation:
-            known = self.histories[name] = History(endpoint.entry.incarnation)
+            known = self.histories[name] = LatencyHistory(endpoint.entry.incarnation)
         return known
 
-    def _look_at(
+    def _check_target(
         self, target: ModelId | ServiceId, group: list[Endpoint], context: Context
     ) -> None:
         """Eject the slowest of a target's endpoints that are slow."""
@@ -204,7 +208,7 @@
             if each.endpoint_id in self.histories
             and each.accepts_new_requests(context.now)
         }
-        if len(seen) <= ENOUGH_PEERS:
+        if len(seen) <= MIN_PEERS:
             return
         slowness: dict[EndpointId, float] = {}
         firsts = {name: each.first_tokens for name, each in seen.items()}
@@ -214,27 +218,31 @@
                 slowness[name] = max(times, slowness.get(name, 0.0))
         for name in sorted(slowness, key=lambda each: slowness[each], reverse=True):
             endpoint = context.state.fleet.endpoints[name]
-            if slowness[name] >= SLOW and _may_eject(endpoint, context):
+            if slowness[name] >= SLOW_RATIO and _may_eject(endpoint, context):
                 self._eject(endpoint, context)
 
     def _compare(
         self,
         series: dict[EndpointId, deque[Observation]],
-        histories: dict[EndpointId, History],
+        histories: dict[EndpointId, LatencyHistory],
         now: timedelta,
     ) -> Iterable[tuple[EndpointId, float]]:
         """Return how many times the median of its peers each endpoint takes."""
         medians = {}
         quartiles = {}
         for name, kept in series.items():
-            while kept and now - kept[0].at > OLD:
+            while kept and now - kept[0].at > OBSERVATION_TTL:
                 kept.popleft()
-            enough = ENOUGH_ON_TRIAL if histories[name].on_trial else ENOUGH
+            enough = (
+                MIN_PROBATION_OBSERVATIONS
+                if histories[name].on_probation
+                else MIN_OBSERVATIONS
+            )
             if len(kept) >= enough:
                 values = sorted(each.value for each in kept)
                 medians[name] = median(values)
                 quartiles[name] = values[len(values) // QUARTERS]
-        if len(medians) <= ENOUGH_PEERS:
+        if len(medians) <= MIN_PEERS:
             return
         ordered = sorted(medians.values())
         for name, own in medians.items():
@@ -246,9 +254,9 @@
 
     def _eject(self, endpoint: Endpoint, context: Context) -> None:
         history = self._history_of(endpoint)
-        if context.now - history.ejected_at > FORGIVEN + LONGEST_PAUSE:
+        if context.now - history.ejected_at > EJECTION_RESET_AFTER + MAX_EJECTION_TIME:
             history.ejections = 0
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2**history.ejections)
+        pause = min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**history.ejections)
         history.ejections = min(history.ejections + 1, 10)
         history.ejected_at = context.now
         history.first_tokens.clear()
--- a/src/mimosafork/policies/engine_load.py
+++ b/src/mimosafork/policies/engine_load.py
@@ -11,25 +11,25 @@
 from ..ids import Incarnation, RequestId
 from ..kernel.fleet import Endpoint
 
-FIRST_RATE = 30_000.0
+DEFAULT_PREFILL_RATE = 30_000.0
 """Prompt tokens a second of an engine that has not reported yet."""
 
 SHORT_BACKLOG_S = 1.0
 """Work of short prompts that is let wait at an engine: reports are about that old."""
 
-FIRST_TICK_S = 0.25
-MOST_TICKS_AHEAD = 20
+DEFAULT_TICK_S = 0.25
+MAX_TICKS_AHEAD = 20
 """Reports that may be missing until the engine's time is taken to stand still."""
 
-FIRST_TICKS = 3
+UNFILTERED_TICKS = 3
 """Observations that are believed whatever they are."""
 
-TICK_MEMORY = 0.1
+TICK_EWMA_WEIGHT = 0.1
 """Weight of a new observation of the time between two reports."""
 
 
 @dataclass(slots=True)
-class Sent:
+class SentRequest:
     """A request that this instance has sent to an engine.
 
     Attributes
@@ -67,18 +67,18 @@
     """
 
     incarnation: Incarnation
-    rate: float = FIRST_RATE
+    rate: float = DEFAULT_PREFILL_RATE
     capacity: int = 0
     reported_memory: int = 0
     reported_at_s: float = 0.0
     sequence: int = 0
-    tick_s: float = FIRST_TICK_S
+    tick_s: float = DEFAULT_TICK_S
     ticks_seen: int = 0
     short_level: float = 0.0
     long_level: float = 0.0
     level_at_s: float = 0.0
-    sent: dict[RequestId, Sent] = field(default_factory=dict)
-    recent: dict[RequestId, Sent] = field(default_factory=dict)
+    sent: dict[RequestId, SentRequest] = field(default_factory=dict)
+    recent: dict[RequestId, SentRequest] = field(default_factory=dict)
     recent_memory: int = 0
     own_long_waiting: int = 0
     own_long_memory: int = 0
@@ -92,12 +92,12 @@
             return
         reported_at_s = endpoint.reported_at.total_seconds()
         self._learn_tick(report.sequence, reported_at_s)
-        self.rate = report.prefill_rate or FIRST_RATE
+        self.rate = report.prefill_rate or DEFAULT_PREFILL_RATE
         self.capacity = report.kv_capacity
         self.reported_memory = report.kv_used
         self.reported_at_s = reported_at_s
         self.sequence = report.sequence
-        self._forget_known(reported_at_s)
+        self._drop_reported(reported_at_s)
         known_long = self.own_long_waiting + self.peers_long
         known_long -= sum(
             each.work
@@ -123,12 +123,12 @@
         # An engine that was restarted counts from one again: one such step would
         # spoil the estimate for minutes.
         usual = self.tick_s / 4 < seen_s < self.tick_s * 4
-        if seen_s > 0 and (usual or self.ticks_seen < FIRST_TICKS):
+        if seen_s > 0 and (usual or self.ticks_seen < UNFILTERED_TICKS):
             self.ticks_seen += 1
-            weight = max(TICK_MEMORY, 1 / self.ticks_seen)
+            weight = max(TICK_EWMA_WEIGHT, 1 / self.ticks_seen)
             self.tick_s += weight * (seen_s - self.tick_s)
 
-    def _forget_known(self, reported_at_s: float) -> None:
+    def _drop_reported(self, reported_at_s: float) -> None:
         known = []
         for request_id, each in self.recent.items():
             if each.at_s > reported_at_s:
@@ -145,14 +145,14 @@
         self.short_level -= from_short
         self.long_level = max(0.0, self.long_level - (done - from_short))
 
-    def _add(self, sent: Sent) -> None:
+    def _add(self, sent: SentRequest) -> None:
         self._drain(sent.at_s)
         if sent.is_long:
             self.long_level += sent.work
         else:
             self.short_level += sent.work
 
-    def send(self, request_id: RequestId, sent: Sent) -> None:
+    def send(self, request_id: RequestId, sent: SentRequest) -> None:
         """Note a dispatch."""
         self.finish(request_id)
         self.sent[request_id] = sent
@@ -163,7 +163,7 @@
             self.own_long_memory += sent.memory
         self._add(sent)
 
-    def first_token(self, request_id: RequestId) -> Sent | None:
+    def first_token(self, request_id: RequestId) -> SentRequest | None:
         """Note that a prefill is over; return what was sent."""
         sent = self.sent.get(request_id)
         if sent is None or sent.prefilled:
@@ -207,4 +207,4 @@
         priorities made from it can be compared at the engine.
         """
         since_s = now.total_seconds() - self.reported_at_s
-        return self.sequence + min(since_s / self.tick_s, MOST_TICKS_AHEAD)
+        return self.sequence + min(since_s / self.tick_s, MAX_TICKS_AHEAD)
--- a/src/mimosafork/policies/fair_shares.py
+++ b/src/mimosafork/policies/fair_shares.py
@@ -17,24 +17,24 @@
 )
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
-from .engine_load import FIRST_RATE
+from .engine_load import DEFAULT_PREFILL_RATE
 from .prediction import Prediction
 
-FREE_SHARES = 2.0
+UNPENALIZED_SHARES = 2.0
 """An account is ranked later for what it has beyond so many fair shares; its short
 requests would otherwise lengthen the tail of all whenever it is a little busier."""
 
-FREE_FOR_EACH_OTHER = 0.25
+UNPENALIZED_PER_OTHER_ACCOUNT = 0.25
 
-MOST_LATER_S = 5.0
+MAX_PENALTY_S = 5.0
 """A request is never ranked later by more: a large account's requests go on
 ageing, and none of them waits for ever."""
 
-USUAL_WEIGHT = 1.0
+DEFAULT_WEIGHT = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
+class AccountWorkload:
     """An account's long prompts, or its others.
 
     They are counted apart: an account's letters would wait for its one dossier,
@@ -46,10 +46,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldWork:
     """What a request in progress holds of its account's share."""
 
-    holder: Holder
+    holder: AccountWorkload
     work_s: float
 
 
@@ -66,11 +66,11 @@
 
     def __init__(self) -> None:
         self.prediction: Prediction | None = None
-        self.held: dict[RequestId, Held] = {}
-        self.work_s: defaultdict[Holder, float] = defaultdict(float)
-        self.counts: defaultdict[Holder, int] = defaultdict(int)
-        self.weights: dict[Holder, float] = {}
-        self.excess_s: dict[Holder, float] | None = None
+        self.held: dict[RequestId, HeldWork] = {}
+        self.work_s: defaultdict[AccountWorkload, float] = defaultdict(float)
+        self.counts: defaultdict[AccountWorkload, int] = defaultdict(int)
+        self.weights: dict[AccountWorkload, float] = {}
+        self.excess_s: dict[AccountWorkload, float] | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
         """Keep the prediction."""
@@ -81,12 +81,12 @@
         request = record.request
         if request.kind is RequestKind.SERVICE or self.prediction is None:
             return Proceed()
-        work_s = self.prediction.alone_s(request, FIRST_RATE)
-        holder = Holder(request.account, self.prediction.is_long(request))
+        work_s = self.prediction.alone_s(request, DEFAULT_PREFILL_RATE)
+        holder = AccountWorkload(request.account, self.prediction.is_long(request))
         self.work_s[holder] += work_s
         self.counts[holder] += 1
         self.weights[holder] = _weight_of(request.account, context)
-        self.held[request.request_id] = Held(holder, work_s)
+        self.held[request.request_id] = HeldWork(holder, work_s)
         self.excess_s = None
         return Proceed()
 
@@ -107,17 +107,17 @@
             del self.weights[held.holder]
         self.excess_s = None
 
-    def later_s(self, record: RequestRecord) -> float:
+    def penalty_s(self, record: RequestRecord) -> float:
         """Return by how much the request is ranked later than by its age."""
         held = self.held.get(record.request_id)
         if held is None:
             return 0.0
         if self.excess_s is None:
-            self.excess_s = self._sum_up()
+            self.excess_s = self._excess_by_workload()
         beyond_s = max(0.0, self.excess_s[held.holder] - held.work_s)
-        return min(MOST_LATER_S, beyond_s)
+        return min(MAX_PENALTY_S, beyond_s)
 
-    def _sum_up(self) -> dict[Holder, float]:
+    def _excess_by_workload(self) -> dict[AccountWorkload, float]:
         """Return the work of each account beyond what is free."""
         excess_s = {}
         for is_long in (False, True):
@@ -125,7 +125,9 @@
             total_s = sum(self.work_s[each] for each in group)
             weights = sum(self.weights[each] for each in group)
             # Among two or three accounts two fair shares are all that there is.
-            free = min(FREE_SHARES, 1 + FREE_FOR_EACH_OTHER * (len(group) - 1))
+            free = min(
+                UNPENALIZED_SHARES, 1 + UNPENALIZED_PER_OTHER_ACCOUNT * (len(group) - 1)
+            )
             for each in group:
                 free_s = free * total_s * self.weights[each] / weights
                 excess_s[each] = self.work_s[each] - free_s
@@ -135,5 +137,5 @@
 def _weight_of(account: AccountId, context: Context) -> float:
     configuration = context.state.configuration
     if configuration is None or account not in configuration.accounts:
-        return USUAL_WEIGHT
+        return DEFAULT_WEIGHT
     return configuration.accounts[account].weight
--- a/src/mimosafork/policies/gangs/allowance.py
+++ b/src/mimosafork/policies/gangs/allowance.py
@@ -52,7 +52,7 @@
     return waiting > YIELD_BACKLOG_S * sum(load.rate for _, load in pairs)
 
 
-def beyond_the_fleet(record: RequestRecord) -> Refuse:
+def refuse_oversized_prompt(record: RequestRecord) -> Refuse:
     """Return the refusal of a prompt that the whole fleet could not hold."""
     detail = (
         f"the prompt has {record.request.prompt_tokens} tokens, more than the engines "
--- a/src/mimosafork/policies/gangs/gang.py
+++ b/src/mimosafork/policies/gangs/gang.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class GangHolding:
     """Something that an engine may hold for the gang."""
 
     endpoint: EndpointId
@@ -83,9 +83,9 @@
     members: list[Member]
     incarnations: tuple[Incarnation, ...]
     step: Step = Step.RESERVING
-    parts: dict[str, Part] = field(default_factory=dict)
-    reserve_at: int = 0
-    segment_at: int = 0
+    holdings: dict[str, GangHolding] = field(default_factory=dict)
+    next_reservation: int = 0
+    current_index: int = 0
     begun_at: timedelta | None = None
     import_id: ReservationId | None = None
     stream_id: StreamId | None = None
@@ -93,17 +93,17 @@
     @property
     def current(self) -> Member:
         """The member whose part comes next."""
-        return self.members[self.segment_at]
+        return self.members[self.current_index]
 
     @property
     def is_last(self) -> bool:
         """Whether the current part is the last one."""
-        return self.segment_at == len(self.members) - 1
+        return self.current_index == len(self.members) - 1
 
     def hold(self, member: Member, kind: HoldingKind, holding_id: str) -> None:
         """Note that an engine may hold something from now on."""
-        part = Part(member.endpoint, member.address, kind, holding_id)
-        self.parts[holding_id] = part
+        holding = GangHolding(member.endpoint, member.address, kind, holding_id)
+        self.holdings[holding_id] = holding
 
     def name(self, what: str, index: int) -> str:
         """Return an id for something of this gang."""
--- a/src/mimosafork/policies/gangs/placer.py
+++ b/src/mimosafork/policies/gangs/placer.py
@@ -47,20 +47,20 @@
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ..deadlines import DeadlineCheck
-from ..engine_load import FIRST_RATE, Sent
+from ..engine_load import DEFAULT_PREFILL_RATE, SentRequest
 from ..prediction import Prediction
 from ..priorities import AgeingPriorities
-from .allowance import beyond_the_fleet, long_part, should_yield
+from .allowance import long_part, refuse_oversized_prompt, should_yield
 from .gang import Gang, Member, Step, make_gang
 from .plan import free_room, split
 
-MOST_FAILURES = 3
+MAX_GANG_FAILURES = 3
 """Gangs of one request that may fail for other reasons than memory."""
 
-PAUSE_S = 1.0
+MEAN_PAUSE_S = 1.0
 """Mean pause before a gang that found no memory is tried again."""
 
-RESERVED_FOR = timedelta(seconds=10)
+MIN_RESERVATION_TTL = timedelta(seconds=10)
 """Least time for which memory is reserved, on top of the predicted time until its
 part is prefilled. An engine frees the reservations of a dead instance then."""
 
@@ -76,7 +76,7 @@
         self.priorities: AgeingPriorities | None = None
         self.deadlines: DeadlineCheck | None = None
         self.gangs: dict[RequestId, Gang] = {}
-        self.made: dict[RequestId, int] = {}
+        self.gang_counts: dict[RequestId, int] = {}
         self.failures: dict[RequestId, int] = {}
         self.not_before: dict[RequestId, timedelta] = {}
 
@@ -91,7 +91,7 @@
         request = record.request
         if request.kind is RequestKind.SERVICE:
             return NotApplicable()
-        if not self.prediction.is_beyond_one(request):
+        if not self.prediction.exceeds_one_engine(request):
             return NotApplicable()
         pairs = [
             (endpoint, self.prediction.load_of(endpoint))
@@ -99,7 +99,7 @@
         ]
         share = long_part(record, pairs, context)
         if share is None:
-            return beyond_the_fleet(record)
+            return refuse_oversized_prompt(record)
         late = self.deadlines and self.deadlines.late(record, 0.0, context)
         if late:
             return late
@@ -112,8 +112,8 @@
         segments = split(request.prompt_tokens, request.max_tokens, rooms)
         if segments is None:
             return Wait("gang-room")
-        number = self.made.get(request.request_id, 0) + 1
-        self.made[request.request_id] = number
+        number = self.gang_counts.get(request.request_id, 0) + 1
+        self.gang_counts[request.request_id] = number
         gang = make_gang(request.request_id, number, segments)
         self.gangs[request.request_id] = gang
         self._reserve_next(gang, record, context)
@@ -123,11 +123,11 @@
         self, gang: Gang, record: RequestRecord, context: Context
     ) -> None:
         """Ask for the next reservation, or begin to prefill after the last."""
-        if gang.reserve_at >= 2 * len(gang.members):
+        if gang.next_reservation >= 2 * len(gang.members):
             self._prefill(gang, record, context)
             return
-        index, is_placeholder = divmod(gang.reserve_at, 2)
-        gang.reserve_at += 1
+        index, is_placeholder = divmod(gang.next_reservation, 2)
+        gang.next_reservation += 1
         member = gang.members[index]
         segment = member.segment
         if is_placeholder and segment.import_tokens == 0:
@@ -155,16 +155,16 @@
         self, member: Member, name: str, tokens: int, context: Context
     ) -> None:
         load = self.prediction.load_of(member.segment.endpoint)
-        sent = Sent(context.now.total_seconds(), 0, tokens, is_long=True)
+        sent = SentRequest(context.now.total_seconds(), 0, tokens, is_long=True)
         load.send(RequestId(name), sent)
 
     def _time_to_live(
         self, record: RequestRecord, first: int, context: Context
     ) -> timedelta:
         """Return how long memory is kept for the part that begins at a token."""
-        whole_s = self.prediction.alone_s(record.request, FIRST_RATE)
+        whole_s = self.prediction.alone_s(record.request, DEFAULT_PREFILL_RATE)
         before_s = whole_s * first / max(1, record.request.prompt_tokens)
-        kept = RESERVED_FOR + timedelta(seconds=2 * before_s)
+        kept = MIN_RESERVATION_TTL + timedelta(seconds=2 * before_s)
         return min(kept, record.request.deadline - context.now)
 
     def _prefill(self, gang: Gang, record: RequestRecord, context: Context) -> None:
@@ -192,7 +192,7 @@
             context.post(Placed(gang.request_id, place))
             return
         gang.step = Step.PREFILLING
-        gang.stream_id = StreamId(gang.name("s", gang.segment_at))
+        gang.stream_id = StreamId(gang.name("s", gang.current_index))
         gang.hold(member, HoldingKind.STREAM, gang.stream_id)
         record.prefill_may_have_run = True
         context.emit(
@@ -216,10 +216,10 @@
     ) -> None:
         """Have the next engine pull the KV of all parts so far."""
         source = gang.current
-        gang.segment_at += 1
+        gang.current_index += 1
         member = gang.current
         gang.step = Step.IMPORTING
-        gang.import_id = ReservationId(gang.name("i", gang.segment_at))
+        gang.import_id = ReservationId(gang.name("i", gang.current_index))
         self._free(gang, member.placeholder, context)
         gang.hold(member, HoldingKind.RESERVATION, gang.import_id)
         tokens = member.segment.import_tokens
@@ -232,43 +232,47 @@
                 address=member.address,
                 source=source.address,
                 handle=handle,
-                time_to_live=min(RESERVED_FOR, record.request.deadline - context.now),
+                time_to_live=min(
+                    MIN_RESERVATION_TTL, record.request.deadline - context.now
+                ),
             )
         )
 
     def _free(self, gang: Gang, holding_id: str, context: Context) -> None:
-        part = gang.parts.pop(holding_id, None)
-        if part is None:
+        holding = gang.holdings.pop(holding_id, None)
+        if holding is None:
             return
-        context.emit(FreeOwnHolding(part.endpoint, part.address, part.kind, holding_id))
-        load = self.prediction.loads.get(part.endpoint)
+        context.emit(
+            FreeOwnHolding(holding.endpoint, holding.address, holding.kind, holding_id)
+        )
+        load = self.prediction.loads.get(holding.endpoint)
         if load is not None:
             load.finish(RequestId(holding_id))
 
-    def _dissolve(self, request_id: RequestId, context: Context) -> Gang | None:
+    def _release_gang(self, request_id: RequestId, context: Context) -> Gang | None:
         """Free all that the gang of a request may hold, in the order it was asked."""
         gang = self.gangs.pop(request_id, None)
         if gang is not None:
-            for holding_id in list(gang.parts):
+            for holding_id in list(gang.holdings):
                 self._free(gang, holding_id, context)
         return gang
 
     def _fail(self, gang: Gang, failure: GangStepFailure, context: Context) -> None:
         """Free everything and give the request back to the queue, or give up."""
         request_id = gang.request_id
-        self._dissolve(request_id, context)
-        pause_s = PAUSE_S * (0.5 + context.random.random())
+        self._release_gang(request_id, context)
+        pause_s = MEAN_PAUSE_S * (0.5 + context.random.random())
         self.not_before[request_id] = context.now + timedelta(seconds=pause_s)
         if failure is not GangStepFailure.NO_MEMORY:
             self.failures[request_id] = self.failures.get(request_id, 0) + 1
         refuse = None
-        if self.failures.get(request_id, 0) >= MOST_FAILURES:
-            detail = f"{MOST_FAILURES} gangs of engines failed: {failure.value}"
+        if self.failures.get(request_id, 0) >= MAX_GANG_FAILURES:
+            detail = f"{MAX_GANG_FAILURES} gangs of engines failed: {failure.value}"
             problem = Problem(ProblemCode.ENDPOINT_FAILED, detail)
             refuse = Refuse(problem, Outcome.FAILED)
         context.post(PlacementFailed(request_id, refuse))
 
-    def _found(
+    def _gang_at_step(
         self, request_id: RequestId, step: Step, context: Context
     ) -> tuple[Gang, RequestRecord] | None:
         """Return a gang that waits for this step; late answers find none."""
@@ -284,19 +288,19 @@
 
     @handle.register
     def _(self, message: MemoryReserved, context: Context) -> None:
-        found = self._found(message.request_id, Step.RESERVING, context)
-        if found is not None and message.reservation in found[0].parts:
+        found = self._gang_at_step(message.request_id, Step.RESERVING, context)
+        if found is not None and message.reservation in found[0].holdings:
             self._reserve_next(*found, context)
 
     @handle.register
     def _(self, message: ReservationFailed, context: Context) -> None:
-        found = self._found(message.request_id, Step.RESERVING, context)
-        if found is not None and message.reservation in found[0].parts:
+        found = self._gang_at_step(message.request_id, Step.RESERVING, context)
+        if found is not None and message.reservation in found[0].holdings:
             self._fail(found[0], message.failure, context)
 
     @handle.register
     def _(self, message: SegmentPrefilled, context: Context) -> None:
-        found = self._found(message.request_id, Step.PREFILLING, context)
+        found = self._gang_at_step(message.request_id, Step.PREFILLING, context)
         if found is None or found[0].stream_id != message.stream_id:
             # The gang was given up while this answer was on its way: its export
             # would be held until the deadline if nobody freed it.
@@ -316,49 +320,49 @@
         """
         member = gang.current
         for name in (gang.stream_id, member.reservation, gang.import_id):
-            if name is not None and gang.parts.pop(name, None) is not None:
+            if name is not None and gang.holdings.pop(name, None) is not None:
                 self.prediction.load_of(member.segment.endpoint).finish(RequestId(name))
         gang.hold(member, HoldingKind.EXPORT, handle)
         self._count_memory(member, handle, member.segment.tokens, context)
 
     @handle.register
     def _(self, message: SegmentFailed, context: Context) -> None:
-        found = self._found(message.request_id, Step.PREFILLING, context)
+        found = self._gang_at_step(message.request_id, Step.PREFILLING, context)
         if found is not None and found[0].stream_id == message.stream_id:
             self._fail(found[0], message.failure, context)
 
     @handle.register
     def _(self, message: KvImported, context: Context) -> None:
-        found = self._found(message.request_id, Step.IMPORTING, context)
+        found = self._gang_at_step(message.request_id, Step.IMPORTING, context)
         if found is not None and found[0].import_id == message.import_id:
             self._prefill(*found, context)
 
     @handle.register
     def _(self, message: ImportFailed, context: Context) -> None:
-        found = self._found(message.request_id, Step.IMPORTING, context)
+        found = self._gang_at_step(message.request_id, Step.IMPORTING, context)
         if found is not None and found[0].import_id == message.import_id:
             self._fail(found[0], message.failure, context)
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
-        self._dissolve(message.request_id, context)
+        self._release_gang(message.request_id, context)
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
         request_id = message.record.request_id
-        self._dissolve(request_id, context)
-        self.made.pop(request_id, None)
+        self._release_gang(request_id, context)
+        self.gang_counts.pop(request_id, None)
         self.failures.pop(request_id, None)
         self.not_before.pop(request_id, None)
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
         for gang in list(self.gangs.values()):
-            if gang.step is not Step.RUNNING and _has_lost_one(gang, context):
+            if gang.step is not Step.RUNNING and _has_lost_member(gang, context):
                 self._fail(gang, GangStepFailure.FAILED, context)
 
 
-def _has_lost_one(gang: Gang, context: Context) -> bool:
+def _has_lost_member(gang: Gang, context: Context) -> bool:
     """Return whether an engine has died since the gang began.
 
     Its part of the KV is gone. A chain that went on would end with an answer to a
--- a/src/mimosafork/policies/gangs/plan.py
+++ b/src/mimosafork/policies/gangs/plan.py
@@ -9,7 +9,7 @@
 IMPORT_SHARE = 16
 """An import takes one token of memory for this many imported (docs/PLATFORM.md)."""
 
-MOST_MEMBERS = 8
+MAX_MEMBERS = 8
 """Engines of one gang: each further one is one more that can fail."""
 
 USABLE_SHARE = 0.9
@@ -84,7 +84,7 @@
         In the order of the engines' ids, which all gangs reserve in; None if the
         engines, up to `MOST_MEMBERS`, don't hold it.
     """
-    for members in range(1, min(MOST_MEMBERS, len(rooms)) + 1):
+    for members in range(1, min(MAX_MEMBERS, len(rooms)) + 1):
         chosen = sorted(rooms[:members], key=lambda room: room.endpoint.entry.endpoint)
         segments = _split_over(prompt_tokens, answer_tokens, chosen)
         if segments is not None:
--- a/src/mimosafork/policies/limits/bucket.py
+++ b/src/mimosafork/policies/limits/bucket.py
@@ -2,14 +2,14 @@
 
 from math import exp
 
-FULL = 1e-6
+FULL_TOLERANCE = 1e-6
 """Part of a bucket's size by which a full one may fall short of it in floats."""
 
-DEMAND_MEMORY_S = 10.0
+DEMAND_WINDOW_S = 10.0
 """Time over which demand is averaged."""
 
 
-class Bucket:
+class AccountBucket:
     """Tokens that one instance may let an account take.
 
     Whoever finds it full may take more than it holds: a request larger than the
@@ -33,7 +33,7 @@
     @property
     def is_full(self) -> bool:
         """Whether nothing is missing."""
-        return self.level >= self.size * (1 - FULL)
+        return self.level >= self.size * (1 - FULL_TOLERANCE)
 
     def refill(self, now_s: float) -> None:
         """Add what has come in at the rate in force so far."""
@@ -41,7 +41,7 @@
         self.level = min(self.size, self.level + came)
         self.at_s = now_s
 
-    def move(self, size: float, rate: float, now_s: float) -> None:
+    def resize(self, size: float, rate: float, now_s: float) -> None:
         """Take over another part of the limit from now on.
 
         A larger bucket is not filled at once: what another instance has taken from
@@ -60,7 +60,7 @@
         self.level -= tokens
         return True
 
-    def give_back(self, tokens: float, now_s: float) -> None:
+    def refund(self, tokens: float, now_s: float) -> None:
         """Return tokens that were not used; negative if more were."""
         self.refill(now_s)
         self.level = min(self.size, self.level + tokens)
@@ -79,10 +79,10 @@
 
     def note(self, tokens: float, now_s: float) -> None:
         """Note a request."""
-        self.sum = self.rate(now_s) * DEMAND_MEMORY_S + tokens
+        self.sum = self.rate(now_s) * DEMAND_WINDOW_S + tokens
         self.at_s = now_s
 
     def rate(self, now_s: float) -> float:
         """Return tokens a second."""
-        faded = exp((self.at_s - now_s) / DEMAND_MEMORY_S)
-        return self.sum * faded / DEMAND_MEMORY_S
+        faded = exp((self.at_s - now_s) / DEMAND_WINDOW_S)
+        return self.sum * faded / DEMAND_WINDOW_S
--- a/src/mimosafork/policies/limits/shares.py
+++ b/src/mimosafork/policies/limits/shares.py
@@ -22,13 +22,13 @@
 from ...kernel.messages.limits import AccountDemand, AccountDemandReceived, AccountKey
 from ...kernel.messages.peers import MemberState
 
-SETTLE = timedelta(seconds=10)
+PROPAGATION_LIMIT = timedelta(seconds=10)
 """Longest time that a word is thought to take to all that it concerns."""
 
-FORGET = timedelta(seconds=30)
+DEMAND_TTL = timedelta(seconds=30)
 """A silent instance or zone is not counted any more after so long."""
 
-EVEN_PART = 0.1
+EVEN_SHARE = 0.1
 """Weight of the even split, as part of the limit: what an account can take at an
 instance that has not told of it yet, and what of it is never used if all of its
 requests come to one instance."""
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class PublishedDemand:
     """What one instance, or one zone's speaker, has published.
 
     Attributes
@@ -50,16 +50,16 @@
     at: timedelta = DISTANT_PAST
     past: deque[tuple[timedelta, Demands]] = field(default_factory=deque)
 
-    def renew(self, demand: AccountDemand, now: timedelta) -> None:
+    def replace_current(self, demand: AccountDemand, now: timedelta) -> None:
         """Take over the newest value."""
         self.past.append((now, self.current))
         pairs = zip(demand.accounts, demand.tokens_per_second, strict=True)
         self.current = dict(pairs)
         self.at = now
 
-    def forget_past(self, now: timedelta) -> None:
+    def drop_past(self, now: timedelta) -> None:
         """Drop the values that everybody has replaced by now."""
-        while self.past and now - self.past[0][0] > SETTLE:
+        while self.past and now - self.past[0][0] > PROPAGATION_LIMIT:
             self.past.popleft()
 
     def least(self, account: AccountKey) -> int:
@@ -95,8 +95,8 @@
     """
 
     def __init__(self) -> None:
-        self.instances: dict[InstanceId, Told] = {}
-        self.zones: dict[AvailabilityZoneId, Told] = {}
+        self.instances: dict[InstanceId, PublishedDemand] = {}
+        self.zones: dict[AvailabilityZoneId, PublishedDemand] = {}
         self.silent_zones: frozenset[AvailabilityZoneId] = frozenset()
         self.listed: Counter[AvailabilityZoneId] = Counter()
         self.zone_most: Counter[AccountKey] = Counter()
@@ -104,30 +104,36 @@
         self.last: dict[AccountKey, float] = {}
         self.is_cut_off = False
 
-    def hear(self, message: AccountDemandReceived, context: Context) -> None:
+    def receive(self, message: AccountDemandReceived, context: Context) -> None:
         """Note what a peer has told."""
         origin = message.origin
         if message.of_zone:
-            told = self.zones.setdefault(origin.availability_zone, Told())
+            published = self.zones.setdefault(
+                origin.availability_zone, PublishedDemand()
+            )
         else:
-            told = self.instances.setdefault(origin.instance, Told())
-        told.renew(message.demand, context.now)
+            published = self.instances.setdefault(origin.instance, PublishedDemand())
+        published.replace_current(message.demand, context.now)
 
     def note_own(self, demand: AccountDemand, context: Context) -> None:
         """Note what this instance tells of itself."""
         own = context.state.identity.instance
-        self.instances.setdefault(own, Told()).renew(demand, context.now)
+        self.instances.setdefault(own, PublishedDemand()).replace_current(
+            demand, context.now
+        )
 
     def note_zone(self, demand: AccountDemand, context: Context) -> None:
         """Note what this instance tells as its zone's speaker."""
         zone = context.state.identity.availability_zone
-        self.zones.setdefault(zone, Told()).renew(demand, context.now)
+        self.zones.setdefault(zone, PublishedDemand()).replace_current(
+            demand, context.now
+        )
 
     def zone_sums(self) -> Counter[AccountKey]:
         """Return the zone's newest demand by account."""
         sums: Counter[AccountKey] = Counter()
-        for told in self.instances.values():
-            sums.update(told.current)
+        for published in self.instances.values():
+            sums.update(published.current)
         return sums
 
     def refresh(self, context: Context) -> None:
@@ -151,21 +157,21 @@
         own = context.state.identity
         members = context.state.fleet.members
         others = [each for each in members.values() if each.instance != own.instance]
-        heard = [each for each in others if each.state is not MemberState.SUSPECT]
-        self.is_cut_off = bool(others) and not heard
+        reachable = [each for each in others if each.state is not MemberState.SUSPECT]
+        self.is_cut_off = bool(others) and not reachable
         if self.is_cut_off:
             return
-        kept = {each.instance for each in heard} | {own.instance}
-        old = context.now - FORGET
+        kept = {each.instance for each in reachable} | {own.instance}
+        old = context.now - DEMAND_TTL
         self.instances = {
-            name: told
-            for name, told in self.instances.items()
-            if name in kept or told.at > old
+            name: published
+            for name, published in self.instances.items()
+            if name in kept or published.at > old
         }
         self.zones = {
-            name: told
-            for name, told in self.zones.items()
-            if name not in self.silent_zones or told.at > old
+            name: published
+            for name, published in self.zones.items()
+            if name not in self.silent_zones or published.at > old
         }
 
     def part(self, account: AccountKey, limit: float, context: Context) -> float:
@@ -180,25 +186,27 @@
         if self.is_cut_off:
             return self.last.get(account, 1 / count)
         identity = context.state.identity
-        even = EVEN_PART * limit / count
-        told = self.instances.get(identity.instance, Told())
+        even = EVEN_SHARE * limit / count
+        published = self.instances.get(identity.instance, PublishedDemand())
         zone_even = even * max(1, self.listed[identity.availability_zone])
-        least = told.least(account) + even
-        others = self.zone_most[account] - told.most_of(account) + zone_even - even
+        least = published.least(account) + even
+        others = self.zone_most[account] - published.most_of(account) + zone_even - even
         part = least / (least + others)
         if len(self.listed) > 1:
-            zone_told = self.zones.get(identity.availability_zone, Told())
-            least = zone_told.least(account) + zone_even
-            others = self.fleet_most[account] - zone_told.most_of(account)
+            zone_published = self.zones.get(
+                identity.availability_zone, PublishedDemand()
+            )
+            least = zone_published.least(account) + zone_even
+            others = self.fleet_most[account] - zone_published.most_of(account)
             others += even * count - zone_even
             part *= least / (least + others)
         self.last[account] = part
         return part
 
 
-def _sum_of(sources: Iterable[Told], now: timedelta) -> Counter[AccountKey]:
+def _sum_of(sources: Iterable[PublishedDemand], now: timedelta) -> Counter[AccountKey]:
     total: Counter[AccountKey] = Counter()
-    for told in sources:
-        told.forget_past(now)
-        total.update(told.most())
+    for published in sources:
+        published.drop_past(now)
+        total.update(published.most())
     return total
--- a/src/mimosafork/policies/limits/stage.py
+++ b/src/mimosafork/policies/limits/stage.py
@@ -20,13 +20,13 @@
 from ...kernel.plugins import Proceed, Refuse, RequestConcluded, ReviewDecision, Stage
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
-from .bucket import Bucket, DemandMeter
+from .bucket import AccountBucket, DemandMeter
+from .demand_publisher import DemandPublisher, LocalDemand
 from .shares import Shares
-from .telling import DemandTelling, Wanted
 
 REFRESH = timedelta(seconds=1)
 
-SHORTEST_WAIT_S = 0.1
+MIN_RETRY_AFTER_S = 0.1
 
 
 @dataclass(slots=True)
@@ -39,10 +39,10 @@
 
 
 @dataclass(slots=True)
-class Account:
+class LimitedAccount:
     """An account with recent traffic here."""
 
-    bucket: Bucket
+    bucket: AccountBucket
     demand: DemandMeter
 
 
@@ -59,8 +59,8 @@
 
     def __init__(self) -> None:
         self.shares = Shares()
-        self.telling = DemandTelling(self.shares)
-        self.accounts: dict[AccountId, Account] = {}
+        self.publisher = DemandPublisher(self.shares)
+        self.accounts: dict[AccountId, LimitedAccount] = {}
         self.charges: dict[RequestId, Charge] = {}
         self.refreshed_at = DISTANT_PAST
 
@@ -77,7 +77,7 @@
         if account.bucket.take(tokens, now_s):
             self.charges[request.request_id] = Charge(request.account, tokens)
             return Proceed()
-        wait_s = max(SHORTEST_WAIT_S, account.bucket.wait_s(tokens))
+        wait_s = max(MIN_RETRY_AFTER_S, account.bucket.wait_s(tokens))
         detail = f"the account's {policy.tokens_per_second:g} tokens a second are used"
         wait = timedelta(seconds=round(wait_s, 1))
         return Refuse(Problem(ProblemCode.RATE_LIMITED, detail, wait))
@@ -98,11 +98,11 @@
         account = self.accounts.get(charge.account) if charge is not None else None
         if charge is not None and account is not None:
             unused = charge.tokens - _cost(message, charge)
-            account.bucket.give_back(unused, context.now.total_seconds())
+            account.bucket.refund(unused, context.now.total_seconds())
 
     @handle.register
     def _(self, message: AccountDemandReceived, context: Context) -> None:
-        self.shares.hear(message, context)
+        self.shares.receive(message, context)
 
     @handle.register
     def _(self, message: MembersChanged, context: Context) -> None:
@@ -110,7 +110,7 @@
 
     @handle.register
     def _(self, message: PublishForZone, context: Context) -> None:
-        self.telling.tell_zone(context)
+        self.publisher.publish_zone(context)
 
     @handle.register
     def _(self, message: ConfigurationReceived, context: Context) -> None:
@@ -124,7 +124,7 @@
     def _refresh(self, context: Context) -> None:
         """Tell the demand, and move the buckets by what is told of it."""
         self.refreshed_at = context.now
-        self.telling.tell_own(self._wanted(context), context)
+        self.publisher.publish_own(self._local_demands(context), context)
         self.shares.refresh(context)
         now_s = context.now.total_seconds()
         for name, account in list(self.accounts.items()):
@@ -135,9 +135,9 @@
                 continue
             part = self._part(policy, context)
             size = policy.burst_tokens * part
-            account.bucket.move(size, policy.tokens_per_second * part, now_s)
+            account.bucket.resize(size, policy.tokens_per_second * part, now_s)
 
-    def _wanted(self, context: Context) -> list[Wanted]:
+    def _local_demands(self, context: Context) -> list[LocalDemand]:
         now_s = context.now.total_seconds()
         found = []
         for name, account in self.accounts.items():
@@ -145,10 +145,10 @@
             if policy is not None:
                 demand = account.demand.rate(now_s)
                 limit = policy.tokens_per_second
-                found.append(Wanted(account_key(name), demand, limit))
+                found.append(LocalDemand(account_key(name), demand, limit))
         return found
 
-    def _account(self, policy: AccountPolicy, context: Context) -> Account:
+    def _account(self, policy: AccountPolicy, context: Context) -> LimitedAccount:
         known = self.accounts.get(policy.account)
         if known is None:
             if self.refreshed_at == DISTANT_PAST:
@@ -156,8 +156,10 @@
             part = self._part(policy, context)
             size = policy.burst_tokens * part
             rate = policy.tokens_per_second * part
-            bucket = Bucket(size, rate, context.now.total_seconds())
-            known = self.accounts[policy.account] = Account(bucket, DemandMeter())
+            bucket = AccountBucket(size, rate, context.now.total_seconds())
+            known = self.accounts[policy.account] = LimitedAccount(
+                bucket, DemandMeter()
+            )
         return known
 
     def _part(self, policy: AccountPolicy, context: Context) -> float:
--- a/src/mimosafork/policies/prediction.py
+++ b/src/mimosafork/policies/prediction.py
@@ -22,38 +22,38 @@
 from ..kernel.messages.requests import Request
 from ..kernel.plugins import Plugin, RequestConcluded
 from ..kernel.registry import register
-from .engine_load import EngineLoad, Sent
+from .engine_load import EngineLoad, SentRequest
 
-LENGTH_MEMORY = 0.05
-ENDPOINT_MEMORY = 0.1
+LENGTH_EWMA_WEIGHT = 0.05
+ENDPOINT_EWMA_WEIGHT = 0.1
 """Weights of a new observation, in logarithms."""
 
-LARGEST_RATIO = 20.0
+MAX_RATIO = 20.0
 """Observations beyond it, either way, count as this much."""
 
-SHORTEST_S = 0.02
+MIN_FIRST_TOKEN_S = 0.02
 """Least predicted time to first token: the network and one step of the engine."""
 
-TOKEN_S = 0.01
+DEFAULT_TOKEN_S = 0.01
 """Time of an answer over the most tokens that its caller asked for, before any was
 observed: 40 ms a token, and a quarter of what may be asked for."""
 
-ANSWER_S = 5.0
+DEFAULT_ANSWER_S = 5.0
 """Mean time of an answer before any was observed."""
 
-LONGEST_ANSWER = 2.0
+MAX_ANSWER_RATIO = 2.0
 """Answers are not expected to take longer than this many mean ones: callers ask for
 thousands of tokens to be on the safe side and get a hundred."""
 
-FIRST_BLOCKING = 0.3
+DEFAULT_BLOCKING = 0.3
 """Part of a long prefill that a short prompt is first thought to wait for."""
 
-SEEN_LONG_S = 0.5
+MIN_LONG_AHEAD_S = 0.5
 """Long work ahead from which an observation tells how much of it blocks."""
 
 
 @dataclass(slots=True)
-class Expected:
+class AttemptPrediction:
     """What was predicted for an attempt when it was sent.
 
     Attributes
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class Learned:
+class ModelEstimates:
     """What has been learned of one model.
 
     Attributes
@@ -89,9 +89,9 @@
     """
 
     factors: dict[int, float] = field(default_factory=dict)
-    blocking: float = FIRST_BLOCKING
-    token_s: float = TOKEN_S
-    answer_s: float = ANSWER_S
+    blocking: float = DEFAULT_BLOCKING
+    token_s: float = DEFAULT_TOKEN_S
+    answer_s: float = DEFAULT_ANSWER_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,7 +115,7 @@
         """Return the first token's time by work ahead and prefill alone."""
         short, long = load.levels(self.now_s)
         work = short + long * self.long_part + self.prompt_tokens - cached
-        return SHORTEST_S + work / load.rate
+        return MIN_FIRST_TOKEN_S + work / load.rate
 
 
 def band_of(prompt_tokens: int) -> int:
@@ -137,8 +137,8 @@
         self.loads: dict[EndpointId, EngineLoad] = {}
         self.slowness: dict[EndpointId, float] = {}
         """Observed over predicted time, against the other endpoints; 1 is usual."""
-        self.models: dict[ModelId | ServiceId, Learned] = {}
-        self.expected: dict[RequestId, Expected] = {}
+        self.models: dict[ModelId | ServiceId, ModelEstimates] = {}
+        self.expected: dict[RequestId, AttemptPrediction] = {}
         self.long_prompt_tokens = FleetPolicy().long_prompt_tokens
         self.largest: dict[ModelId | ServiceId, int] = {}
         """Memory of the largest engine that serves each model, in tokens."""
@@ -155,18 +155,18 @@
             self.slowness.pop(endpoint.entry.endpoint, None)
         return load
 
-    def learned(self, target: ModelId | ServiceId) -> Learned:
+    def learned(self, target: ModelId | ServiceId) -> ModelEstimates:
         """Return what is known of a model."""
         known = self.models.get(target)
         if known is None:
-            known = self.models[target] = Learned()
+            known = self.models[target] = ModelEstimates()
         return known
 
     def is_long(self, request: Request) -> bool:
         """Return whether a request counts as long."""
         return request.prompt_tokens >= self.long_prompt_tokens
 
-    def is_beyond_one(self, request: Request) -> bool:
+    def exceeds_one_engine(self, request: Request) -> bool:
         """Return whether no single engine has the memory for a request."""
         needed = request.prompt_tokens + request.max_tokens
         return needed > self.largest.get(request.target, needed)
@@ -192,13 +192,13 @@
 
     def alone_s(self, request: Request, rate: float) -> float:
         """Return the first token's time on an idle endpoint."""
-        plain_s = SHORTEST_S + request.prompt_tokens / rate
+        plain_s = MIN_FIRST_TOKEN_S + request.prompt_tokens / rate
         return plain_s * exp(self._factor(request))
 
     def answer_s(self, request: Request) -> float:
         """Return the expected time from the first token to the last."""
         known = self.learned(request.target)
-        most_s = LONGEST_ANSWER * known.answer_s
+        most_s = MAX_ANSWER_RATIO * known.answer_s
         return min(most_s, request.max_tokens * known.token_s)
 
     def _factor(self, request: Request) -> float:
@@ -219,7 +219,7 @@
         load = self.load_of(endpoint)
         is_long = self.is_long(request)
         long_ahead_s = 0.0 if is_long else load.levels(now_s)[1] / load.rate
-        self.expected[request.request_id] = Expected(
+        self.expected[request.request_id] = AttemptPrediction(
             endpoint=endpoint.entry.endpoint,
             at_s=now_s,
             plain_s=self.quote(request, now_s).plain_s(load, cached),
@@ -228,7 +228,7 @@
         )
         memory = request.prompt_tokens + request.max_tokens
         work = request.prompt_tokens - cached
-        load.send(request.request_id, Sent(now_s, work, memory, is_long))
+        load.send(request.request_id, SentRequest(now_s, work, memory, is_long))
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -298,22 +298,26 @@
             self.loads[expected.endpoint].finish(request_id)
 
     def _learn(
-        self, request: Request, expected: Expected, observed_s: float, rate: float
+        self,
+        request: Request,
+        expected: AttemptPrediction,
+        observed_s: float,
+        rate: float,
     ) -> None:
         known = self.learned(request.target)
-        ratio = observed_s / max(expected.plain_s, SHORTEST_S)
-        seen = log(min(LARGEST_RATIO, max(1 / LARGEST_RATIO, ratio)))
+        ratio = observed_s / max(expected.plain_s, MIN_FIRST_TOKEN_S)
+        seen = log(min(MAX_RATIO, max(1 / MAX_RATIO, ratio)))
         factor = known.factors.get(expected.band, seen)
         surprise = seen - factor
-        known.factors[expected.band] = factor + LENGTH_MEMORY * surprise
+        known.factors[expected.band] = factor + LENGTH_EWMA_WEIGHT * surprise
         slowness = log(self.slowness.get(expected.endpoint, 1.0))
-        slowness += ENDPOINT_MEMORY * (surprise - slowness)
+        slowness += ENDPOINT_EWMA_WEIGHT * (surprise - slowness)
         self.slowness[expected.endpoint] = exp(slowness)
-        if expected.long_ahead_s > SEEN_LONG_S:
-            alone_s = SHORTEST_S + request.prompt_tokens / rate
+        if expected.long_ahead_s > MIN_LONG_AHEAD_S:
+            alone_s = MIN_FIRST_TOKEN_S + request.prompt_tokens / rate
             seen_part = (observed_s - alone_s) / expected.long_ahead_s
             part = min(1.0, max(0.0, seen_part))
-            known.blocking += ENDPOINT_MEMORY * (part - known.blocking)
+            known.blocking += ENDPOINT_EWMA_WEIGHT * (part - known.blocking)
 
     def _learn_answer(self, message: RequestConcluded, context: Context) -> None:
         current = message.record.current
@@ -325,5 +329,5 @@
         known = self.learned(request.target)
         taken_s = (context.now - current.first_token_at).total_seconds()
         wanted = max(1, request.max_tokens)
-        known.token_s += LENGTH_MEMORY * (taken_s / wanted - known.token_s)
-        known.answer_s += LENGTH_MEMORY * (taken_s - known.answer_s)
+        known.token_s += LENGTH_EWMA_WEIGHT * (taken_s / wanted - known.token_s)
+        known.answer_s += LENGTH_EWMA_WEIGHT * (taken_s - known.answer_s)
--- a/src/mimosafork/policies/priorities.py
+++ b/src/mimosafork/policies/priorities.py
@@ -11,7 +11,7 @@
 from ..kernel.plugins import PluginFinder, QueueDiscipline, RequestConcluded
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
-from .engine_load import FIRST_RATE
+from .engine_load import DEFAULT_PREFILL_RATE
 from .fair_shares import FairShares
 from .prediction import Prediction, fleet_policy
 
@@ -23,7 +23,7 @@
 LONG_LANE = "long"
 GANG_LANE = "gang"
 
-MOST_WORK_S = 2.0
+MAX_WORK_S = 2.0
 """Work beyond it does not lower a request's place any more. The longest prompts
 would otherwise wait for all long ones that come in the next minutes; among
 themselves they are better served in the order of arrival."""
@@ -79,8 +79,8 @@
         if known is None:
             known = 0.0
             if self.prediction is not None:
-                known = self.prediction.alone_s(record.request, FIRST_RATE)
-            known = min(known, MOST_WORK_S)
+                known = self.prediction.alone_s(record.request, DEFAULT_PREFILL_RATE)
+            known = min(known, MAX_WORK_S)
             self.work_s[record.request_id] = known
         return known
 
@@ -88,14 +88,14 @@
         """Return the request's place; lower goes first."""
         submitted_s = record.submitted_at.total_seconds()
         if self.fair_shares is not None:
-            submitted_s += self.fair_shares.later_s(record)
+            submitted_s += self.fair_shares.penalty_s(record)
         return submitted_s + self.weight * self.predicted_work_s(record)
 
     def lane(self, record: RequestRecord) -> str:
         """Return which bounds the request has to meet."""
         if self.prediction is None or not self.prediction.is_long(record.request):
             return SHORT_LANE
-        if self.prediction.is_beyond_one(record.request):
+        if self.prediction.exceeds_one_engine(record.request):
             return GANG_LANE
         return LONG_LANE
 
--- a/src/mimosafork/policies/retry.py
+++ b/src/mimosafork/policies/retry.py
@@ -22,16 +22,16 @@
 from ..kernel.registry import register
 from .claims.attach import AttachToRun
 
-BASE_PAUSE = timedelta(milliseconds=50)
-LONGEST_PAUSE = timedelta(seconds=2)
-SHORTEST_PAUSE = timedelta(milliseconds=1)
+BASE_BACKOFF = timedelta(milliseconds=50)
+MAX_BACKOFF = timedelta(seconds=2)
+MIN_BACKOFF = timedelta(milliseconds=1)
 """Above zero, so that plug-ins have seen the failure before the next attempt."""
 
-COME_BACK = timedelta(seconds=2)
+RETRY_AFTER = timedelta(seconds=2)
 RESERVE = 20.0
 """Further attempts that a target may have at once: one endpoint's requests."""
 
-TRICKLE_PER_S = 0.2
+REFILL_PER_S = 0.2
 """Paid in by time, so that a target with few requests is not left without."""
 
 ATTEMPTS_PER_RUN = 3
@@ -61,7 +61,7 @@
     def withdraw(self, now: timedelta) -> bool:
         """Take out one further attempt; return whether there was one."""
         waited_s = (now - self.refilled_at).total_seconds()
-        self.tokens = min(self.reserve, self.tokens + waited_s * TRICKLE_PER_S)
+        self.tokens = min(self.reserve, self.tokens + waited_s * REFILL_PER_S)
         self.refilled_at = now
         if self.tokens < 1.0:
             return False
@@ -110,10 +110,10 @@
         most = _fleet_policy(context).max_attempts
         if runs >= most or len(record.attempts) >= most * ATTEMPTS_PER_RUN:
             return _give_up(f"{runs} attempts failed, the last: {reason}")
-        pause = _pause_after(len(record.attempts), context)
+        pause = _backoff_after(len(record.attempts), context)
         if context.now + pause >= record.request.deadline:
             return _give_up(f"no time is left for another attempt: {reason}")
-        if self._costs_nothing(record, failure, context):
+        if self._adds_no_load(record, failure, context):
             return RetryLater(pause)
         if not self._budget_of(record, context).withdraw(context.now):
             return _give_up(f"too many attempts fail just now, the last: {reason}")
@@ -126,11 +126,11 @@
             return False
         if failure.exposure is not Exposure.POSSIBLE:
             return True
-        if self._runs_on(record, context):
+        if self._can_reattach(record, context):
             return True
         return record.request.repeatability is Repeatability.IDEMPOTENT
 
-    def _costs_nothing(
+    def _adds_no_load(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> bool:
         """Return whether a further attempt adds no load to endpoints that work.
@@ -141,9 +141,9 @@
         """
         if failure.kind is FailureKind.UNREACHED or failure.refusal in REDIRECTING:
             return True
-        return self._runs_on(record, context)
+        return self._can_reattach(record, context)
 
-    def _runs_on(self, record: RequestRecord, context: Context) -> bool:
+    def _can_reattach(self, record: RequestRecord, context: Context) -> bool:
         """Return whether the next attempt would only attach to a running stream.
 
         It makes an engine do nothing again. When the connections of hundreds of
@@ -163,15 +163,15 @@
     return configuration.fleet if configuration is not None else FleetPolicy()
 
 
-def _pause_after(attempts: int, context: Context) -> timedelta:
+def _backoff_after(attempts: int, context: Context) -> timedelta:
     """Return a pause drawn from zero to a bound that doubles with each attempt.
 
     The draw spreads requests that failed together; a fixed pause would bring all
     of them back in the same moment.
     """
-    bound = min(BASE_PAUSE * 2 ** (attempts - 1), LONGEST_PAUSE)
-    return max(SHORTEST_PAUSE, bound * context.random.random())
+    bound = min(BASE_BACKOFF * 2 ** (attempts - 1), MAX_BACKOFF)
+    return max(MIN_BACKOFF, bound * context.random.random())
 
 
 def _give_up(detail: str) -> GiveUp:
-    return GiveUp(Problem(ProblemCode.ENDPOINT_FAILED, detail, COME_BACK))
+    return GiveUp(Problem(ProblemCode.ENDPOINT_FAILED, detail, RETRY_AFTER))
--- a/src/mimosafork/policies/routing.py
+++ b/src/mimosafork/policies/routing.py
@@ -21,8 +21,8 @@
 
 __all__ = ["LeastRequests", "PredictedFirstToken"]
 
-CLOSE_SHARE = 0.1
-CLOSE_S = 0.02
+TIE_SHARE = 0.1
+TIE_S = 0.02
 """Scores within this of the best are taken for equal, and two of them drawn. All
 instances see the same old reports: if each took the very best, all would."""
 
@@ -78,7 +78,7 @@
 
     def _draw(self, scored: list[Scored], context: Context) -> Scored:
         """Return the better of two endpoints drawn among the close scores."""
-        limit_s = scored[0].score_s * (1 + CLOSE_SHARE) + CLOSE_S
+        limit_s = scored[0].score_s * (1 + TIE_SHARE) + TIE_S
         close = [each for each in scored if each.score_s <= limit_s]
         if len(close) <= 1:
             return scored[0]
--- a/src/mimosafork/policies/scoring.py
+++ b/src/mimosafork/policies/scoring.py
@@ -13,10 +13,10 @@
 from .candidates import Candidates
 from .prediction import Prediction
 
-OTHER_ZONE_S = 0.005
+CROSS_ZONE_PENALTY_S = 0.005
 """Predicted gain that is worth leaving the own availability zone."""
 
-RATE_KEPT_FOR = timedelta(milliseconds=500)
+FLEET_RATE_TTL = timedelta(milliseconds=500)
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
         holders: dict[EndpointId, int] = {}
         if self.affinity is not None:
             holders = self.affinity.holders(request, context.now)
-        found = self.candidates.of(request.target, holders, context)
+        found = self.candidates.select(request.target, holders, context)
         fresh = [each for each in found if each.entry.endpoint not in record.avoid]
         return [
             Candidate(endpoint, holders.get(endpoint.entry.endpoint, 0))
@@ -97,7 +97,7 @@
             endpoint = candidate.endpoint
             score_s = prediction.first_token_s(quote, endpoint, candidate.cached)
             if endpoint.entry.availability_zone != own_zone:
-                score_s += OTHER_ZONE_S
+                score_s += CROSS_ZONE_PENALTY_S
             scored.append(Scored(endpoint, score_s, candidate.cached))
         scored.sort(key=score_of)
         return scored
@@ -105,7 +105,7 @@
     def fleet_rate(self, target: ModelId | ServiceId, context: Context) -> FleetRate:
         """Return the speed of all endpoints together, as of a moment ago."""
         known = self.rates.get(target)
-        if known is None or context.now - known.at > RATE_KEPT_FOR:
+        if known is None or context.now - known.at > FLEET_RATE_TTL:
             serving = list(context.state.fleet.serving(target))
             rate = sum(self.prediction.load_of(each).rate for each in serving)
             known = FleetRate(max(1.0, rate), max(1, len(serving)), context.now)
--- a/src/mimosafork/policies/services.py
+++ b/src/mimosafork/policies/services.py
@@ -16,7 +16,7 @@
 from .candidates import Candidates
 from .deadlines import DeadlineCheck
 
-DRAWN = 2
+SAMPLE_SIZE = 2
 
 
 @register("service-routing")
@@ -42,14 +42,14 @@
         """Return the replica, or wait if there is none."""
         if record.request.kind is not RequestKind.SERVICE:
             return NotApplicable()
-        found = self.candidates.of(record.request.target, (), context)
+        found = self.candidates.select(record.request.target, (), context)
         fresh = [each for each in found if each.entry.endpoint not in record.avoid]
         usable = fresh or found
         if not usable:
             return self.deadlines.without_endpoint(record, context) or Wait(
                 "no-endpoint"
             )
-        drawn = context.random.sample(usable, min(DRAWN, len(usable)))
+        drawn = context.random.sample(usable, min(SAMPLE_SIZE, len(usable)))
         own_zone = context.state.identity.availability_zone
 
         def load_of(endpoint: Endpoint) -> tuple[int, int, bool]:
--- a/tests/functional/test_broken_streams.py
+++ b/tests/functional/test_broken_streams.py
@@ -8,9 +8,9 @@
 
 from mimosafork.standins import expected_answer
 from tests.support.calls import Client, HttpAnswer
-from tests.support.crowds import TOKENS, Crowd, prompt_of
 from tests.support.functions import function_tests
 from tests.support.processes import Cluster, running_platform
+from tests.support.streaming_clients import TOKENS, StreamingClients, prompt_of
 
 ENTRY = "entry-1"
 CALLERS = 8
@@ -74,7 +74,7 @@
     runs twice.
     """
     with engines(["engine-1"]) as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         crowd.add(CALLERS)
         fault(cluster, "engine-1", kind="reset-streams")
         crowd.check_whole()
@@ -88,7 +88,7 @@
     caller has. Lost or doubled words would show, as each token is known.
     """
     with engines(["engine-1", "engine-2"]) as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         crowd.add(CALLERS)
         cluster.endpoints[engine_with_streams(cluster)].signal(signal.SIGKILL)
         crowd.check_whole()
@@ -130,7 +130,7 @@
     an error event says that the request failed, and the stream has no end mark.
     """
     with engines(["engine-1"]) as cluster:
-        crowd = Crowd(cluster.clients[ENTRY], {"X-Deadline-Ms": "4000"})
+        crowd = StreamingClients(cluster.clients[ENTRY], {"X-Deadline-Ms": "4000"})
         crowd.add(CALLERS)
         cluster.endpoints["engine-1"].signal(signal.SIGKILL)
         for streamed in crowd.finish():
@@ -149,7 +149,7 @@
     """
     extra = "\n[relay]\nstall_timeout = 1s\n"
     with engines(["engine-1", "engine-2"], extra) as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         crowd.add(CALLERS)
         begun = time.monotonic()
         fault(cluster, engine_with_streams(cluster), kind="freeze", seconds=60)
@@ -179,7 +179,7 @@
     """
     extra = "\n[limits]\nstreams = 3\nwaiting_requests = 1\n"
     with engines(["engine-1"], extra) as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         operations = cluster.operations[ENTRY]
         crowd.add(4)
         for _ in range(5):
--- a/tests/functional/test_graceful_shutdown.py
+++ b/tests/functional/test_graceful_shutdown.py
@@ -6,9 +6,9 @@
 from contextlib import contextmanager
 
 from mimosafork.standins import expected_answer
-from tests.support.crowds import TOKENS, Crowd, prompt_of
 from tests.support.functions import function_tests
 from tests.support.processes import Cluster, running_platform
+from tests.support.streaming_clients import TOKENS, StreamingClients, prompt_of
 
 ENTRY = "entry-1"
 LAG = "balancer_lag = 1s\nshutdown_timeout = 30s"
@@ -44,7 +44,7 @@
     0. If the listener closed at once, the balancer's next requests would be lost.
     """
     with one_entry() as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         crowd.add(8)
         process = cluster.entries[ENTRY]
         process.signal(signal.SIGTERM)
@@ -64,7 +64,7 @@
     the exit code says that requests were cut.
     """
     with one_entry() as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         crowd.add(5)
         process = cluster.entries[ENTRY]
         process.signal(signal.SIGTERM)
--- a/tests/functional/test_stop_signals.py
+++ b/tests/functional/test_stop_signals.py
@@ -5,10 +5,10 @@
 from contextlib import contextmanager
 
 from mimosafork.standins import expected_answer
-from tests.support.crowds import TOKENS, Crowd, prompt_of
 from tests.support.functions import function_tests
 from tests.support.processes import Cluster, Process, running_platform
 from tests.support.signals import KINDS, send_overlapping, send_series
+from tests.support.streaming_clients import TOKENS, StreamingClients, prompt_of
 
 DEMO = ("demo", "--address", "127.0.0.1:0", "--operations", "127.0.0.1:0")
 STANDIN = ("standin", "table")
@@ -84,7 +84,7 @@
 
 def test_hang_up_alone_cuts_no_stream() -> None:
     with one_entry() as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         crowd.add(CALLERS)
         process = cluster.entries[ENTRY]
         process.signal(signal.SIGHUP)
@@ -100,7 +100,7 @@
     that requests were cut, whichever signal comes first.
     """
     with one_entry() as cluster:
-        crowd = Crowd(cluster.clients[ENTRY])
+        crowd = StreamingClients(cluster.clients[ENTRY])
         crowd.add(CALLERS)
         process = cluster.entries[ENTRY]
         send_overlapping(process)
--- a/tests/support/limits.py
+++ b/tests/support/limits.py
@@ -41,13 +41,13 @@
 
 PLUGINS = ("known-target", "account-limits", "bounded-retry", "first-come")
 STEP = timedelta(milliseconds=500)
-SLOWEST_WORD_S = 4.0
+MAX_DELAY_S = 4.0
 REQUEST_TOKENS = 1_000
 FOR_EVER = timedelta(days=1)
 
 
 @dataclass
-class LimitWorld:
+class LimitSimulation:
     """Instances in zones, words between them that take time, and one account.
 
     Attributes
@@ -66,14 +66,14 @@
     zones: Mapping[str, int]
     clock: ManualClock = field(default_factory=ManualClock)
     granted: Counter[str] = field(default_factory=Counter)
-    parted: bool = False
-    alone: str = ""
+    partitioned: bool = False
+    isolated: str = ""
     largest_sum: float = 0.0
 
     def __post_init__(self) -> None:
         self.random = Random(11)
         self.numbers = count()
-        self.words: list[tuple[timedelta, str, Publish, Origin]] = []
+        self.in_transit: list[tuple[timedelta, str, Publish, Origin]] = []
         self.zone_of = {
             f"{zone}-{number}": zone
             for zone, size in self.zones.items()
@@ -91,20 +91,20 @@
             kernel.handle(ConfigurationReceived(settings))
             kernel.handle(InstancesListed((), listed))
             self.kernels[name] = kernel
-        self.tell_members()
+        self.send_members()
 
-    def hears(self, name: str, other: str) -> bool:
+    def reaches(self, name: str, other: str) -> bool:
         """Return whether words of one instance come to another."""
-        if self.alone in (name, other):
+        if self.isolated in (name, other):
             return name == other
-        return not self.parted or self.zone_of[name] == self.zone_of[other]
+        return not self.partitioned or self.zone_of[name] == self.zone_of[other]
 
-    def cut(self, parted: bool = False, alone: str = "") -> None:
+    def partition(self, partitioned: bool = False, isolated: str = "") -> None:
         """Change which instances hear of each other."""
-        self.parted, self.alone = parted, alone
-        self.tell_members()
+        self.partitioned, self.isolated = partitioned, isolated
+        self.send_members()
 
-    def tell_members(self) -> None:
+    def send_members(self) -> None:
         """Tell each instance whom it hears."""
         for name, kernel in self.kernels.items():
             zone = self.zone_of[name]
@@ -113,14 +113,14 @@
             silent = {
                 home
                 for other, home in self.zone_of.items()
-                if home != zone and not self.hears(name, other)
+                if home != zone and not self.reaches(name, other)
             }
             zones = tuple(AvailabilityZoneId(each) for each in silent)
             kernel.state.fleet.members = {each.instance: each for each in members}
             kernel.handle(MembersChanged(members, zones))
 
     def _member(self, name: str, seen_by: str) -> Member:
-        live = self.hears(seen_by, name)
+        live = self.reaches(seen_by, name)
         state = MemberState.LIVE if live else MemberState.SUSPECT
         zone = AvailabilityZoneId(self.zone_of[name])
         identity = InstanceId(name), Incarnation(1), zone
@@ -178,7 +178,7 @@
                 near = self.zone_of[other] == self.zone_of[name]
                 if other == name or (effect.scope is Scope.ZONE and not near):
                     continue
-                age = timedelta(seconds=self.random.uniform(0.1, SLOWEST_WORD_S))
+                age = timedelta(seconds=self.random.uniform(0.1, MAX_DELAY_S))
                 origin = Origin(
                     identity.instance,
                     identity.incarnation,
@@ -186,16 +186,18 @@
                     age,
                 )
                 due = self.clock.monotonic() + age
-                told = replace(effect, value=value)
-                self.words.append((due, other, told, origin))
+                published = replace(effect, value=value)
+                self.in_transit.append((due, other, published, origin))
 
     def _deliver(self) -> None:
         now = self.clock.monotonic()
-        due = [each for each in self.words if each[0] <= now]
-        self.words = [each for each in self.words if each[0] > now]
-        for _, name, word, origin in sorted(due, key=lambda each: each[0]):
-            if self.hears(name, origin.instance):
-                message = kind_of(word.value).message(word.key, word.value, origin)
+        due = [each for each in self.in_transit if each[0] <= now]
+        self.in_transit = [each for each in self.in_transit if each[0] > now]
+        for _, name, published, origin in sorted(due, key=lambda each: each[0]):
+            if self.reaches(name, origin.instance):
+                message = kind_of(published.value).message(
+                    published.key, published.value, origin
+                )
                 self.kernels[name].handle(message)
 
     def _measure(self) -> None:
--- a/tests/support/storm.py
+++ b/tests/support/storm.py
@@ -120,9 +120,9 @@
         kernels: int,
         engines: int,
         seed: int,
-        more_plugins: Sequence[Plugin] = (),
+        extra_plugins: Sequence[Plugin] = (),
     ) -> None:
-        self.more_plugins = more_plugins
+        self.extra_plugins = extra_plugins
         self.clock = ManualClock()
         self.random = Random(seed)
         self.events: list[tuple[float, int, Callable[[], None]]] = []
@@ -148,17 +148,17 @@
 
     def _kernel(self, fleet: FleetPolicy, number: int) -> Kernel:
         identity = InstanceIdentity(InstanceId(f"i{number}"), Incarnation(1), ZONE)
-        plugins = [*self.more_plugins, *create(PLUGINS)]
+        plugins = [*self.extra_plugins, *create(PLUGINS)]
         kernel = Kernel(identity, self.clock, Random(number), plugins)
         model = ModelPolicy(MODEL, "1", 10_000, 100)
         configuration = Configuration(
             Revision(1), Digest("d"), fleet, models={MODEL: model}
         )
-        self.tell(kernel, ConfigurationReceived(configuration))
+        self.deliver(kernel, ConfigurationReceived(configuration))
         entries = tuple(engine.entry for engine in self.engines.values())
-        self.tell(kernel, InstancesListed(entries, ()))
+        self.deliver(kernel, InstancesListed(entries, ()))
         for entry in entries:
-            self.tell(kernel, LoadReported(_report(entry)))
+            self.deliver(kernel, LoadReported(_report(entry)))
         return kernel
 
     def at(self, instant_s: float, action: Callable[[], None]) -> None:
@@ -184,7 +184,7 @@
             self.at(0.0, partial(self._tick, kernel, end_s))
 
     def _tick(self, kernel: Kernel, end_s: float) -> None:
-        self.tell(kernel, Tick())
+        self.deliver(kernel, Tick())
         if self.now_s < end_s:
             self.at(
                 self.now_s + TICK.total_seconds(), partial(self._tick, kernel, end_s)
@@ -194,13 +194,13 @@
         deadline = self.clock.monotonic() + DEADLINE
         submitted = request(f"r{number}", MODEL, deadline)
         self.tally.submitted_at_s[submitted.request_id] = self.now_s
-        self.tell(self.kernels[number % len(self.kernels)], Submit(submitted))
+        self.deliver(self.kernels[number % len(self.kernels)], Submit(submitted))
 
-    def tell(self, kernel: Kernel, message: Message) -> None:
+    def deliver(self, kernel: Kernel, message: Message) -> None:
         """Hand a kernel a message and carry out its effects."""
         for effect in kernel.handle(message):
             if isinstance(effect, WakeAt):
-                wake = partial(self.tell, kernel, effect.message)
+                wake = partial(self.deliver, kernel, effect.message)
                 self.at(effect.at.total_seconds(), wake)
             elif isinstance(effect, Dispatch):
                 self._dispatch(kernel, effect)
@@ -241,9 +241,9 @@
             work.answered = True
             dispatch = work.dispatch
             first = FirstToken(dispatch.request_id, dispatch.attempt)
-            self.tell(work.kernel, first)
+            self.deliver(work.kernel, first)
             finished = AttemptFinished(dispatch.request_id, dispatch.attempt)
-            self.tell(work.kernel, finished)
+            self.deliver(work.kernel, finished)
         self._serve(engine)
 
     def _give_up(self, work: Work) -> None:
@@ -262,7 +262,7 @@
         failed = AttemptFailed(
             dispatch.request_id, dispatch.attempt, kind, exposure, refusal=refusal
         )
-        self.tell(work.kernel, failed)
+        self.deliver(work.kernel, failed)
 
 
 def _entry(number: int) -> EndpointEntry:
--- a/tests/support/crowds.py
+++ b/tests/support/streaming_clients.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Crowd:
+class StreamingClients:
     """Callers that stream side by side."""
 
     client: Client
--- a/tests/unit/policies/test_ejection.py
+++ b/tests/unit/policies/test_ejection.py
@@ -8,7 +8,7 @@
 from mimosafork.kernel.messages.attempts import AttemptFinished, FirstToken, Usage
 from mimosafork.kernel.messages.base import Tick
 from mimosafork.kernel.messages.fleet import InstancesListed
-from mimosafork.policies.ejection import FIRST_PAUSE
+from mimosafork.policies.ejection import BASE_EJECTION_TIME
 from tests.support.functions import function_tests
 from tests.support.kernels import (
     MODEL,
@@ -105,13 +105,13 @@
         assert set(NAMES) - set(load.in_use()) == {"e3"}
         first = endpoints_of(bench)[EndpointId("e3")].ejected_until
         assert first is not None
-        bench.handle_after(FIRST_PAUSE, Tick())
+        bench.handle_after(BASE_EJECTION_TIME, Tick())
         assert "e3" in load.in_use()
         load.round(3)
         assert "e3" not in load.in_use()
-        bench.handle_after(FIRST_PAUSE, Tick())
+        bench.handle_after(BASE_EJECTION_TIME, Tick())
         assert "e3" not in load.in_use()
-        bench.handle_after(FIRST_PAUSE, Tick())
+        bench.handle_after(BASE_EJECTION_TIME, Tick())
         load.first_s.clear()
         load.round(10)
         assert "e3" in load.in_use()
--- a/tests/unit/policies/test_engine_load.py
+++ b/tests/unit/policies/test_engine_load.py
@@ -6,7 +6,7 @@
 
 from mimosafork.ids import Incarnation, RequestId
 from mimosafork.kernel.fleet import Endpoint
-from mimosafork.policies.engine_load import EngineLoad, Sent
+from mimosafork.policies.engine_load import EngineLoad, SentRequest
 from tests.support.functions import function_tests
 from tests.support.kernels import engine_entry, load_report
 
@@ -23,9 +23,9 @@
     return endpoint
 
 
-def short(at_s: float, work: int) -> Sent:
+def short(at_s: float, work: int) -> SentRequest:
     """Return a short request sent at an instant."""
-    return Sent(at_s, work, work + 100, is_long=False)
+    return SentRequest(at_s, work, work + 100, is_long=False)
 
 
 def test_own_dispatches_since_the_report_count() -> None:
@@ -53,7 +53,7 @@
 
 def test_short_work_is_taken_to_go_first() -> None:
     load = EngineLoad(Incarnation(1))
-    load.send(RequestId("long"), Sent(0.0, 100_000, 100_100, is_long=True))
+    load.send(RequestId("long"), SentRequest(0.0, 100_000, 100_100, is_long=True))
     load.send(RequestId("short"), short(0.0, 30_000))
     assert load.levels(1.0) == (0.0, 100_000.0)
     assert load.levels(2.0) == (0.0, 70_000.0)
@@ -72,7 +72,7 @@
 
 def test_finished_request_is_forgotten_once() -> None:
     load = EngineLoad(Incarnation(1))
-    load.send(RequestId("long"), Sent(0.0, 100_000, 100_100, is_long=True))
+    load.send(RequestId("long"), SentRequest(0.0, 100_000, 100_100, is_long=True))
     assert load.first_token(RequestId("long")) is not None
     assert load.first_token(RequestId("long")) is None
     assert load.own_long_waiting == 0
--- a/tests/unit/policies/test_fair_shares.py
+++ b/tests/unit/policies/test_fair_shares.py
@@ -32,7 +32,7 @@
     next, although it came last.
     """
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
-        submit_dossiers(bench, 8)
+        submit_long_prompts(bench, 8)
         tick(bench, 1.0)
         bench.submit(replace(model_request("one", LONG, MINUTES), account=SMALL))
         assert not bench.dispatches("one")
@@ -43,20 +43,20 @@
 
 def test_lone_account_loses_nothing() -> None:
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
-        submit_dossiers(bench, 8)
+        submit_long_prompts(bench, 8)
         fair_shares = bench.kernel.plugin(FairShares)
         records = bench.kernel.state.requests.values()
-        assert {fair_shares.later_s(each) for each in records} == {0.0}
+        assert {fair_shares.penalty_s(each) for each in records} == {0.0}
 
 
 def test_letters_do_not_wait_for_their_own_account_s_dossier() -> None:
     """A parish that has one dossier read finds all its letters served last."""
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
-        submit_dossiers(bench, 1)
+        submit_long_prompts(bench, 1)
         bench.submit(replace(model_request("other", 1_000), account=SMALL))
         bench.submit(replace(model_request("letter", 1_000), account=LARGE))
         record = bench.kernel.state.requests[RequestId("letter")]
-        assert bench.kernel.plugin(FairShares).later_s(record) == 0
+        assert bench.kernel.plugin(FairShares).penalty_s(record) == 0
 
 
 def test_weight_decides_what_is_a_fair_share() -> None:
@@ -66,7 +66,7 @@
     settings = configuration(accounts=[heavy, light])
     with policy_kernel(FAIR, [engine_entry("e1")], settings) as bench:
         bench.submit(replace(model_request("one", LONG, MINUTES), account=SMALL))
-        submit_dossiers(bench, 8)
+        submit_long_prompts(bench, 8)
         bench.submit(replace(model_request("two", LONG, MINUTES), account=SMALL))
         bench.handle(CallerGone(RequestId("one")))
         bench.report("e1")
@@ -75,7 +75,7 @@
         assert not bench.dispatches("two")
 
 
-def submit_dossiers(bench: Bench, number: int) -> None:
+def submit_long_prompts(bench: Bench, number: int) -> None:
     """Let the large account submit long prompts."""
     for each in range(number):
         request = model_request(f"large{each}", LONG, MINUTES)
--- a/tests/unit/policies/test_gangs.py
+++ b/tests/unit/policies/test_gangs.py
@@ -22,7 +22,7 @@
 )
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.kernel.messages.requests import CallerGone, Repeatability
-from mimosafork.policies.gangs.placer import MOST_FAILURES, GangPlacer
+from mimosafork.policies.gangs.placer import MAX_GANG_FAILURES, GangPlacer
 from mimosafork.policies.prediction import Prediction
 from tests.support.functions import function_tests
 from tests.support.gang_engines import GangEngines
@@ -199,10 +199,10 @@
     with gang_fleet() as (bench, engines):
         deadline = timedelta(minutes=20)
         engines.serve(bench.submit(model_request("r", HUGE, deadline)))
-        lives = [each.time_to_live for each in bench.emitted(ReserveMemory)]
-        assert lives == sorted(lives)
-        assert lives[0] == timedelta(seconds=10)
-        assert timedelta(seconds=30) < lives[-1] < deadline
+        times_to_live = [each.time_to_live for each in bench.emitted(ReserveMemory)]
+        assert times_to_live == sorted(times_to_live)
+        assert times_to_live[0] == timedelta(seconds=10)
+        assert timedelta(seconds=30) < times_to_live[-1] < deadline
 
 
 def test_every_step_can_fail_and_leaves_nothing() -> None:
@@ -216,7 +216,7 @@
                 engines.failing[kind] = failure
                 engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
                 nothing_left(bench, engines)
-                for _ in range(MOST_FAILURES):
+                for _ in range(MAX_GANG_FAILURES):
                     again(bench, engines)
                 nothing_left(bench, engines)
                 conclusion = bench.conclusion("r")
--- a/tests/unit/policies/test_limits.py
+++ b/tests/unit/policies/test_limits.py
@@ -13,8 +13,12 @@
 from mimosafork.kernel.messages.outcomes import Outcome
 from mimosafork.peers.kinds.base import kind_of
 from mimosafork.policies.limits import AccountLimits
+from mimosafork.policies.limits.demand_publisher import (
+    MAX_ACCOUNTS,
+    DemandPublisher,
+    LocalDemand,
+)
 from mimosafork.policies.limits.shares import Shares
-from mimosafork.policies.limits.telling import MOST_ACCOUNTS, DemandTelling, Wanted
 from tests.support.claims import claim_plugins, lost, once, other_claim
 from tests.support.functions import function_tests
 from tests.support.kernels import (
@@ -24,7 +28,7 @@
     model_request,
     running_kernel,
 )
-from tests.support.limits import REQUEST_TOKENS, LimitWorld
+from tests.support.limits import REQUEST_TOKENS, LimitSimulation
 from tests.support.policies import BOUNDED, policy_kernel
 
 RATE = 3_000
@@ -41,7 +45,7 @@
     It sends twelve times its limit evenly to nine instances, each of which knows
     only what it lets through itself.
     """
-    world = LimitWorld(POLICY, ZONES)
+    world = LimitSimulation(POLICY, ZONES)
     granted = world.run(120, dict.fromkeys(world.zone_of, 4.0))
     most = BURST + RATE * 120 + len(world.zone_of) * REQUEST_TOKENS
     assert 0.8 * RATE * 120 <= granted <= most, granted
@@ -55,7 +59,7 @@
     another zone. Words of the move take up to 4 s, and at no time do the instances
     together give out more than the limit.
     """
-    world = LimitWorld(POLICY, ZONES)
+    world = LimitSimulation(POLICY, ZONES)
     for place in ("az-1-0", "az-3-2"):
         world.run(60, {place: 12.0})
         granted = world.run(60, {place: 12.0})
@@ -73,14 +77,14 @@
     three times the limit altogether. When they hear of each other again, the sum of
     the shares is within the limit as soon as words have come through.
     """
-    world = LimitWorld(POLICY, ZONES)
+    world = LimitSimulation(POLICY, ZONES)
     demand = dict.fromkeys(world.zone_of, 4.0)
     world.run(60, demand)
-    world.cut(parted=True)
+    world.partition(partitioned=True)
     granted = world.run(180, demand)
     assert RATE * 180 * 2 < granted <= BURST + 3 * RATE * 180 + 9 * REQUEST_TOKENS
     assert world.largest_sum <= 3 * ROUNDING
-    world.cut()
+    world.partition()
     world.run(20, demand)
     world.largest_sum = 0.0
     granted = world.run(60, demand)
@@ -89,10 +93,10 @@
 
 def test_instance_that_hears_nobody_goes_on_with_its_last_share() -> None:
     """A frozen switch makes one instance give out the whole limit of all accounts."""
-    world = LimitWorld(POLICY, ZONES)
+    world = LimitSimulation(POLICY, ZONES)
     demand = dict.fromkeys(world.zone_of, 4.0)
     world.run(60, demand)
-    world.cut(alone="az-1-1")
+    world.partition(isolated="az-1-1")
     before = world.granted["az-1-1"]
     world.run(120, {**demand, "az-1-1": 40.0})
     taken = world.granted["az-1-1"] - before
@@ -105,7 +109,7 @@
     It runs when the bucket is full; the next request is told when the debt is paid,
     and is let in then and not before.
     """
-    world = LimitWorld(POLICY, {"az-1": 1})
+    world = LimitSimulation(POLICY, {"az-1": 1})
     assert world.ask("az-1-0", 100_000) is None
     refused = world.ask("az-1-0", 1_000)
     assert refused is not None and refused.problem is not None
@@ -137,17 +141,17 @@
     """Two thousand busy accounts fill the links between the instances."""
     with policy_kernel(LIMITED, []) as bench:
         context = Context(timedelta(0), bench.kernel.random, bench.kernel.state)
-        telling = DemandTelling(Shares())
+        telling = DemandPublisher(Shares())
         busy = [
-            Wanted(account_key(AccountId(f"a{each}")), each * 1e6, 2e9)
+            LocalDemand(account_key(AccountId(f"a{each}")), each * 1e6, 2e9)
             for each in range(2_000)
         ]
-        telling.tell_own(busy, context)
-        assert len(telling.own.accounts) == MOST_ACCOUNTS
-        assert min(telling.own.tokens_per_second) == (2_000 - MOST_ACCOUNTS) * 1_000_000
+        telling.publish_own(busy, context)
+        assert len(telling.own.accounts) == MAX_ACCOUNTS
+        assert min(telling.own.tokens_per_second) == (2_000 - MAX_ACCOUNTS) * 1_000_000
         encoded = kind_of(telling.own).encode(telling.own)
         assert len(encoded) <= 130, len(encoded)
-        telling.tell_own(busy, context)
+        telling.publish_own(busy, context)
         assert len(context.effects) == 1
 
 
--- a/tests/unit/retry/test_retry_decisions.py
+++ b/tests/unit/retry/test_retry_decisions.py
@@ -22,7 +22,7 @@
 
     def __init__(self, *plugins: Plugin) -> None:
         self.fleet = StormFleet(
-            FleetPolicy(), kernels=1, engines=2, seed=1, more_plugins=plugins
+            FleetPolicy(), kernels=1, engines=2, seed=1, extra_plugins=plugins
         )
         self.kernel = self.fleet.kernels[0]
 
--- a/tests/unit/retry/test_retry_storm.py
+++ b/tests/unit/retry/test_retry_storm.py
@@ -5,8 +5,8 @@
 
 from mimosafork.kernel.configuration import FleetPolicy
 from mimosafork.policies.retry import (
+    REFILL_PER_S,
     RESERVE,
-    TRICKLE_PER_S,
     BoundedRetry,
     RetryBudget,
 )
@@ -79,7 +79,7 @@
         fleet = run_storm(refuse=refuse)
         further = during_cause(fleet.tally.further_attempts_s)
         earned = FleetPolicy().retry_budget * during_cause(fleet.tally.answered_s)
-        most = KERNELS * (RESERVE + TRICKLE_PER_S * cause_s) + earned
+        most = KERNELS * (RESERVE + REFILL_PER_S * cause_s) + earned
         assert 0 < further <= most, (refuse, further, most)
 
 
--- a/tools/slopes/peer_probes.py
+++ b/tools/slopes/peer_probes.py
@@ -39,10 +39,10 @@
     FLEET_PACE_PER_ENDPOINT,
     ZONE_PACE_PER_ENDPOINT,
 )
-from mimosafork.policies.limits.telling import (
+from mimosafork.policies.limits.demand_publisher import (
     FLEET_PACE,
-    MOST_ACCOUNTS,
-    MOST_ZONE_ACCOUNTS,
+    MAX_ACCOUNTS,
+    MAX_ZONE_ACCOUNTS,
     ZONE_PACE_PER_INSTANCE,
 )
 
@@ -140,11 +140,11 @@
     def _publish_demand(self, names: list[InstanceId]) -> None:
         for word in range(DEMANDS):
             name = names[(self.sequence * DEMANDS + word) % len(names)]
-            value = _demand(MOST_ACCOUNTS, self.sequence + word)
+            value = _demand(MAX_ACCOUNTS, self.sequence + word)
             self.nodes[name].exchanger.publish(INSTANCE_DEMAND, value)
         if self.sequence % round(FLEET_PACE / ROUND) == 0:
             for far in self.far[::2]:
-                value = _demand(MOST_ZONE_ACCOUNTS, self.sequence)
+                value = _demand(MAX_ZONE_ACCOUNTS, self.sequence)
                 far.exchanger.publish(ZONE_DEMAND, value, Scope.FLEET)
 
     def _publish_load(self, node: Node, index: int, scope: Scope) -> None:
