--- a/benchmarks/peers/zone.py
+++ b/benchmarks/peers/zone.py
@@ -45,8 +45,8 @@
 from mimosafork.peers.members import MembersView
 from mimosafork.peers.partners import Contact, Partners
 from mimosafork.peers.task import CLEANING_PERIOD_S, FAN_OUT, ROUND_PERIOD
+from mimosafork.policies.endpoint_publisher import FLEET_INTERVAL_PER_ENDPOINT
 from mimosafork.policies.endpoint_values import load_of, profile_of
-from mimosafork.policies.endpoint_words import FLEET_PACE_PER_ENDPOINT
 
 PLUGINS = (
     "known-target",
@@ -352,7 +352,7 @@
 
     def _gateways_speak(self, now_s: float) -> None:
         """Have each other zone's speaker tell its endpoints' loads at its pace."""
-        pace_s = FLEET_PACE_PER_ENDPOINT.total_seconds() * self.size.endpoints
+        pace_s = FLEET_INTERVAL_PER_ENDPOINT.total_seconds() * self.size.endpoints
         for number, gateway in enumerate(self.gateways.values(), start=1):
             if now_s < gateway.next_round_s:
                 continue
--- a/src/mimosafork/policies/cache_index.py
+++ b/src/mimosafork/policies/cache_index.py
@@ -32,25 +32,25 @@
 from ..kernel.messages.watch import EndpointKey, FetchCacheSnapshot, endpoint_key
 from ..kernel.plugins import Plugin, PluginFinder
 from ..kernel.registry import register
-from .cache_telling import Telling
+from .cache_publisher import CachePublisher
 from .mark_set import MarkSet, from_bytes, short_mark
 from .membership import Membership
 
-MOST_MARKS = 16_384
+MAX_MARKS_PER_ENGINE = 16_384
 """Marks that are kept of one engine."""
 
-SHORTEST_HELD = 4_096
+MIN_HOLDER_TOKENS = 4_096
 """Shorter beginnings are not looked for all over the zone: most requests are short,
 and the search would cost each of them more than the prefill that it may save."""
 
-SHORTEST_SNAPSHOT_PACE = timedelta(seconds=10)
-SNAPSHOT_PACE_PER_MARK = timedelta(milliseconds=45)
+MIN_SNAPSHOT_INTERVAL = timedelta(seconds=10)
+SNAPSHOT_INTERVAL_PER_MARK = timedelta(milliseconds=45)
 """An engine's answer has about 45 bytes a mark, so this is 1 KB/s at most."""
 
-WANTED_PACE = timedelta(seconds=2)
+SUMMARY_REQUEST_INTERVAL = timedelta(seconds=2)
 """One summary is asked for at a time, so that a new instance, which has none, does
 not ask for those of the whole zone at once."""
-WANTED_AGAIN = timedelta(seconds=30)
+SUMMARY_REQUEST_RETRY_INTERVAL = timedelta(seconds=30)
 """A wish that somebody has written is not repeated before: the answer to it reaches
 the whole zone, and an engine without cache events never gets one."""
 
@@ -68,14 +68,14 @@
     """
 
     tokens: int
-    doubtful: bool
+    maybe_stale: bool
 
 
-NOTHING_KNOWN = CachedPrefix(0, True)
+UNKNOWN_CACHE = CachedPrefix(0, True)
 
 
 @dataclass(slots=True)
-class Part:
+class EngineCache:
     """What is known of one engine's cache.
 
     Attributes
@@ -90,7 +90,7 @@
     source: InstanceId | None
     position: int
     marks: MarkSet = field(default_factory=MarkSet)
-    doubtful: bool = False
+    maybe_stale: bool = False
     fetched_at: timedelta = DISTANT_PAST
 
 
@@ -99,11 +99,11 @@
     """Keeps the parts, and has the doubtful ones told anew."""
 
     def __init__(self) -> None:
-        self.parts: dict[EndpointId, Part] = {}
-        self.telling = Telling()
+        self.caches: dict[EndpointId, EngineCache] = {}
+        self.publisher = CachePublisher()
         self.membership: Membership | None = None
-        self.wanted_at = DISTANT_PAST
-        self.wishes: dict[EndpointId, timedelta] = {}
+        self.summary_requested_at = DISTANT_PAST
+        self.summary_requests: dict[EndpointId, timedelta] = {}
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
         """Look up the plug-in that says what this instance watches."""
@@ -119,13 +119,13 @@
         prefix_marks : sequence of PrefixMark
             Of the prompt, shortest first.
         """
-        part = self.parts.get(endpoint)
-        if part is None:
-            return NOTHING_KNOWN
+        cache = self.caches.get(endpoint)
+        if cache is None:
+            return UNKNOWN_CACHE
         for mark in reversed(prefix_marks):
-            if short_mark(mark.digest) in part.marks:
-                return CachedPrefix(mark.tokens, part.doubtful)
-        return CachedPrefix(0, part.doubtful)
+            if short_mark(mark.digest) in cache.marks:
+                return CachedPrefix(mark.tokens, cache.maybe_stale)
+        return CachedPrefix(0, cache.maybe_stale)
 
     def holders(self, prefix_marks: Sequence[PrefixMark]) -> dict[EndpointId, int]:
         """Return the endpoints that hold a beginning of a prompt, with its length.
@@ -135,11 +135,11 @@
         """
         found: dict[EndpointId, int] = {}
         for prefix in prefix_marks:
-            if prefix.tokens < SHORTEST_HELD:
+            if prefix.tokens < MIN_HOLDER_TOKENS:
                 continue
             mark = short_mark(prefix.digest)
-            for endpoint, part in self.parts.items():
-                if mark in part.marks and not part.doubtful:
+            for endpoint, cache in self.caches.items():
+                if mark in cache.marks and not cache.maybe_stale:
                     found[endpoint] = prefix.tokens
         return found
 
@@ -149,12 +149,14 @@
 
     @handle.register
     def _(self, message: CacheSnapshotReported, context: Context) -> None:
-        part = Part(message.incarnation, None, message.sequence)
-        self.parts[message.endpoint] = part
-        longest = sorted(message.marks, key=_tokens_of, reverse=True)[:MOST_MARKS]
-        part.marks = MarkSet(short_mark(each.digest) for each in longest)
-        part.fetched_at = context.now
-        self.telling.replaced(
+        cache = EngineCache(message.incarnation, None, message.sequence)
+        self.caches[message.endpoint] = cache
+        longest = sorted(message.marks, key=_tokens_of, reverse=True)[
+            :MAX_MARKS_PER_ENGINE
+        ]
+        cache.marks = MarkSet(short_mark(each.digest) for each in longest)
+        cache.fetched_at = context.now
+        self.publisher.apply_snapshot(
             message.endpoint,
             message.incarnation,
             [(short_mark(each.digest), each.tokens) for each in longest],
@@ -162,138 +164,147 @@
 
     @handle.register
     def _(self, message: CacheEventsReported, context: Context) -> None:
-        part = self.parts.get(message.endpoint)
+        cache = self.caches.get(message.endpoint)
         if (
-            part is None
-            or part.source is not None
-            or part.incarnation != message.incarnation
+            cache is None
+            or cache.source is not None
+            or cache.incarnation != message.incarnation
         ):
             context.emit(FetchCacheSnapshot(message.endpoint))
             return
-        self._take_events(part, message)
-        if part.doubtful:
-            self._fetch_if_due(part, message.endpoint, context)
+        self._apply_events(cache, message)
+        if cache.maybe_stale:
+            self._fetch_if_due(cache, message.endpoint, context)
 
     @handle.register
     def _(self, message: CacheChangesReceived, context: Context) -> None:
         endpoint = _endpoint_of(message.key, context)
         if endpoint is None or self._reads(endpoint):
             return
-        part = self.parts.get(endpoint)
-        news = message.changes
-        known = part is not None and part.source == message.origin.instance
-        if part is None or not known or part.incarnation != news.incarnation:
-            self._begin_heard(endpoint, message)
+        cache = self.caches.get(endpoint)
+        changes = message.changes
+        known = cache is not None and cache.source == message.origin.instance
+        if cache is None or not known or cache.incarnation != changes.incarnation:
+            self._start_from_batch(endpoint, message)
             return
-        if news.batch <= part.position:
+        if changes.batch <= cache.position:
             return
-        if news.batch > part.position + 1:
-            part.doubtful = True
-        part.position = news.batch
-        for mark in from_bytes(news.evicted):
-            part.marks.discard(mark)
-        for mark in from_bytes(news.stored):
-            part.marks.add(mark)
+        if changes.batch > cache.position + 1:
+            cache.maybe_stale = True
+        cache.position = changes.batch
+        for mark in from_bytes(changes.evicted):
+            cache.marks.discard(mark)
+        for mark in from_bytes(changes.stored):
+            cache.marks.add(mark)
 
     @handle.register
     def _(self, message: CacheSummaryReceived, context: Context) -> None:
         endpoint = _endpoint_of(message.key, context)
         if endpoint is None or self._reads(endpoint):
             return
-        part = self.parts.get(endpoint)
+        cache = self.caches.get(endpoint)
         summary = message.summary
         source = message.origin.instance
         if (
-            part is not None
-            and part.source == source
-            and part.incarnation == summary.incarnation
-            and part.position > summary.batch
+            cache is not None
+            and cache.source == source
+            and cache.incarnation == summary.incarnation
+            and cache.position > summary.batch
         ):
             # Batches that the summary does not have yet have been taken in; the
             # next summary, or none at all if nothing is in doubt, will do.
             return
-        marks = MarkSet(from_bytes(summary.marks)[:MOST_MARKS])
-        self.parts[endpoint] = Part(summary.incarnation, source, summary.batch, marks)
+        marks = MarkSet(from_bytes(summary.marks)[:MAX_MARKS_PER_ENGINE])
+        self.caches[endpoint] = EngineCache(
+            summary.incarnation, source, summary.batch, marks
+        )
 
     @handle.register
     def _(self, message: CacheSummaryRequestReceived, context: Context) -> None:
         endpoint = _endpoint_of(message.key, context)
         if endpoint is None:
             return
-        self.wishes[endpoint] = context.now
+        self.summary_requests[endpoint] = context.now
         if self._reads(endpoint):
-            self.telling.want_summary(endpoint)
+            self.publisher.request_summary(endpoint)
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
-        for value in self.telling.due(context.now, self._zone_endpoints()):
+        for value in self.publisher.due_messages(context.now, self._zone_endpoints()):
             context.emit(value)
-        if context.now - self.wanted_at >= WANTED_PACE:
-            self._want_one(context)
+        if context.now - self.summary_requested_at >= SUMMARY_REQUEST_INTERVAL:
+            self._request_one_summary(context)
 
-    def _take_events(self, part: Part, message: CacheEventsReported) -> None:
+    def _apply_events(self, cache: EngineCache, message: CacheEventsReported) -> None:
         """Apply events in order; a number left out makes the part doubtful.
 
         Those up to the known position are passed over: an answer may have been
         overtaken by a snapshot.
         """
-        expected = part.position
+        expected = cache.position
         if message.after > expected:
-            part.doubtful = True
+            cache.maybe_stale = True
         for event in message.events:
             if event.sequence <= expected:
                 continue
             if event.sequence != expected + 1:
-                part.doubtful = True
+                cache.maybe_stale = True
             expected = event.sequence
             mark = short_mark(event.mark)
             if event.kind is CacheEventKind.EVICTED:
-                part.marks.discard(mark)
-                self.telling.evicted(message.endpoint, mark)
-            elif len(part.marks) < MOST_MARKS:
-                part.marks.add(mark)
-                self.telling.stored(message.endpoint, mark, event.tokens)
+                cache.marks.discard(mark)
+                self.publisher.record_evicted(message.endpoint, mark)
+            elif len(cache.marks) < MAX_MARKS_PER_ENGINE:
+                cache.marks.add(mark)
+                self.publisher.record_stored(message.endpoint, mark, event.tokens)
         if message.newest > expected:
-            part.doubtful = True
-        part.position = max(expected, message.newest)
-
-    def _fetch_if_due(self, part: Part, endpoint: EndpointId, context: Context) -> None:
-        pace = max(SHORTEST_SNAPSHOT_PACE, SNAPSHOT_PACE_PER_MARK * len(part.marks))
-        if context.now - part.fetched_at >= pace:
-            part.fetched_at = context.now
+            cache.maybe_stale = True
+        cache.position = max(expected, message.newest)
+
+    def _fetch_if_due(
+        self, cache: EngineCache, endpoint: EndpointId, context: Context
+    ) -> None:
+        interval = max(
+            MIN_SNAPSHOT_INTERVAL, SNAPSHOT_INTERVAL_PER_MARK * len(cache.marks)
+        )
+        if context.now - cache.fetched_at >= interval:
+            cache.fetched_at = context.now
             context.emit(FetchCacheSnapshot(endpoint))
 
-    def _begin_heard(self, endpoint: EndpointId, message: CacheChangesReceived) -> None:
+    def _start_from_batch(
+        self, endpoint: EndpointId, message: CacheChangesReceived
+    ) -> None:
         """Begin a part in the middle: only what the batch says is known."""
-        news = message.changes
-        part = Part(news.incarnation, message.origin.instance, news.batch)
-        part.marks = MarkSet(from_bytes(news.stored))
-        part.doubtful = news.batch != 1
-        self.parts[endpoint] = part
+        changes = message.changes
+        cache = EngineCache(changes.incarnation, message.origin.instance, changes.batch)
+        cache.marks = MarkSet(from_bytes(changes.stored))
+        cache.maybe_stale = changes.batch != 1
+        self.caches[endpoint] = cache
 
-    def _want_one(self, context: Context) -> None:
+    def _request_one_summary(self, context: Context) -> None:
         """Ask the zone for the summary of one engine that is in doubt.
 
         Which one is left to chance: instances that all lack the same would else
         all ask for the same at the same time.
         """
-        self.wanted_at = context.now
+        self.summary_requested_at = context.now
         self._forget(context)
-        lacking = [
+        stale = [
             endpoint.endpoint_id
             for endpoint in context.state.fleet.endpoints.values()
-            if self._lacks_summary(endpoint, context)
-            and context.now - self.wishes.get(endpoint.endpoint_id, DISTANT_PAST)
-            >= WANTED_AGAIN
+            if self._needs_summary(endpoint, context)
+            and context.now
+            - self.summary_requests.get(endpoint.endpoint_id, DISTANT_PAST)
+            >= SUMMARY_REQUEST_RETRY_INTERVAL
         ]
-        if lacking:
-            name = context.random.choice(lacking)
-            self.wishes[name] = context.now
-            part = self.parts.get(name)
-            position = 0 if part is None else part.position
+        if stale:
+            name = context.random.choice(stale)
+            self.summary_requests[name] = context.now
+            cache = self.caches.get(name)
+            position = 0 if cache is None else cache.position
             context.emit(Publish(endpoint_key(name), CacheSummaryRequest(position)))
 
-    def _lacks_summary(self, endpoint: Endpoint, context: Context) -> bool:
+    def _needs_summary(self, endpoint: Endpoint, context: Context) -> bool:
         """Return whether an engine's watcher should tell all of its cache."""
         entry = endpoint.entry
         if (
@@ -303,18 +314,18 @@
             or self._reads(entry.endpoint)
         ):
             return False
-        part = self.parts.get(entry.endpoint)
-        return part is None or part.doubtful
+        cache = self.caches.get(entry.endpoint)
+        return cache is None or cache.maybe_stale
 
     def _forget(self, context: Context) -> None:
         """Drop parts of engines that have gone, or that others now read."""
         fleet = context.state.fleet.endpoints
-        for endpoint, part in list(self.parts.items()):
-            moved = part.source is None and not self._reads(endpoint)
+        for endpoint, cache in list(self.caches.items()):
+            moved = cache.source is None and not self._reads(endpoint)
             if endpoint not in fleet or moved:
-                del self.parts[endpoint]
-                self.wishes.pop(endpoint, None)
-                self.telling.forget(endpoint)
+                del self.caches[endpoint]
+                self.summary_requests.pop(endpoint, None)
+                self.publisher.forget(endpoint)
 
     def _reads(self, endpoint: EndpointId) -> bool:
         """Return whether this instance reads an engine's events itself."""
--- a/src/mimosafork/policies/claims/attach.py
+++ b/src/mimosafork/policies/claims/attach.py
@@ -7,9 +7,9 @@
 from ...kernel.plugins import NotApplicable, Placement, PlaceOn, Placer
 from ...kernel.records import Attempt, RequestRecord
 from ...kernel.registry import register
-from .problems import never_again
+from .problems import outcome_unknown
 
-DUPLICATE = "duplicate"
+DUPLICATE_STREAM_REFUSAL = "duplicate"
 """An engine's refusal that says that it has the stream already."""
 
 
@@ -36,7 +36,9 @@
         if own is not None:
             return own
         if must_not_start(record):
-            return never_again("the run was lost from sight and may not be repeated")
+            return outcome_unknown(
+                "the run was lost from sight and may not be repeated"
+            )
         return NotApplicable()
 
     def can_reattach(self, record: RequestRecord, context: Context) -> bool:
@@ -63,7 +65,7 @@
     last = record.current
     if last is None or last.failure is None:
         return None
-    if not _leaves_stream(record, last):
+    if not _may_leave_stream(record, last):
         return None
     place = PlaceOn(
         last.endpoint,
@@ -72,10 +74,10 @@
         stream_id=last.stream_id,
         attach=True,
     )
-    return place if _lives(place, record, context) else None
+    return place if _is_same_incarnation(place, record, context) else None
 
 
-def _leaves_stream(record: RequestRecord, attempt: Attempt) -> bool:
+def _may_leave_stream(record: RequestRecord, attempt: Attempt) -> bool:
     """Return whether a failed attempt's stream may still run at its engine.
 
     A stalled stream is left alone if another engine may run the request: the
@@ -84,14 +86,14 @@
     failure = attempt.failure
     if failure is None:
         return False
-    if failure.refusal == DUPLICATE:
+    if failure.refusal == DUPLICATE_STREAM_REFUSAL:
         return True
     if failure.exposure is not Exposure.POSSIBLE:
         return False
     if failure.kind is FailureKind.BROKEN:
         return True
-    once = record.request.repeatability is Repeatability.NON_IDEMPOTENT
-    return once and failure.kind is FailureKind.STALLED
+    is_non_idempotent = record.request.repeatability is Repeatability.NON_IDEMPOTENT
+    return is_non_idempotent and failure.kind is FailureKind.STALLED
 
 
 def _may_attach(record: RequestRecord, place: PlaceOn, context: Context) -> bool:
@@ -102,10 +104,12 @@
         ended = last.failure.kind is FailureKind.ENGINE_FAILED
         if refused or ended:
             return False
-    return _lives(place, record, context)
+    return _is_same_incarnation(place, record, context)
 
 
-def _lives(place: PlaceOn, record: RequestRecord, context: Context) -> bool:
+def _is_same_incarnation(
+    place: PlaceOn, record: RequestRecord, context: Context
+) -> bool:
     """Return whether a place is a model engine in the life that it had then.
 
     One that just can't be reached is tried all the same for a request that may run
@@ -114,8 +118,8 @@
     endpoint = context.state.fleet.endpoints.get(place.endpoint)
     if endpoint is None or endpoint.entry.kind is not EndpointKind.MODEL_ENGINE:
         return False
-    elsewhere = record.request.repeatability is Repeatability.IDEMPOTENT
-    if elsewhere and endpoint.unreachable_since is not None:
+    may_run_elsewhere = record.request.repeatability is Repeatability.IDEMPOTENT
+    if may_run_elsewhere and endpoint.unreachable_since is not None:
         return False
     reported = endpoint.report.incarnation if endpoint.report else place.incarnation
     newest = max(endpoint.entry.incarnation, reported)
--- a/src/mimosafork/policies/claims/closing.py
+++ b/src/mimosafork/policies/claims/closing.py
@@ -27,7 +27,7 @@
 from ...kernel.records import HeldClaim, RequestRecord
 from ...kernel.registry import register
 
-KEEP_PATIENCE = timedelta(seconds=1)
+KEEP_TIMEOUT = timedelta(seconds=1)
 """How long a whole answer's end waits for the store at most."""
 
 
@@ -41,12 +41,12 @@
         An end that went out before would invite the caller to forget the answer;
         should it be lost on the way, its resend would find none.
         """
-        if record.claim is None or not keeps_whole(record):
+        if record.claim is None or not has_whole_answer(record):
             return Proceed()
         claim = record.claim
         context.emit(KeepAnswer(record.request_id, claim.key, claim.claim_id))
         if claim.confirmed:
-            context.wake_after(KEEP_PATIENCE, KeepAnswerTimedOut(record.request_id))
+            context.wake_after(KEEP_TIMEOUT, KeepAnswerTimedOut(record.request_id))
         else:
             # The store has not even taken the claim: waiting for it to take the
             # answer would make an idempotent request wait for a dead store.
@@ -87,20 +87,20 @@
         if claim is None:
             return
         outcome = message.conclusion.outcome
-        if outcome is Outcome.COMPLETED and keeps_whole(record):
+        if outcome is Outcome.COMPLETED and has_whole_answer(record):
             return
-        if _frees_key(record, outcome):
+        if _releases_key(record, outcome):
             context.emit(ReleaseClaim(claim.key, claim.claim_id))
         else:
-            _end(claim, outcome, context)
+            _end_claim(claim, outcome, context)
 
 
-def keeps_whole(record: RequestRecord) -> bool:
+def has_whole_answer(record: RequestRecord) -> bool:
     """Return whether this instance sees the whole answer of its own run."""
     return record.attached_run is None and record.request.resume_offset == 0
 
 
-def _frees_key(record: RequestRecord, outcome: Outcome) -> bool:
+def _releases_key(record: RequestRecord, outcome: Outcome) -> bool:
     """Return whether a resend may run the request.
 
     An idempotent one always may. A non-idempotent one only if it surely never
@@ -111,5 +111,5 @@
     return outcome is Outcome.NOT_RUN
 
 
-def _end(claim: HeldClaim, outcome: Outcome, context: Context) -> None:
+def _end_claim(claim: HeldClaim, outcome: Outcome, context: Context) -> None:
     context.emit(EndClaim(claim.key, claim.claim_id, outcome))
--- a/src/mimosafork/policies/claims/existing.py
+++ b/src/mimosafork/policies/claims/existing.py
@@ -11,12 +11,12 @@
 from . import problems
 from .keys import needs_claim
 
-CLOCK_MARGIN = timedelta(seconds=5)
+CLOCK_SKEW_MARGIN = timedelta(seconds=5)
 """Wall clocks of two instances may differ; a deadline is over for sure only later.
 Too small a margin costs a worse answer, never a second run."""
 
 
-class Next(Enum):
+class NextStep(Enum):
     """How to go after the earlier call's answer."""
 
     REFUSE_BODY = "refuse-body"
@@ -25,16 +25,16 @@
     NOTHING = "nothing"
 
 
-def next_step(request: Request, existing: Claim) -> Next:
+def next_step(request: Request, existing: Claim) -> NextStep:
     """Return how to find the answer of the call that has the key."""
     if existing.body_digest != request.body_digest:
-        return Next.REFUSE_BODY
+        return NextStep.REFUSE_BODY
     if existing.answer_kept:
-        return Next.REPLAY
-    return Next.SEARCH if request.kind is RequestKind.MODEL else Next.NOTHING
+        return NextStep.REPLAY
+    return NextStep.SEARCH if request.kind is RequestKind.MODEL else NextStep.NOTHING
 
 
-def without_run(
+def decide_without_run(
     record: RequestRecord, existing: Claim | None, context: Context
 ) -> Proceed | Refuse:
     """Return what follows when no stream was found to attach to.
@@ -44,21 +44,23 @@
     """
     required = needs_claim(record.request)
     if existing is None:
-        return _returned(record) if required else Proceed()
+        return _refuse_resume(record) if required else Proceed()
     if existing.state is ClaimState.CLAIMED and not owner_ended(existing, context):
         return problems.in_progress()
     if not required:
         return Proceed()
     if existing.answer_kept:
-        return problems.earlier_call_unseen()
-    return problems.never_again("an earlier call with this key has run or may have run")
+        return problems.earlier_call_unreadable()
+    return problems.outcome_unknown(
+        "an earlier call with this key has run or may have run"
+    )
 
 
-def _returned(record: RequestRecord) -> Refuse:
+def _refuse_resume(record: RequestRecord) -> Refuse:
     """Refuse a caller that comes back for the rest of an answer that nobody has."""
     if record.claim is not None and record.claim.confirmed:
-        return problems.never_again("the call has begun before and left no trace")
-    return problems.earlier_call_unseen()
+        return problems.outcome_unknown("the call has begun before and left no trace")
+    return problems.earlier_call_unreadable()
 
 
 def owner_ended(existing: Claim, context: Context) -> bool:
@@ -67,7 +69,7 @@
     Silence is no proof: the owner may be cut off or frozen. Its deadline is over,
     or the platform lists it no longer, or lists a later life of it.
     """
-    if existing.time_left < -CLOCK_MARGIN:
+    if existing.time_left < -CLOCK_SKEW_MARGIN:
         return True
     identity, instances = context.state.identity, context.state.fleet.instances
     if existing.owner == identity.instance:
--- a/src/mimosafork/policies/claims/pending.py
+++ b/src/mimosafork/policies/claims/pending.py
@@ -6,7 +6,7 @@
 from ...kernel.messages.claims import Claim
 
 
-class Phase(Enum):
+class ClaimPhase(Enum):
     """What a held request waits for."""
 
     CLAIMING = "claiming"
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingClaim:
     """How far the stage has come with one request.
 
     Attributes
@@ -26,6 +26,6 @@
         Claims of ended calls that this one has tried to replace.
     """
 
-    phase: Phase = Phase.CLAIMING
+    phase: ClaimPhase = ClaimPhase.CLAIMING
     existing: Claim | None = None
     takeovers: int = 0
--- a/src/mimosafork/policies/claims/problems.py
+++ b/src/mimosafork/policies/claims/problems.py
@@ -6,8 +6,8 @@
 from ...kernel.messages.problems import Problem, ProblemCode
 from ...kernel.plugins import Refuse
 
-STORE_COME_BACK = timedelta(seconds=2)
-RUN_COME_BACK = timedelta(seconds=1)
+STORE_RETRY_AFTER = timedelta(seconds=2)
+IN_PROGRESS_RETRY_AFTER = timedelta(seconds=1)
 
 
 def key_reused() -> Refuse:
@@ -19,11 +19,11 @@
 def in_progress() -> Refuse:
     """Return the refusal of a resend while the first call may still run."""
     detail = "a call with this idempotency key is in progress"
-    problem = Problem(ProblemCode.KEY_IN_PROGRESS, detail, RUN_COME_BACK)
+    problem = Problem(ProblemCode.KEY_IN_PROGRESS, detail, IN_PROGRESS_RETRY_AFTER)
     return Refuse(problem, Outcome.UNKNOWN)
 
 
-def never_again(detail: str) -> Refuse:
+def outcome_unknown(detail: str) -> Refuse:
     """Return the final refusal of what may have run and may not run twice."""
     return Refuse(Problem(ProblemCode.OUTCOME_UNKNOWN, detail), Outcome.UNKNOWN)
 
@@ -37,11 +37,11 @@
         "the call must not run twice and the store that guards it does not answer; "
         "this call was not run"
     )
-    return Refuse(Problem(ProblemCode.STORE_UNAVAILABLE, detail, STORE_COME_BACK))
+    return Refuse(Problem(ProblemCode.STORE_UNAVAILABLE, detail, STORE_RETRY_AFTER))
 
 
-def earlier_call_unseen() -> Refuse:
+def earlier_call_unreadable() -> Refuse:
     """Return the refusal of a caller that comes back while nothing can be read."""
     detail = "what became of the earlier call with this key can't be read now"
-    problem = Problem(ProblemCode.STORE_UNAVAILABLE, detail, STORE_COME_BACK)
+    problem = Problem(ProblemCode.STORE_UNAVAILABLE, detail, STORE_RETRY_AFTER)
     return Refuse(problem, Outcome.UNKNOWN)
--- a/src/mimosafork/policies/claims/search.py
+++ b/src/mimosafork/policies/claims/search.py
@@ -8,11 +8,11 @@
 from ...kernel.records import RequestRecord
 from .keys import FIRST_GENERATION, stream_base_of, stream_ids
 
-MOST_ENDPOINTS = 128
+MAX_SEARCHED_ENDPOINTS = 128
 """More would make one caller's return cost the fleet thousands of calls."""
 
 
-def ids_to_ask(
+def candidate_stream_ids(
     record: RequestRecord, existing: Claim | None, context: Context
 ) -> tuple[StreamId, ...]:
     """Return the ids that the stream may have."""
@@ -23,7 +23,7 @@
     return stream_ids(base, fleet.max_attempts)
 
 
-def endpoints_to_ask(
+def candidate_endpoints(
     record: RequestRecord, context: Context
 ) -> tuple[CandidateEndpoint, ...]:
     """Return the engines that serve the model, leaving ones too."""
@@ -36,4 +36,4 @@
             entry.incarnation, report.incarnation if report else entry.incarnation
         )
         found.append(CandidateEndpoint(entry.endpoint, incarnation, entry.address))
-    return tuple(found[:MOST_ENDPOINTS])
+    return tuple(found[:MAX_SEARCHED_ENDPOINTS])
--- a/src/mimosafork/policies/claims/stage.py
+++ b/src/mimosafork/policies/claims/stage.py
@@ -38,7 +38,7 @@
 from ...kernel.records import HeldClaim, RequestRecord
 from ...kernel.registry import register
 from . import problems
-from .existing import Next, next_step, without_run
+from .existing import NextStep, decide_without_run, next_step
 from .keys import (
     FIRST_GENERATION,
     claim_key_of,
@@ -46,21 +46,21 @@
     stream_base_of,
     wants_claim,
 )
-from .pending import Pending, Phase
-from .search import endpoints_to_ask, ids_to_ask
+from .pending import ClaimPhase, PendingClaim
+from .search import candidate_endpoints, candidate_stream_ids
 
-REQUIRED_PATIENCE = timedelta(seconds=3)
+REQUIRED_CLAIM_TIMEOUT = timedelta(seconds=3)
 """How long a request that needs its claim waits for the store."""
 
-OPTIONAL_PATIENCE = timedelta(milliseconds=100)
+OPTIONAL_CLAIM_TIMEOUT = timedelta(milliseconds=100)
 """How long one that could run without a claim waits: part of the first token."""
 
-SILENCE = timedelta(seconds=5)
+STORE_OUTAGE_BACKOFF = timedelta(seconds=5)
 """How long nothing that could run without a claim waits for a store that was
 silent; then one moment's requests find out whether it answers again."""
 
-SEARCH_PATIENCE = timedelta(seconds=2)
-MOST_TAKEOVERS = 2
+SEARCH_TIMEOUT = timedelta(seconds=2)
+MAX_TAKEOVERS = 2
 
 
 @register("claims")
@@ -76,10 +76,10 @@
     order = 35
 
     def __init__(self) -> None:
-        self.pending: dict[str, Pending] = {}
+        self.pending: dict[str, PendingClaim] = {}
         self.serial = count(1)
-        self.silent_until = timedelta(0)
-        self.paced_for = 1
+        self.store_backoff_until = timedelta(0)
+        self.paced_instances = 1
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
         """Hold what is claimed until the store, or its silence, has decided."""
@@ -87,8 +87,8 @@
         if not wants_claim(request):
             return Proceed()
         required = needs_claim(request)
-        self._write(record, FIRST_GENERATION, None, context)
-        if required or self.silent_until <= context.now:
+        self._write_claim(record, FIRST_GENERATION, None, context)
+        if required or self.store_backoff_until <= context.now:
             return Hold()
         # The store was silent last time: an idempotent request does not wait to
         # find out whether it still is, and the claim is written if it can be.
@@ -99,7 +99,7 @@
         del self.pending[record.request_id]
         return Proceed()
 
-    def _write(
+    def _write_claim(
         self,
         record: RequestRecord,
         generation: int,
@@ -119,11 +119,11 @@
         key, required = claim_key_of(request), needs_claim(request)
         record.stream_id_prefix = stream_base_of(request, generation)
         record.claim = HeldClaim(key, claim.claim_id)
-        pending = self.pending.setdefault(record.request_id, Pending())
-        pending.phase = Phase.CLAIMING
+        pending = self.pending.setdefault(record.request_id, PendingClaim())
+        pending.phase = ClaimPhase.CLAIMING
         context.emit(WriteClaim(record.request_id, key, claim, required, replaces))
-        patience = REQUIRED_PATIENCE if required else OPTIONAL_PATIENCE
-        context.wake_after(patience, ClaimTimedOut(record.request_id, claim.claim_id))
+        timeout = REQUIRED_CLAIM_TIMEOUT if required else OPTIONAL_CLAIM_TIMEOUT
+        context.wake_after(timeout, ClaimTimedOut(record.request_id, claim.claim_id))
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -131,12 +131,12 @@
 
     @handle.register
     def _(self, message: ClaimWon, context: Context) -> None:
-        self.silent_until = timedelta(0)
-        record = self._record(message, context)
+        self.store_backoff_until = timedelta(0)
+        record = self._record_of_claim(message, context)
         if record is None or record.claim is None:
             return
         record.claim.confirmed = True
-        pending = self._in_phase(record, Phase.CLAIMING)
+        pending = self._in_phase(record, ClaimPhase.CLAIMING)
         if pending is None:
             return
         record.stream_id_prefix = stream_base_of(record.request, message.generation)
@@ -147,11 +147,11 @@
 
     @handle.register
     def _(self, message: ClaimLost, context: Context) -> None:
-        self.silent_until = timedelta(0)
-        record = self._record(message, context)
+        self.store_backoff_until = timedelta(0)
+        record = self._record_of_claim(message, context)
         if record is None:
             return
-        pending = self._in_phase(record, Phase.CLAIMING)
+        pending = self._in_phase(record, ClaimPhase.CLAIMING)
         if pending is None:
             # It went on without waiting and may run already, which an idempotent
             # request may do; its answer is not kept under a claim it lacks.
@@ -162,7 +162,7 @@
         following = message.existing.generation + 1
         record.stream_id_prefix = stream_base_of(record.request, following)
         pending.existing = message.existing
-        self._follow(record, pending, message.existing, context)
+        self._follow_existing(record, pending, message.existing, context)
 
     @handle.register
     def _(self, message: ClaimUnavailable, context: Context) -> None:
@@ -174,16 +174,16 @@
 
     @handle.register
     def _(self, message: StreamSearched, context: Context) -> None:
-        self._searched(message, message.place, context)
+        self._finish_search(message, message.place, context)
 
     @handle.register
     def _(self, message: SearchTimedOut, context: Context) -> None:
-        self._searched(message, None, context)
+        self._finish_search(message, None, context)
 
     @handle.register
     def _(self, message: AnswerReplayed, context: Context) -> None:
         record = context.state.requests.get(message.request_id)
-        pending = self._in_phase(record, Phase.REPLAYING)
+        pending = self._in_phase(record, ClaimPhase.REPLAYING)
         if record is None or pending is None:
             return
         if message.delivered:
@@ -196,58 +196,58 @@
     @handle.register
     def _(self, message: InstancesListed, context: Context) -> None:
         instances = max(1, len(context.state.fleet.instances))
-        if instances != self.paced_for:
-            self.paced_for = instances
+        if instances != self.paced_instances:
+            self.paced_instances = instances
             context.emit(PaceClaims(instances))
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
         self.pending.pop(message.record.request_id, None)
 
-    def _follow(
+    def _follow_existing(
         self,
         record: RequestRecord,
-        pending: Pending,
+        pending: PendingClaim,
         existing: Claim,
         context: Context,
     ) -> None:
         """Go after the answer of the call that has the key."""
         step = next_step(record.request, existing)
-        if step is Next.REFUSE_BODY:
+        if step is NextStep.REFUSE_BODY:
             self._clear(record, problems.key_reused(), context)
             return
         record.may_have_run_elsewhere = True
-        if step is Next.REPLAY:
-            pending.phase = Phase.REPLAYING
+        if step is NextStep.REPLAY:
+            pending.phase = ClaimPhase.REPLAYING
             key, offset = claim_key_of(record.request), record.request.resume_offset
             context.emit(ReplayAnswer(record.request_id, key, offset))
-        elif step is Next.SEARCH:
+        elif step is NextStep.SEARCH:
             self._search(record, pending, context)
         else:
             self._without_run(record, pending, context)
 
     def _search(
-        self, record: RequestRecord, pending: Pending, context: Context
+        self, record: RequestRecord, pending: PendingClaim, context: Context
     ) -> None:
-        pending.phase = Phase.SEARCHING
+        pending.phase = ClaimPhase.SEARCHING
         existing = pending.existing
         search = FindStream(
             request_id=record.request_id,
             noted=existing.place if existing else None,
-            stream_ids=ids_to_ask(record, existing, context),
-            endpoints=endpoints_to_ask(record, context),
+            stream_ids=candidate_stream_ids(record, existing, context),
+            endpoints=candidate_endpoints(record, context),
         )
         context.emit(search)
-        context.wake_after(SEARCH_PATIENCE, SearchTimedOut(record.request_id))
+        context.wake_after(SEARCH_TIMEOUT, SearchTimedOut(record.request_id))
 
-    def _searched(
+    def _finish_search(
         self,
         message: StreamSearched | SearchTimedOut,
         place: StreamLocation | None,
         context: Context,
     ) -> None:
         record = context.state.requests.get(message.request_id)
-        pending = self._in_phase(record, Phase.SEARCHING)
+        pending = self._in_phase(record, ClaimPhase.SEARCHING)
         if record is None or pending is None:
             return
         if place is None:
@@ -263,27 +263,27 @@
         self._clear(record, Bypass(), context)
 
     def _without_run(
-        self, record: RequestRecord, pending: Pending, context: Context
+        self, record: RequestRecord, pending: PendingClaim, context: Context
     ) -> None:
         """Decide for a request whose earlier call has left nothing to attach to."""
-        verdict = without_run(record, pending.existing, context)
+        decision = decide_without_run(record, pending.existing, context)
         existing = pending.existing
-        may_take = isinstance(verdict, Proceed) and existing is not None
-        if may_take and existing and pending.takeovers < MOST_TAKEOVERS:
+        may_take_over = isinstance(decision, Proceed) and existing is not None
+        if may_take_over and existing and pending.takeovers < MAX_TAKEOVERS:
             pending.takeovers += 1
             generation = existing.generation + 1
-            self._write(record, generation, existing.claim_id, context)
+            self._write_claim(record, generation, existing.claim_id, context)
             return
-        self._clear(record, verdict, context)
+        self._clear(record, decision, context)
 
     def _without_store(
         self, message: ClaimUnavailable | ClaimTimedOut, context: Context
     ) -> None:
-        record = self._record(message, context)
-        pending = self._in_phase(record, Phase.CLAIMING)
+        record = self._record_of_claim(message, context)
+        pending = self._in_phase(record, ClaimPhase.CLAIMING)
         if record is None or pending is None:
             return
-        self.silent_until = context.now + SILENCE
+        self.store_backoff_until = context.now + STORE_OUTAGE_BACKOFF
         if record.request.resume_offset:
             self._search(record, pending, context)
         elif needs_claim(record.request):
@@ -293,7 +293,7 @@
         else:
             self._clear(record, Proceed(), context)
 
-    def _record(
+    def _record_of_claim(
         self,
         message: ClaimWon | ClaimLost | ClaimUnavailable | ClaimTimedOut,
         context: Context,
@@ -304,14 +304,16 @@
             return None
         return record if record.claim.claim_id == message.claim_id else None
 
-    def _in_phase(self, record: RequestRecord | None, phase: Phase) -> Pending | None:
+    def _in_phase(
+        self, record: RequestRecord | None, phase: ClaimPhase
+    ) -> PendingClaim | None:
         if record is None:
             return None
         pending = self.pending.get(record.request_id)
         return pending if pending is not None and pending.phase is phase else None
 
     def _clear(
-        self, record: RequestRecord, verdict: ReviewDecision, context: Context
+        self, record: RequestRecord, decision: ReviewDecision, context: Context
     ) -> None:
         self.pending.pop(record.request_id, None)
-        context.post(StageCleared(record.request_id, self.name, verdict))
+        context.post(StageCleared(record.request_id, self.name, decision))
--- a/src/mimosafork/policies/endpoint_words.py
+++ b/src/mimosafork/policies/endpoint_publisher.py
@@ -30,35 +30,35 @@
 )
 from ..kernel.plugins import Plugin, PluginFinder
 from ..kernel.registry import register
-from .endpoint_values import MS, life_of, load_of, profile_of, report_of
+from .endpoint_values import MS, incarnation_bits_of, load_of, profile_of, report_of
 from .membership import Membership
 
-SHORTEST_PACE = timedelta(seconds=1)
-ZONE_PACE_PER_ENDPOINT = timedelta(milliseconds=20)
+MIN_LOAD_INTERVAL = timedelta(seconds=1)
+ZONE_INTERVAL_PER_ENDPOINT = timedelta(milliseconds=20)
 """A zone's loads together go out about 50 times a second at most."""
-FLEET_PACE_PER_ENDPOINT = timedelta(milliseconds=100)
+FLEET_INTERVAL_PER_ENDPOINT = timedelta(milliseconds=100)
 """Towards the other zones, ten times a second."""
 
-PROFILE_RENEWAL = timedelta(minutes=4)
-SILENCE_RENEWAL = timedelta(seconds=10)
-FORGET_HEARD = timedelta(minutes=10)
-STAND_IN_AFTER = 3
+PROFILE_REFRESH_INTERVAL = timedelta(minutes=4)
+PROBE_FAILURE_REFRESH_INTERVAL = timedelta(seconds=10)
+RECEIVED_RETENTION = timedelta(minutes=10)
+STANDBY_INTERVALS = 3
 """Paces without a word of the first watcher after which the second one speaks."""
 
 
 @dataclass(slots=True)
-class Told:
+class PublishedState:
     """What this instance has told of one endpoint, in one scope."""
 
     load_at: timedelta = DISTANT_PAST
     load: EndpointLoad | None = None
     profile_at: timedelta = DISTANT_PAST
     profile: EndpointProfile | None = None
-    silence_at: timedelta = DISTANT_PAST
+    probe_failure_at: timedelta = DISTANT_PAST
 
 
 @dataclass(slots=True)
-class Heard:
+class ReceivedState:
     """What peers have told of one endpoint."""
 
     profile: EndpointProfile | None = None
@@ -68,20 +68,20 @@
 
 
 @dataclass(slots=True)
-class Words:
+class PublishedScopes:
     """Everything told of one endpoint."""
 
-    zone: Told = field(default_factory=Told)
-    fleet: Told = field(default_factory=Told)
+    zone: PublishedState = field(default_factory=PublishedState)
+    fleet: PublishedState = field(default_factory=PublishedState)
 
 
 @register("endpoint-words")
-class EndpointWords(Plugin):
+class EndpointPublisher(Plugin):
     """Publishes own observations and turns the peers' into reports."""
 
     def __init__(self) -> None:
-        self.words: dict[EndpointId, Words] = {}
-        self.heard: dict[EndpointKey, Heard] = {}
+        self.published: dict[EndpointId, PublishedScopes] = {}
+        self.received: dict[EndpointKey, ReceivedState] = {}
         self.membership: Membership | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
@@ -100,67 +100,71 @@
         endpoint = context.state.fleet.endpoints.get(message.report.endpoint)
         if watched is None or endpoint is None:
             return
-        words = self._words_of(message.report.endpoint)
-        pace = self._pace(context, ZONE_PACE_PER_ENDPOINT)
-        heard = self._heard_of(endpoint_key(message.report.endpoint))
-        stands_in = context.now - heard.load_at > STAND_IN_AFTER * pace
-        if watched.is_primary or stands_in:
+        published = self._published_for(message.report.endpoint)
+        interval = self._load_interval(context, ZONE_INTERVAL_PER_ENDPOINT)
+        received = self._received_for(endpoint_key(message.report.endpoint))
+        is_standby_due = context.now - received.load_at > STANDBY_INTERVALS * interval
+        if watched.is_primary or is_standby_due:
             report = message.report
-            _tell(words.zone, report, report.lag, pace, Scope.ZONE, context)
+            _publish_load(
+                published.zone, report, report.lag, interval, Scope.ZONE, context
+            )
 
     @handle.register
     def _(self, message: ProbeFailed, context: Context) -> None:
         endpoint = context.state.fleet.endpoints.get(message.endpoint)
         if endpoint is not None and self._watched(message.endpoint) is not None:
-            told = self._words_of(message.endpoint).zone
-            _tell_silence(told, endpoint, Scope.ZONE, context)
+            published = self._published_for(message.endpoint).zone
+            _publish_probe_failure(published, endpoint, Scope.ZONE, context)
 
     @handle.register
     def _(self, message: PublishForZone, context: Context) -> None:
         fleet = context.state.fleet
-        pace = self._pace(context, FLEET_PACE_PER_ENDPOINT)
+        interval = self._load_interval(context, FLEET_INTERVAL_PER_ENDPOINT)
         for endpoint in fleet.endpoints.values():
             if endpoint.entry.availability_zone != message.availability_zone:
                 continue
-            told = self._words_of(endpoint.endpoint_id).fleet
+            published = self._published_for(endpoint.endpoint_id).fleet
             if endpoint.unreachable_since is not None:
-                _tell_silence(told, endpoint, Scope.FLEET, context)
+                _publish_probe_failure(published, endpoint, Scope.FLEET, context)
             elif endpoint.report is not None:
                 lag = context.now - endpoint.reported_at
-                _tell(told, endpoint.report, lag, pace, Scope.FLEET, context)
+                _publish_load(
+                    published, endpoint.report, lag, interval, Scope.FLEET, context
+                )
         self._forget_removed(context)
 
     @handle.register
     def _(self, message: EndpointProfileReceived, context: Context) -> None:
-        heard = self._heard_of(message.key)
-        known = heard.profile
+        received = self._received_for(message.key)
+        known = received.profile
         if known is None or message.profile.incarnation >= known.incarnation:
-            heard.profile = message.profile
-        if heard.pending is not None:
-            waited = context.now - heard.pending_at
-            age = heard.pending.origin.age + waited
-            self._join_heard(heard.pending, heard, age, context)
+            received.profile = message.profile
+        if received.pending is not None:
+            waited = context.now - received.pending_at
+            age = received.pending.origin.age + waited
+            self._merge_received(received.pending, received, age, context)
 
     @handle.register
     def _(self, message: EndpointLoadReceived, context: Context) -> None:
-        heard = self._heard_of(message.key)
-        heard.load_at = context.now
-        self._join_heard(message, heard, message.origin.age, context)
+        received = self._received_for(message.key)
+        received.load_at = context.now
+        self._merge_received(message, received, message.origin.age, context)
 
     @handle.register
     def _(self, message: EndpointProbeFailureReceived, context: Context) -> None:
         endpoint = context.state.fleet.by_key.get(message.key)
-        silence = message.failure
-        if endpoint is None or silence.incarnation < endpoint.entry.incarnation:
+        failure = message.failure
+        if endpoint is None or failure.incarnation < endpoint.entry.incarnation:
             return
-        at = context.now - message.origin.age - silence.age_ms * MS
+        at = context.now - message.origin.age - failure.age_ms * MS
         fleet = context.state.fleet
         fleet.apply_failure(endpoint.endpoint_id, at, own=False)
 
-    def _join_heard(
+    def _merge_received(
         self,
         message: EndpointLoadReceived,
-        heard: Heard,
+        received: ReceivedState,
         age: timedelta,
         context: Context,
     ) -> None:
@@ -168,17 +172,17 @@
 
         Either may come first, and both may come before the list has the endpoint.
         """
-        profile = heard.profile
+        profile = received.profile
         endpoint = context.state.fleet.by_key.get(message.key)
         if (
             endpoint is None
             or profile is None
-            or life_of(profile.incarnation) != message.load.incarnation_bits
+            or incarnation_bits_of(profile.incarnation) != message.load.incarnation_bits
         ):
-            heard.pending = message
-            heard.pending_at = context.now - (age - message.origin.age)
+            received.pending = message
+            received.pending_at = context.now - (age - message.origin.age)
             return
-        heard.pending = None
+        received.pending = None
         report = report_of(endpoint.endpoint_id, message.load, profile, age)
         context.post(LoadReported(report, probed_by=message.origin.instance))
 
@@ -187,69 +191,72 @@
             return None
         return self.membership.watched_endpoint(endpoint)
 
-    def _words_of(self, endpoint: EndpointId) -> Words:
-        words = self.words.get(endpoint)
-        if words is None:
-            words = self.words[endpoint] = Words()
-        return words
+    def _published_for(self, endpoint: EndpointId) -> PublishedScopes:
+        published = self.published.get(endpoint)
+        if published is None:
+            published = self.published[endpoint] = PublishedScopes()
+        return published
 
-    def _heard_of(self, key: EndpointKey) -> Heard:
-        heard = self.heard.get(key)
-        if heard is None:
-            heard = self.heard[key] = Heard()
-        return heard
+    def _received_for(self, key: EndpointKey) -> ReceivedState:
+        received = self.received.get(key)
+        if received is None:
+            received = self.received[key] = ReceivedState()
+        return received
 
-    def _pace(self, context: Context, per_endpoint: timedelta) -> timedelta:
+    def _load_interval(self, context: Context, per_endpoint: timedelta) -> timedelta:
         """Return the time between two loads of an endpoint, by the zone's size."""
         if self.membership is None:
-            return SHORTEST_PACE
-        return max(SHORTEST_PACE, per_endpoint * self.membership.zone_endpoints)
+            return MIN_LOAD_INTERVAL
+        return max(MIN_LOAD_INTERVAL, per_endpoint * self.membership.zone_endpoints)
 
     def _forget_removed(self, context: Context) -> None:
         fleet = context.state.fleet
-        for gone in [name for name in self.words if name not in fleet.endpoints]:
-            del self.words[gone]
-        for key in [key for key in self.heard if key not in fleet.by_key]:
-            old = context.now - self.heard[key].load_at > FORGET_HEARD
+        for gone in [name for name in self.published if name not in fleet.endpoints]:
+            del self.published[gone]
+        for key in [key for key in self.received if key not in fleet.by_key]:
+            old = context.now - self.received[key].load_at > RECEIVED_RETENTION
             if old:
-                del self.heard[key]
+                del self.received[key]
 
 
-def _tell(
-    told: Told,
+def _publish_load(
+    published: PublishedState,
     report: LoadReport,
     lag: timedelta,
-    pace: timedelta,
+    interval: timedelta,
     scope: Scope,
     context: Context,
 ) -> None:
     """Publish an endpoint's profile if it is due, and its load."""
     profile = profile_of(report)
-    old = context.now - told.profile_at >= PROFILE_RENEWAL
-    if profile != told.profile or old:
-        told.profile = profile
-        told.profile_at = context.now
+    old = context.now - published.profile_at >= PROFILE_REFRESH_INTERVAL
+    if profile != published.profile or old:
+        published.profile = profile
+        published.profile_at = context.now
         _publish(report.endpoint, profile, scope, False, context)
     load = load_of(report, lag)
-    drain_changed = told.load is None or load.draining != told.load.draining
-    if not drain_changed and context.now - told.load_at < pace:
+    drain_changed = published.load is None or load.draining != published.load.draining
+    if not drain_changed and context.now - published.load_at < interval:
         return
-    told.load = load
-    told.load_at = context.now
+    published.load = load
+    published.load_at = context.now
     _publish(report.endpoint, load, scope, drain_changed, context)
 
 
-def _tell_silence(
-    told: Told, endpoint: Endpoint, scope: Scope, context: Context
+def _publish_probe_failure(
+    published: PublishedState, endpoint: Endpoint, scope: Scope, context: Context
 ) -> None:
     """Publish that an endpoint does not answer, at once and then now and again."""
-    urgent = told.silence_at < told.load_at
-    if not urgent and context.now - told.silence_at < SILENCE_RENEWAL:
+    urgent = published.probe_failure_at < published.load_at
+    if (
+        not urgent
+        and context.now - published.probe_failure_at < PROBE_FAILURE_REFRESH_INTERVAL
+    ):
         return
-    told.silence_at = context.now
+    published.probe_failure_at = context.now
     age = max(timedelta(0), context.now - endpoint.failed_at)
-    silence = EndpointProbeFailure(endpoint.entry.incarnation, age // MS)
-    _publish(endpoint.endpoint_id, silence, scope, urgent, context)
+    failure = EndpointProbeFailure(endpoint.entry.incarnation, age // MS)
+    _publish(endpoint.endpoint_id, failure, scope, urgent, context)
 
 
 def _publish(
--- a/src/mimosafork/policies/endpoint_values.py
+++ b/src/mimosafork/policies/endpoint_values.py
@@ -13,7 +13,7 @@
 )
 
 MS = timedelta(milliseconds=1)
-LIFE_MASK = 0xFFFF_FFFF
+INCARNATION_MASK = 0xFFFF_FFFF
 
 
 def profile_of(report: LoadReport) -> EndpointProfile:
@@ -31,7 +31,7 @@
 def load_of(report: LoadReport, lag: timedelta) -> EndpointLoad:
     """Return what always changes in a report, which is `lag` old now."""
     return EndpointLoad(
-        life_of(report.incarnation),
+        incarnation_bits_of(report.incarnation),
         report.sequence,
         max(0, lag // MS),
         report.running,
@@ -45,9 +45,9 @@
     )
 
 
-def life_of(incarnation: Incarnation) -> int:
+def incarnation_bits_of(incarnation: Incarnation) -> int:
     """Return the part of an incarnation that a load carries."""
-    return incarnation & LIFE_MASK
+    return incarnation & INCARNATION_MASK
 
 
 def report_of(
--- a/src/mimosafork/policies/mark_set.py
+++ b/src/mimosafork/policies/mark_set.py
@@ -6,16 +6,16 @@
 
 from ..ids import Digest
 
-SHORT_DIGITS = 8
+MARK_DIGITS = 8
 """Hexadecimal digits of a mark that are kept. Among some thousand marks an unknown
 one is taken for known once in a million times, which costs a prefill at most."""
-BYTES_EACH = 4
+MARK_BYTES = 4
 TYPE_CODE = "I"
 
 
 def short_mark(mark: Digest) -> int:
     """Return the short form of a mark."""
-    return int(mark[:SHORT_DIGITS], 16)
+    return int(mark[:MARK_DIGITS], 16)
 
 
 class MarkSet:
@@ -40,31 +40,31 @@
 
     def __contains__(self, mark: int) -> bool:
         """Return whether a mark is in."""
-        place = bisect_left(self.marks, mark)
-        return place < len(self.marks) and self.marks[place] == mark
+        index = bisect_left(self.marks, mark)
+        return index < len(self.marks) and self.marks[index] == mark
 
     def add(self, mark: int) -> None:
         """Put a mark in; it may be in already."""
-        place = bisect_left(self.marks, mark)
-        if place == len(self.marks) or self.marks[place] != mark:
-            self.marks.insert(place, mark)
+        index = bisect_left(self.marks, mark)
+        if index == len(self.marks) or self.marks[index] != mark:
+            self.marks.insert(index, mark)
 
     def discard(self, mark: int) -> None:
         """Take a mark out; it need not be in."""
-        place = bisect_left(self.marks, mark)
-        if place < len(self.marks) and self.marks[place] == mark:
-            del self.marks[place]
+        index = bisect_left(self.marks, mark)
+        if index < len(self.marks) and self.marks[index] == mark:
+            del self.marks[index]
 
 
 def to_bytes(marks: Iterable[int]) -> bytes:
     """Return marks as bytes, four each."""
-    return b"".join(mark.to_bytes(BYTES_EACH, "big") for mark in marks)
+    return b"".join(mark.to_bytes(MARK_BYTES, "big") for mark in marks)
 
 
 def from_bytes(data: bytes) -> list[int]:
     """Return the marks in bytes; an odd rest is left out."""
-    whole = len(data) - len(data) % BYTES_EACH
+    whole = len(data) - len(data) % MARK_BYTES
     return [
-        int.from_bytes(data[at : at + BYTES_EACH], "big")
-        for at in range(0, whole, BYTES_EACH)
+        int.from_bytes(data[at : at + MARK_BYTES], "big")
+        for at in range(0, whole, MARK_BYTES)
     ]
--- a/src/mimosafork/policies/membership.py
+++ b/src/mimosafork/policies/membership.py
@@ -32,13 +32,13 @@
 """A new instance takes the listed ones for live until it has had time to hear of
 them, or it would begin by probing its whole zone alone."""
 
-SPEAK_PERIOD = timedelta(seconds=1)
+ZONE_PUBLISH_INTERVAL = timedelta(seconds=1)
 
 DRAINING_REFUSAL = "draining"
 
 
 @dataclass(frozen=True, slots=True)
-class Assignment:
+class WatchAssignment:
     """All that the watching is worked out from."""
 
     candidates: tuple[InstanceId, ...]
@@ -58,15 +58,15 @@
     """
 
     def __init__(self) -> None:
-        self.began_at: timedelta | None = None
+        self.started_at: timedelta | None = None
         self.members: tuple[Member, ...] = ()
         self.silent_zones: frozenset[AvailabilityZoneId] = frozenset()
         self.watched: dict[EndpointId, WatchedEndpoint] | None = None
-        self.assigned_for: Assignment | None = None
+        self.last_assignment: WatchAssignment | None = None
         self.zone_endpoints = 0
-        self.warm = False
-        self.speaks_for_zone = False
-        self.spoke_at = timedelta(0)
+        self.is_warm = False
+        self.is_zone_publisher = False
+        self.zone_published_at = timedelta(0)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -97,13 +97,16 @@
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
-        if self.began_at is None:
-            self.began_at = context.now
-        if not self.warm and context.now - self.began_at >= WARM_UP:
-            self.warm = True
+        if self.started_at is None:
+            self.started_at = context.now
+        if not self.is_warm and context.now - self.started_at >= WARM_UP:
+            self.is_warm = True
             self._assign(context)
-        if self.speaks_for_zone and context.now - self.spoke_at >= SPEAK_PERIOD:
-            self.spoke_at = context.now
+        if (
+            self.is_zone_publisher
+            and context.now - self.zone_published_at >= ZONE_PUBLISH_INTERVAL
+        ):
+            self.zone_published_at = context.now
             zone = context.state.identity.availability_zone
             context.post(PublishForZone(zone))
 
@@ -119,7 +122,7 @@
             for member in self.members
             if member.state is MemberState.LIVE
         }
-        if not self.warm:
+        if not self.is_warm:
             names |= self._listed(context)
         if not context.state.draining or not names:
             names.add(own)
@@ -149,34 +152,36 @@
         entries = tuple(
             endpoint.entry
             for endpoint in context.state.fleet.endpoints.values()
-            if self._in_charge(endpoint.entry, zone)
+            if self._is_responsible_for(endpoint.entry, zone)
         )
-        current = Assignment(tuple(self.candidates(context)), entries)
-        if current == self.assigned_for:
+        current = WatchAssignment(tuple(self.candidates(context)), entries)
+        if current == self.last_assignment:
             return
-        self.assigned_for = current
+        self.last_assignment = current
         self.zone_endpoints = sum(each.availability_zone == zone for each in entries)
         own = context.state.identity.instance
-        speaker = ranked(f"speaker {zone}", current.candidates)[0]
-        self.speaks_for_zone = speaker == own
+        publisher = ranked(f"speaker {zone}", current.candidates)[0]
+        self.is_zone_publisher = publisher == own
         watched = _watched_by(own, current)
         if watched != self.watched:
             self.watched = watched
             context.emit(WatchEndpoints(tuple(watched.values())))
 
-    def _in_charge(self, entry: EndpointEntry, zone: AvailabilityZoneId) -> bool:
+    def _is_responsible_for(
+        self, entry: EndpointEntry, zone: AvailabilityZoneId
+    ) -> bool:
         """Return whether this zone's instances watch an endpoint.
 
         A zone of which nothing is heard may have lost its instances, so every other
         zone watches its endpoints for itself. If it is only cut off, its own
         instances still do and the probes from here fail, which is then true here.
         """
-        home = entry.availability_zone
-        return home == zone or home in self.silent_zones
+        endpoint_zone = entry.availability_zone
+        return endpoint_zone == zone or endpoint_zone in self.silent_zones
 
 
 def _watched_by(
-    own: InstanceId, assignment: Assignment
+    own: InstanceId, assignment: WatchAssignment
 ) -> dict[EndpointId, WatchedEndpoint]:
     """Return the endpoints that fall to this instance."""
     watched = {}
--- a/src/mimosafork/policies/quarantine/crashes.py
+++ b/src/mimosafork/policies/quarantine/crashes.py
@@ -8,20 +8,20 @@
 from ...kernel.fleet import Endpoint
 from ...kernel.messages.quarantine import CrashEvidence, EndpointIncarnation
 
-SILENCE = timedelta(seconds=10)
+PRESUMED_DEAD_AFTER = timedelta(seconds=10)
 """An endpoint that nobody reaches for so long, while its neighbours answer, is
 taken for dead."""
 
-FORGET_AFTER = timedelta(minutes=10)
+BREAK_RETENTION = timedelta(minutes=10)
 
 
-DECODING_SHARE = 0.25
+DECODING_WEIGHT = 0.25
 """Part of its suspicion that a body keeps when it was past its prefill while others
 were in theirs: most deadly requests strike there."""
 
 
 @dataclass(slots=True)
-class Break:
+class ConnectionBreak:
     """Connections to one life of an endpoint broke in mid-answer.
 
     Attributes
@@ -36,12 +36,12 @@
         Bodies of which others have told that they were there too.
     """
 
-    life: EndpointIncarnation
+    endpoint_incarnation: EndpointIncarnation
     at: timedelta
     in_progress: int = 0
     in_prefill: int = 0
     bodies: dict[Digest, bool] = field(default_factory=dict)
-    heard: set[Digest] = field(default_factory=set)
+    peer_bodies: set[Digest] = field(default_factory=set)
 
     def add(self, digest: Digest, is_prefilled: bool) -> bool:
         """Add a body; return whether it was not yet among them."""
@@ -58,58 +58,60 @@
         if not self.bodies[digest]:
             weight = 1 / self.in_prefill
         elif self.in_prefill:
-            weight = DECODING_SHARE / self.in_progress
+            weight = DECODING_WEIGHT / self.in_progress
         else:
             weight = 1 / self.in_progress
         return CrashEvidence(
-            self.life.endpoint,
-            self.life.incarnation,
+            self.endpoint_incarnation.endpoint,
+            self.endpoint_incarnation.incarnation,
             weight,
             is_sole=self.in_progress == 1,
             is_confirmed=False,
         )
 
 
-def break_of(life: EndpointIncarnation, is_prefilled: bool, context: Context) -> Break:
+def start_break(
+    endpoint_incarnation: EndpointIncarnation, is_prefilled: bool, context: Context
+) -> ConnectionBreak:
     """Return a break whose first connection has just broken.
 
     The endpoint's report is older than the break and may miss some requests; this
     instance's own are known exactly. Whichever is more is nearer.
     """
-    broken = Break(life, context.now)
-    endpoint = context.state.fleet.endpoints.get(life.endpoint)
+    broken = ConnectionBreak(endpoint_incarnation, context.now)
+    endpoint = context.state.fleet.endpoints.get(endpoint_incarnation.endpoint)
     if endpoint is None:
         return broken
     own = endpoint.own_requests.values()
     broken.in_progress = 1 + len(own)
     broken.in_prefill = sum(not each.prefilled for each in own) + (not is_prefilled)
     report = endpoint.report
-    if report is not None and report.incarnation == life.incarnation:
+    if report is not None and report.incarnation == endpoint_incarnation.incarnation:
         reported = report.running + report.waiting
         broken.in_progress = max(broken.in_progress, reported)
         broken.in_prefill = max(broken.in_prefill, report.waiting)
     return broken
 
 
-def has_ended(broken: Break, context: Context) -> bool | None:
+def incarnation_ended(broken: ConnectionBreak, context: Context) -> bool | None:
     """Return whether the life has ended; None while that is not known.
 
     A cut network breaks connections just as a crash does. The endpoint's own word
     decides: a report of the same life made after the break, or one of a newer life.
     """
     fleet = context.state.fleet
-    endpoint = fleet.endpoints.get(broken.life.endpoint)
+    endpoint = fleet.endpoints.get(broken.endpoint_incarnation.endpoint)
     if endpoint is None:
         return True
     newest = endpoint.entry.incarnation
     if endpoint.report is not None:
         newest = max(newest, endpoint.report.incarnation)
-    if newest > broken.life.incarnation:
+    if newest > broken.endpoint_incarnation.incarnation:
         return True
     if endpoint.report is not None and endpoint.reported_at > broken.at:
         return False
     silent_since = endpoint.unreachable_since
-    if silent_since is None or context.now - silent_since < SILENCE:
+    if silent_since is None or context.now - silent_since < PRESUMED_DEAD_AFTER:
         return None
     return True if _neighbour_answers(endpoint, silent_since, context) else None
 
--- a/src/mimosafork/policies/quarantine/isolation.py
+++ b/src/mimosafork/policies/quarantine/isolation.py
@@ -9,12 +9,12 @@
 from ...kernel.messages.peers import Publish, Scope
 from ...kernel.messages.quarantine import EndpointIsolation, EndpointIsolationReceived
 
-ISOLATION = timedelta(seconds=6)
+ISOLATION_TIME = timedelta(seconds=6)
 """For how long an endpoint is kept free at a time."""
 
-RENEWAL = timedelta(seconds=2)
+RENEWAL_INTERVAL = timedelta(seconds=2)
 
-SPREAD = timedelta(seconds=1)
+PROPAGATION_TIME = timedelta(seconds=1)
 """Until peers have heard of an isolation, and this instance of theirs."""
 
 MS = timedelta(milliseconds=1)
@@ -39,35 +39,35 @@
     own: dict[EndpointId, OwnIsolation] = field(default_factory=dict)
     others: dict[EndpointId, dict[InstanceId, timedelta]] = field(default_factory=dict)
 
-    def keep_free(self, endpoint: Endpoint, context: Context) -> None:
+    def isolate(self, endpoint: Endpoint, context: Context) -> None:
         """Keep everybody's new work off an endpoint for a while."""
         name = endpoint.endpoint_id
         known = self.own.get(name)
-        lapsed = known is None or context.now - known.renewed_at >= ISOLATION
+        lapsed = known is None or context.now - known.renewed_at >= ISOLATION_TIME
         if known is None or lapsed:
             known = self.own[name] = OwnIsolation(context.now, context.now)
-        elif context.now - known.renewed_at < RENEWAL:
+        elif context.now - known.renewed_at < RENEWAL_INTERVAL:
             return
         known.renewed_at = context.now
-        isolation = EndpointIsolation(ISOLATION // MS)
+        isolation = EndpointIsolation(ISOLATION_TIME // MS)
         context.emit(Publish(name, isolation, Scope.FLEET, urgent=True))
-        self._mark(name, context)
+        self._update_endpoint(name, context)
 
     def end(self, name: EndpointId, context: Context) -> None:
         """Give an endpoint back to all work."""
         if self.own.pop(name, None) is None:
             return
         context.emit(Publish(name, EndpointIsolation(0), Scope.FLEET, urgent=True))
-        self._mark(name, context)
+        self._update_endpoint(name, context)
 
-    def hear(self, message: EndpointIsolationReceived, context: Context) -> None:
+    def receive(self, message: EndpointIsolationReceived, context: Context) -> None:
         """Note what a peer keeps free, or no longer does."""
         left = message.isolation.remaining_ms * MS - message.origin.age
         group = self.others.setdefault(message.endpoint, {})
         group[message.origin.instance] = context.now + left
-        self._mark(message.endpoint, context)
+        self._update_endpoint(message.endpoint, context)
 
-    def is_ours_alone(self, endpoint: Endpoint, context: Context) -> bool:
+    def is_exclusive(self, endpoint: Endpoint, context: Context) -> bool:
         """Return whether nobody else uses an endpoint that is kept free.
 
         The isolation must have spread, and a report made after that must show
@@ -78,9 +78,9 @@
         report = endpoint.report
         if known is None or report is None or endpoint.own_requests:
             return False
-        if context.now - known.renewed_at >= ISOLATION:
+        if context.now - known.renewed_at >= ISOLATION_TIME:
             return False
-        if endpoint.reported_at < known.since + SPREAD:
+        if endpoint.reported_at < known.since + PROPAGATION_TIME:
             return False
         if report.running + report.waiting > 0:
             return False
@@ -90,7 +90,7 @@
             for other, until in self.others.get(name, {}).items()
         )
 
-    def _mark(self, name: EndpointId, context: Context) -> None:
+    def _update_endpoint(self, name: EndpointId, context: Context) -> None:
         """Write down at the endpoint until when it is kept free by anybody."""
         group = self.others.get(name, {})
         for instance in [each for each, until in group.items() if until <= context.now]:
@@ -99,7 +99,7 @@
             self.others.pop(name, None)
         ends = list(group.values())
         if name in self.own:
-            ends.append(self.own[name].renewed_at + ISOLATION)
+            ends.append(self.own[name].renewed_at + ISOLATION_TIME)
         endpoint = context.state.fleet.endpoints.get(name)
         if endpoint is not None:
             endpoint.isolated_until = max(ends, default=None)
--- a/src/mimosafork/policies/quarantine/sole_run.py
+++ b/src/mimosafork/policies/quarantine/sole_run.py
@@ -20,12 +20,12 @@
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ...kernel.rendezvous import ranked
-from .crashes import Break
+from .crashes import ConnectionBreak
 from .isolation import Isolations
-from .ledger import SUSPECT_CRASHES, Ledger, Verdict
+from .ledger import SUSPECT_CRASHES, EvidenceLedger, Verdict
 from .stage import Quarantine, condemned_problem
 
-ISOLATED_SHARE = 0.1
+MAX_ISOLATED_SHARE = 0.1
 """Part of a target's endpoints that may be kept free at once; at least one may."""
 
 
@@ -41,8 +41,8 @@
     order = 5
 
     def __init__(self) -> None:
-        self.ledger = Ledger()
-        self.breaks: Mapping[EndpointIncarnation, Break] = {}
+        self.ledger = EvidenceLedger()
+        self.breaks: Mapping[EndpointIncarnation, ConnectionBreak] = {}
         self.isolations = Isolations()
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
@@ -59,9 +59,9 @@
             return NotApplicable()
         if verdict is Verdict.CONDEMNED:
             return Refuse(condemned_problem())
-        if self.ledger.cases[record.request.body_digest].is_open:
+        if self.ledger.cases[record.request.body_digest].may_be_condemned:
             return Wait("sole-run")
-        return self._place_alone(record, context)
+        return self._place_suspect(record, context)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -69,33 +69,33 @@
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
-        if self._suspect_waits(message.record, context):
+        if self._has_waiting_suspect(message.record, context):
             return
         for attempt in message.record.attempts:
             self.isolations.end(attempt.endpoint, context)
 
     @handle.register
     def _(self, message: EndpointIsolationReceived, context: Context) -> None:
-        self.isolations.hear(message, context)
+        self.isolations.receive(message, context)
 
-    def _suspect_waits(self, record: RequestRecord, context: Context) -> bool:
+    def _has_waiting_suspect(self, record: RequestRecord, context: Context) -> bool:
         """Return whether an endpoint should stay free for the next suspect."""
         return any(
             self.ledger.verdict(waiting.request.body_digest) is Verdict.SUSPECT
             for waiting in context.state.waiting.waiting_for(record.request.target)
         )
 
-    def _place_alone(self, record: RequestRecord, context: Context) -> Placement:
+    def _place_suspect(self, record: RequestRecord, context: Context) -> Placement:
         candidates = self._candidates(record, context)
         if candidates is None:
             return Refuse(condemned_problem())
         for endpoint in candidates:
-            if self.isolations.is_ours_alone(endpoint, context):
-                self.isolations.keep_free(endpoint, context)
+            if self.isolations.is_exclusive(endpoint, context):
+                self.isolations.isolate(endpoint, context)
                 entry = endpoint.entry
                 return PlaceOn(entry.endpoint, entry.incarnation, entry.address)
         if candidates and self._may_isolate(candidates[0], record, context):
-            self.isolations.keep_free(candidates[0], context)
+            self.isolations.isolate(candidates[0], context)
         return Wait("sole-run")
 
     def _candidates(
@@ -128,8 +128,10 @@
         """
         if endpoint.leaving or endpoint.unreachable_since is not None:
             return False
-        life = EndpointIncarnation(endpoint.endpoint_id, endpoint.entry.incarnation)
-        return life not in self.breaks
+        endpoint_incarnation = EndpointIncarnation(
+            endpoint.endpoint_id, endpoint.entry.incarnation
+        )
+        return endpoint_incarnation not in self.breaks
 
     def _may_isolate(
         self, endpoint: Endpoint, record: RequestRecord, context: Context
@@ -141,7 +143,7 @@
         serving = list(context.state.fleet.serving(record.request.target))
         others = [each for each in serving if each is not endpoint]
         isolated = sum(_is_isolated(each, context) for each in others)
-        if isolated >= max(1, int(ISOLATED_SHARE * len(serving))):
+        if isolated >= max(1, int(MAX_ISOLATED_SHARE * len(serving))):
             return False
         if any(each.accepts_new_requests(context.now) for each in others):
             return True
--- a/src/mimosafork/policies/quarantine/stage.py
+++ b/src/mimosafork/policies/quarantine/stage.py
@@ -29,15 +29,15 @@
     REQUEST_SUSPECTED,
 )
 from ...telemetry.logs import log_event
-from .crashes import FORGET_AFTER, Break, break_of, has_ended
-from .ledger import Ledger, Verdict
+from .crashes import BREAK_RETENTION, ConnectionBreak, incarnation_ended, start_break
+from .ledger import EvidenceLedger, Verdict
 
 logger = getLogger(__name__)
 
-LOOK_PERIOD = timedelta(milliseconds=250)
+BREAK_CHECK_INTERVAL = timedelta(milliseconds=250)
 """Between two looks at what has become of endpoints whose connections broke."""
 
-MOST_TOLD_EARLY = 32
+MAX_EARLY_PUBLISHED_BODIES = 32
 """Bodies of one break that are told before it is known to be a crash. When a network
 is cut, thousands of connections break, and the news would not fit the traffic."""
 
@@ -56,10 +56,10 @@
     order = 30
 
     def __init__(self) -> None:
-        self.ledger = Ledger()
-        self.breaks: dict[EndpointIncarnation, Break] = {}
-        self.ended_at_once: RequestId | None = None
-        self.looked_at = timedelta(0)
+        self.ledger = EvidenceLedger()
+        self.breaks: dict[EndpointIncarnation, ConnectionBreak] = {}
+        self.concluded_request: RequestId | None = None
+        self.checked_at = timedelta(0)
 
     def review(self, record: RequestRecord, context: Context) -> StageVerdict:
         """Refuse a condemned body before anything runs."""
@@ -82,35 +82,35 @@
         if record is None:
             # It was given up at this failure, and its record comes with the news of
             # its end, which is handled right after this.
-            self.ended_at_once = message.request_id
+            self.concluded_request = message.request_id
             return
         for attempt in record.attempts:
             if attempt.number == message.attempt:
-                self._note_break(record, attempt, context)
+                self._record_break(record, attempt, context)
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
         record = message.record
         if message.conclusion.outcome is Outcome.COMPLETED:
             self._clear(record.request.body_digest, context)
-        elif record.request_id == self.ended_at_once and record.current is not None:
-            self._note_break(record, record.current, context)
-        self.ended_at_once = None
+        elif record.request_id == self.concluded_request and record.current is not None:
+            self._record_break(record, record.current, context)
+        self.concluded_request = None
 
     @handle.register
     def _(self, message: SuspicionReceived, context: Context) -> None:
         at = context.now - message.origin.age
-        is_news = self.ledger.join(message.digest, message.suspicion, at)
-        if is_news and self._is_witness(message, context):
-            self._tell(message.digest, context)
+        changed = self.ledger.merge(message.digest, message.suspicion, at)
+        if changed and self._should_republish(message, context):
+            self._publish_suspicion(message.digest, context)
         for evidence in message.suspicion.evidence:
             if not evidence.is_confirmed:
                 # Its writer may be dead before it can tell how this ended.
                 known = self.breaks.setdefault(
                     evidence.endpoint_incarnation,
-                    Break(evidence.endpoint_incarnation, at),
+                    ConnectionBreak(evidence.endpoint_incarnation, at),
                 )
-                known.heard.add(message.digest)
+                known.peer_bodies.add(message.digest)
 
     @handle.register
     def _(self, message: SuspicionsRead, context: Context) -> None:
@@ -120,56 +120,60 @@
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
-        if not self.breaks or context.now - self.looked_at < LOOK_PERIOD:
+        if not self.breaks or context.now - self.checked_at < BREAK_CHECK_INTERVAL:
             return
-        self.looked_at = context.now
+        self.checked_at = context.now
         for broken in list(self.breaks.values()):
-            self._follow_up(broken, context)
+            self._resolve_break(broken, context)
         self.ledger.forget_old(context.now)
 
-    def _note_break(
+    def _record_break(
         self, record: RequestRecord, attempt: Attempt, context: Context
     ) -> None:
         """Take a request that was cut in mid-answer for a possible culprit."""
-        life = EndpointIncarnation(attempt.endpoint, attempt.incarnation)
+        endpoint_incarnation = EndpointIncarnation(
+            attempt.endpoint, attempt.incarnation
+        )
         is_prefilled = attempt.first_token_at is not None
-        broken = self.breaks.get(life)
+        broken = self.breaks.get(endpoint_incarnation)
         if broken is None:
-            broken = self.breaks[life] = break_of(life, is_prefilled, context)
+            broken = self.breaks[endpoint_incarnation] = start_break(
+                endpoint_incarnation, is_prefilled, context
+            )
         if not broken.add(record.request.body_digest, is_prefilled):
             return
         for body in broken.bodies:
             self.ledger.add(body, broken.evidence(body), context.now)
-        if len(broken.bodies) <= MOST_TOLD_EARLY:
-            self._tell(record.request.body_digest, context)
+        if len(broken.bodies) <= MAX_EARLY_PUBLISHED_BODIES:
+            self._publish_suspicion(record.request.body_digest, context)
 
-    def _follow_up(self, broken: Break, context: Context) -> None:
+    def _resolve_break(self, broken: ConnectionBreak, context: Context) -> None:
         """Settle a break once it is known whether the endpoint's life ended."""
-        ended = has_ended(broken, context)
-        if ended is None and context.now - broken.at < FORGET_AFTER:
+        ended = incarnation_ended(broken, context)
+        if ended is None and context.now - broken.at < BREAK_RETENTION:
             return
-        del self.breaks[broken.life]
-        for digest in broken.heard - broken.bodies.keys():
-            self._settle(digest, broken.life, bool(ended), context)
+        del self.breaks[broken.endpoint_incarnation]
+        for digest in broken.peer_bodies - broken.bodies.keys():
+            self._settle(digest, broken.endpoint_incarnation, bool(ended), context)
         for digest in broken.bodies:
-            if self._settle(digest, broken.life, bool(ended), context):
-                self._tell(digest, context)
+            if self._settle(digest, broken.endpoint_incarnation, bool(ended), context):
+                self._publish_suspicion(digest, context)
                 if ended:
-                    self._report(digest, broken.life, context)
+                    self._report_crash(digest, broken.endpoint_incarnation, context)
 
     def _settle(
         self,
         digest: Digest,
-        life: EndpointIncarnation,
+        endpoint_incarnation: EndpointIncarnation,
         has_ended: bool,
         context: Context,
     ) -> bool:
         """Confirm or drop evidence; return whether that changed anything."""
         if has_ended:
-            return self.ledger.confirm(digest, life, context.now)
-        return self.ledger.drop(digest, [life], context.now)
+            return self.ledger.confirm(digest, endpoint_incarnation, context.now)
+        return self.ledger.drop(digest, [endpoint_incarnation], context.now)
 
-    def _is_witness(self, message: SuspicionReceived, context: Context) -> bool:
+    def _should_republish(self, message: SuspicionReceived, context: Context) -> bool:
         """Return whether this instance tells again what it has just heard.
 
         What an instance has told is gone with its life, so that its successor, and
@@ -188,12 +192,15 @@
         first = ranked(f"witness {message.digest}", others)[:1]
         return first == [context.state.identity.instance]
 
-    def _tell(self, digest: Digest, context: Context) -> None:
+    def _publish_suspicion(self, digest: Digest, context: Context) -> None:
         suspicion = self.ledger.suspicion(digest)
         context.emit(Publish(digest, suspicion, Scope.FLEET, urgent=True))
 
-    def _report(
-        self, digest: Digest, life: EndpointIncarnation, context: Context
+    def _report_crash(
+        self,
+        digest: Digest,
+        endpoint_incarnation: EndpointIncarnation,
+        context: Context,
     ) -> None:
         """Log a confirmed crash, and keep it if the body ran alone."""
         case = self.ledger.cases[digest]
@@ -208,7 +215,7 @@
             logger,
             REQUEST_SUSPECTED,
             digest=digest,
-            endpoint=life.endpoint,
+            endpoint=endpoint_incarnation.endpoint,
             suspicion=f"{case.weight:.2f}",
         )
 
@@ -220,7 +227,7 @@
         was_suspect = case.verdict is not Verdict.CLEAR
         was_kept = any(each.is_sole for each in case.evidence.values())
         self.ledger.drop(digest, list(case.evidence), context.now)
-        self._tell(digest, context)
+        self._publish_suspicion(digest, context)
         if was_kept:
             context.emit(DropSuspicion(digest))
         if was_suspect:
--- a/src/mimosafork/policies/recovery.py
+++ b/src/mimosafork/policies/recovery.py
@@ -23,23 +23,23 @@
 from ..kernel.registry import register
 from .claims.keys import KEY_BYTES
 
-LIST_PERIOD = timedelta(seconds=60)
+LIST_INTERVAL = timedelta(seconds=60)
 """Between two full listings of an engine. A listing of 70 streams is 10 KB, so a
 zone of 100 engines costs its holder 17 KB a second."""
 
-OVERDUE = timedelta(seconds=5)
+DEADLINE_GRACE = timedelta(seconds=5)
 """Past its deadline an engine frees a holding by itself; this is left for it."""
 
-REMOVED_FOR = timedelta(minutes=10)
+REMOVED_AFTER = timedelta(minutes=10)
 """An owner that the platform's list has lacked for so long was removed."""
 
-FORGET_AFTER = timedelta(hours=2)
+INSTANCE_RETENTION = timedelta(hours=2)
 
-LONGEST_GAP = timedelta(seconds=5)
+MAX_LIST_GAP = timedelta(seconds=5)
 """Time between two lists that counts at most: during an outage of the list
 nothing is known of who is in it."""
 
-RESUMABLE = re.compile(rf"[0-9a-f]{{{2 * KEY_BYTES}}}-\d+\.\d+")
+RESUMABLE_STREAM_ID = re.compile(rf"[0-9a-f]{{{2 * KEY_BYTES}}}-\d+\.\d+")
 """Ids of streams under an idempotency key."""
 
 
@@ -55,8 +55,8 @@
 
     def __init__(self) -> None:
         self.lease: Lease | None = None
-        self.list_at: dict[EndpointId, timedelta] = {}
-        self.newest: dict[InstanceId, Incarnation] = {}
+        self.next_list_at: dict[EndpointId, timedelta] = {}
+        self.newest_incarnations: dict[InstanceId, Incarnation] = {}
         self.removed_for: dict[InstanceId, timedelta] = {}
         self.last_list_at: timedelta | None = None
 
@@ -73,13 +73,13 @@
     def _(self, message: InstancesListed, context: Context) -> None:
         listed = context.state.fleet.instances
         for entry in listed.values():
-            self._note_life(entry.instance, entry.incarnation, context)
+            self._record_incarnation(entry.instance, entry.incarnation, context)
         gap = timedelta(0)
         if self.last_list_at is not None:
-            gap = min(context.now - self.last_list_at, LONGEST_GAP)
+            gap = min(context.now - self.last_list_at, MAX_LIST_GAP)
         self.last_list_at = context.now
-        for instance in self.newest:
-            if instance in listed or _is_heard(instance, context):
+        for instance in self.newest_incarnations:
+            if instance in listed or _is_reachable_member(instance, context):
                 self.removed_for.pop(instance, None)
             else:
                 known = self.removed_for.get(instance, timedelta(0))
@@ -89,7 +89,7 @@
     @handle.register
     def _(self, message: MembersChanged, context: Context) -> None:
         for member in message.members:
-            self._note_life(member.instance, member.incarnation, context)
+            self._record_incarnation(member.instance, member.incarnation, context)
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
@@ -97,11 +97,13 @@
             return
         for endpoint in _engines(context):
             name = endpoint.endpoint_id
-            if name not in self.list_at:
+            if name not in self.next_list_at:
                 # Spread: all engines listed in one moment would be a burst.
-                self.list_at[name] = context.now + LIST_PERIOD * context.random.random()
-            elif self.list_at[name] <= context.now:
-                self.list_at[name] = context.now + LIST_PERIOD
+                self.next_list_at[name] = (
+                    context.now + LIST_INTERVAL * context.random.random()
+                )
+            elif self.next_list_at[name] <= context.now:
+                self.next_list_at[name] = context.now + LIST_INTERVAL
                 context.emit(ListHoldings(name, endpoint.entry.address))
 
     @handle.register
@@ -110,7 +112,9 @@
         if endpoint is None or not self._may_act(context):
             return
         for holding in message.holdings:
-            self.newest.setdefault(holding.owner, holding.owner_incarnation)
+            self.newest_incarnations.setdefault(
+                holding.owner, holding.owner_incarnation
+            )
             reason = self.reason_to_free(holding)
             if reason is not None:
                 address = endpoint.entry.address
@@ -118,23 +122,23 @@
 
     def reason_to_free(self, holding: Holding) -> FreeReason | None:
         """Return why a holding may be freed; None if it must be left alone."""
-        if holding.time_left < -OVERDUE:
+        if holding.time_left < -DEADLINE_GRACE:
             return FreeReason.PAST_DEADLINE
         if _may_be_resumed(holding):
             return None
-        if self.newest.get(holding.owner, 0) > holding.owner_incarnation:
+        if self.newest_incarnations.get(holding.owner, 0) > holding.owner_incarnation:
             return FreeReason.OWNER_REPLACED
-        if self.removed_for.get(holding.owner, timedelta(0)) >= REMOVED_FOR:
+        if self.removed_for.get(holding.owner, timedelta(0)) >= REMOVED_AFTER:
             return FreeReason.OWNER_REMOVED
         return None
 
-    def _note_life(
+    def _record_incarnation(
         self, instance: InstanceId, incarnation: Incarnation, context: Context
     ) -> None:
-        known = self.newest.get(instance)
+        known = self.newest_incarnations.get(instance)
         if known is not None and incarnation <= known:
             return
-        self.newest[instance] = incarnation
+        self.newest_incarnations[instance] = incarnation
         if known is None or not self._may_act(context):
             return
         for endpoint in _engines(context):
@@ -143,10 +147,12 @@
 
     def _forget_removed(self) -> None:
         """Forget instances that have been gone for longer than anything is held."""
-        gone = [name for name, span in self.removed_for.items() if span > FORGET_AFTER]
+        gone = [
+            name for name, span in self.removed_for.items() if span > INSTANCE_RETENTION
+        ]
         for instance in gone:
             del self.removed_for[instance]
-            del self.newest[instance]
+            del self.newest_incarnations[instance]
 
     def _may_act(self, context: Context) -> bool:
         if self.lease is None or context.state.draining:
@@ -163,10 +169,10 @@
     """
     if holding.kind is not HoldingKind.STREAM:
         return False
-    return RESUMABLE.fullmatch(holding.holding_id) is not None
+    return RESUMABLE_STREAM_ID.fullmatch(holding.holding_id) is not None
 
 
-def _is_heard(instance: InstanceId, context: Context) -> bool:
+def _is_reachable_member(instance: InstanceId, context: Context) -> bool:
     member = context.state.fleet.members.get(instance)
     return member is not None and member.state is not MemberState.SUSPECT
 
--- a/src/mimosafork/policies/reporting.py
+++ b/src/mimosafork/policies/reporting.py
@@ -23,7 +23,7 @@
 from ..kernel.records import Attempt, RequestRecord
 from ..kernel.registry import register
 
-PERIOD = timedelta(seconds=1)
+FLEET_REPORT_INTERVAL = timedelta(seconds=1)
 """Between two fleet reports: soon enough for people, rare enough to cost nothing."""
 
 
@@ -52,9 +52,10 @@
                 outcome=conclusion.outcome,
                 code=problem.code if problem is not None else None,
                 attempts=tuple(
-                    ending(attempt, conclusion.outcome) for attempt in record.attempts
+                    attempt_end(attempt, conclusion.outcome)
+                    for attempt in record.attempts
                 ),
-                first_token_after=first_token_after(record),
+                first_token_after=time_to_first_token(record),
                 duration=context.now - record.submitted_at,
             )
         )
@@ -74,14 +75,14 @@
     def _(self, message: Tick, context: Context) -> None:
         if context.now < self.next_at:
             return
-        self.next_at = context.now + PERIOD
+        self.next_at = context.now + FLEET_REPORT_INTERVAL
         fleet = context.state.fleet
         own = context.state.identity.instance
         context.emit(
             FleetReport(
                 endpoints={
                     name: EndpointView(
-                        each.entry.incarnation, condition(each, context.now)
+                        each.entry.incarnation, endpoint_condition(each, context.now)
                     )
                     for name, each in fleet.endpoints.items()
                 },
@@ -96,7 +97,7 @@
         )
 
 
-def ending(attempt: Attempt, outcome: Outcome) -> AttemptEnd | FailureKind:
+def attempt_end(attempt: Attempt, outcome: Outcome) -> AttemptEnd | FailureKind:
     """Return how an attempt of a concluded request ended."""
     if attempt.failure is not None:
         return attempt.failure.kind
@@ -105,7 +106,7 @@
     return AttemptEnd.CANCELLED
 
 
-def first_token_after(record: RequestRecord) -> timedelta | None:
+def time_to_first_token(record: RequestRecord) -> timedelta | None:
     """Return the time from a request's arrival to its first token."""
     instants = [
         attempt.first_token_at
@@ -115,7 +116,7 @@
     return min(instants) - record.submitted_at if instants else None
 
 
-def condition(endpoint: Endpoint, now: timedelta) -> EndpointCondition:
+def endpoint_condition(endpoint: Endpoint, now: timedelta) -> EndpointCondition:
     """Return the strictest thing that is known of an endpoint."""
     if endpoint.leaving:
         return EndpointCondition.LEAVING
--- a/src/mimosafork/policies/rollout.py
+++ b/src/mimosafork/policies/rollout.py
@@ -26,22 +26,22 @@
 from ..kernel.registry import register
 from .rollout_steps import confirming_order, next_order
 
-LOOK_PERIOD = timedelta(seconds=15)
+STATE_READ_INTERVAL = timedelta(seconds=15)
 """Between two looks at an endpoint's state; it bounds the life of a stale order."""
 
-BUSY_LOOK_PERIOD = timedelta(seconds=2)
+LOADING_STATE_READ_INTERVAL = timedelta(seconds=2)
 """The same while something loads there."""
 
-LOADING_SHARE = 0.1
+MAX_LOADING_SHARE = 0.1
 """Part of the zone's engines that may load at once; at least one may."""
 
-PAUSE_AFTER_REFUSAL = timedelta(seconds=30)
-PAUSE_AFTER_LOAD = timedelta(seconds=5)
+REFUSAL_BACKOFF = timedelta(seconds=30)
+LOAD_BACKOFF = timedelta(seconds=5)
 """Before a load that did not show in the endpoint's state is ordered again."""
 
 
 @dataclass(frozen=True, slots=True)
-class HadModels:
+class SeenModels:
     """Models that one life of an engine has shown since this lease began."""
 
     incarnation: Incarnation
@@ -60,13 +60,13 @@
     def __init__(self) -> None:
         self.lease: Lease | None = None
         self.states: dict[EndpointId, StateRead] = {}
-        self.silent: set[EndpointId] = set()
-        self.look_at: dict[EndpointId, timedelta] = {}
+        self.unreadable: set[EndpointId] = set()
+        self.next_read_at: dict[EndpointId, timedelta] = {}
         self.outstanding: dict[EndpointId, SendOrder] = {}
-        self.had: dict[EndpointId, HadModels] = {}
+        self.seen_models: dict[EndpointId, SeenModels] = {}
         self.confirmed: set[EndpointId] = set()
-        self.held_off_until: dict[EndpointId, timedelta] = {}
-        self.numbers = count(1)
+        self.backoff_until: dict[EndpointId, timedelta] = {}
+        self.order_numbers = count(1)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -86,22 +86,22 @@
         if not self._may_act(context):
             return
         for endpoint in _engines(context):
-            if self.look_at.get(endpoint.endpoint_id, context.now) <= context.now:
-                self._look_after(endpoint.endpoint_id, LOOK_PERIOD, context)
+            if self.next_read_at.get(endpoint.endpoint_id, context.now) <= context.now:
+                self._schedule_read(endpoint.endpoint_id, STATE_READ_INTERVAL, context)
                 context.emit(ReadState(endpoint.endpoint_id, endpoint.entry.address))
 
     @handle.register
     def _(self, message: StateRead, context: Context) -> None:
-        self.silent.discard(message.endpoint)
+        self.unreadable.discard(message.endpoint)
         self.states[message.endpoint] = message
-        self._note_models(message)
+        self._record_models(message)
         if _is_loading(message):
-            self._look_after(message.endpoint, BUSY_LOOK_PERIOD, context)
-        self._order(context)
+            self._schedule_read(message.endpoint, LOADING_STATE_READ_INTERVAL, context)
+        self._send_orders(context)
 
     @handle.register
     def _(self, message: StateReadFailed, context: Context) -> None:
-        self.silent.add(message.endpoint)
+        self.unreadable.add(message.endpoint)
         self.states.pop(message.endpoint, None)
 
     @handle.register
@@ -115,19 +115,19 @@
         # new look tells, also after an answer that was lost.
         self.states.pop(message.endpoint, None)
         if message.result is OrderResult.REFUSED:
-            self._hold_off(message.endpoint, PAUSE_AFTER_REFUSAL, context)
+            self._back_off(message.endpoint, REFUSAL_BACKOFF, context)
         elif command is not None and command.fetches_weights:
-            self._hold_off(message.endpoint, PAUSE_AFTER_LOAD, context)
-        self._look_after(message.endpoint, timedelta(0), context)
+            self._back_off(message.endpoint, LOAD_BACKOFF, context)
+        self._schedule_read(message.endpoint, timedelta(0), context)
 
     def _forget(self) -> None:
         self.states.clear()
-        self.silent.clear()
-        self.look_at.clear()
+        self.unreadable.clear()
+        self.next_read_at.clear()
         self.outstanding.clear()
-        self.had.clear()
+        self.seen_models.clear()
         self.confirmed.clear()
-        self.held_off_until.clear()
+        self.backoff_until.clear()
 
     def _may_act(self, context: Context) -> bool:
         """Return whether orders may be decided now.
@@ -142,22 +142,22 @@
             return False
         return lease.covers(context.now) and not context.state.draining
 
-    def _look_after(
+    def _schedule_read(
         self, endpoint: EndpointId, pause: timedelta, context: Context
     ) -> None:
-        self.look_at[endpoint] = context.now + pause
+        self.next_read_at[endpoint] = context.now + pause
 
-    def _hold_off(
+    def _back_off(
         self, endpoint: EndpointId, pause: timedelta, context: Context
     ) -> None:
-        self.held_off_until[endpoint] = context.now + pause
+        self.backoff_until[endpoint] = context.now + pause
 
-    def _order(self, context: Context) -> None:
+    def _send_orders(self, context: Context) -> None:
         """Send what is needed and allowed now."""
         engines = list(_engines(context))
-        if not self._may_act(context) or not self._know_all(engines):
+        if not self._may_act(context) or not self._all_states_known(engines):
             return
-        may_load = self._loads_allowed(engines)
+        may_load = self._remaining_loads(engines)
         for endpoint in engines:
             command = self._next_command(endpoint, context)
             if command is None:
@@ -169,7 +169,7 @@
             self.outstanding[endpoint.endpoint_id] = command
             context.emit(command)
 
-    def _know_all(self, engines: Iterable[Endpoint]) -> bool:
+    def _all_states_known(self, engines: Iterable[Endpoint]) -> bool:
         """Return whether each endpoint has been asked for its state.
 
         A new holder that began before it knew what loads already would start as
@@ -177,31 +177,33 @@
         """
         return all(
             endpoint.endpoint_id in self.states
-            or endpoint.endpoint_id in self.silent
+            or endpoint.endpoint_id in self.unreadable
             or endpoint.endpoint_id in self.outstanding
             for endpoint in engines
         )
 
-    def _loads_allowed(self, engines: list[Endpoint]) -> int:
-        most = max(1, int(LOADING_SHARE * len(engines)))
+    def _remaining_loads(self, engines: list[Endpoint]) -> int:
+        limit = max(1, int(MAX_LOADING_SHARE * len(engines)))
         ordered = sum(each.fetches_weights for each in self.outstanding.values())
         loading = sum(
             name not in self.outstanding and _is_loading(state)
             for name, state in self.states.items()
         )
-        return most - ordered - loading
+        return limit - ordered - loading
 
     def _next_command(self, endpoint: Endpoint, context: Context) -> SendOrder | None:
         name = endpoint.endpoint_id
         state = self.states.get(name)
         if state is None or name in self.outstanding or self.lease is None:
             return None
-        if self.held_off_until.get(name, context.now) > context.now:
+        if self.backoff_until.get(name, context.now) > context.now:
             return None
         assert context.state.configuration is not None
         models = context.state.configuration.models
-        order_id = OrderId(f"{context.state.identity.instance}-{next(self.numbers)}")
-        order = next_order(state, models, self.had[name].models, order_id)
+        order_id = OrderId(
+            f"{context.state.identity.instance}-{next(self.order_numbers)}"
+        )
+        order = next_order(state, models, self.seen_models[name].models, order_id)
         fetches = order is not None and order.kind is not OrderKind.UNLOAD_MODEL
         if order is None and self._is_unconfirmed(endpoint):
             order = confirming_order(state, models, order_id)
@@ -223,12 +225,12 @@
             return False
         return _fencing_mode(endpoint) is FencingMode.CHECKED
 
-    def _note_models(self, state: StateRead) -> None:
+    def _record_models(self, state: StateRead) -> None:
         models = frozenset(each.model for each in state.models)
-        known = self.had.get(state.endpoint)
+        known = self.seen_models.get(state.endpoint)
         if known is not None and known.incarnation == state.incarnation:
             models |= known.models
-        self.had[state.endpoint] = HadModels(state.incarnation, models)
+        self.seen_models[state.endpoint] = SeenModels(state.incarnation, models)
 
 
 def _fencing_mode(endpoint: Endpoint) -> FencingMode:
--- a/src/mimosafork/policies/rollout_steps.py
+++ b/src/mimosafork/policies/rollout_steps.py
@@ -10,7 +10,7 @@
 def next_order(
     state: StateRead,
     models: Mapping[ModelId, ModelPolicy],
-    had: frozenset[ModelId],
+    seen: frozenset[ModelId],
     order_id: OrderId,
 ) -> Order | None:
     """Return the next step of one engine towards the versions wanted, if any.
@@ -27,7 +27,7 @@
     """
     for name, policy in models.items():
         loaded = [each for each in state.models if each.model == name]
-        if not loaded and name not in had:
+        if not loaded and name not in seen:
             continue
         wanted = [each for each in loaded if each.version == policy.version]
         if not wanted:
--- a/tests/functional/test_history.py
+++ b/tests/functional/test_history.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from tests.support.chaos import Storm
+from tests.support.chaos import ChaosRun
 from tests.support.functions import function_tests
 from tests.support.history import Ending, violations
 from tests.support.processes import running_platform
@@ -14,7 +14,7 @@
 CALLERS = 12
 
 
-def run_storm(seconds: float, callers: int, seed: int) -> Storm:
+def run_storm(seconds: float, callers: int, seed: int) -> ChaosRun:
     """Run callers and failures for some time; return what happened."""
     with running_platform() as cluster:
         for name in ENGINES:
@@ -24,7 +24,7 @@
             cluster.add_entry(name)
         for name in ENTRIES:
             cluster.wait_until_served(name, endpoints=4)
-        storm = Storm(cluster, ENGINES, ENTRIES, Random(seed))
+        storm = ChaosRun(cluster, ENGINES, ENTRIES, Random(seed))
         storm.run(seconds, callers)
         found = violations(storm.history.operations, storm.starts("service-1"))
         assert not found, "\n".join(found)
@@ -40,7 +40,7 @@
     storm = run_storm(SECONDS, CALLERS, seed=20261)
     endings = storm.history.endings()
     assert endings[Ending.COMPLETED.value] > 50, endings
-    assert len(storm.troubles) >= 4, storm.troubles
+    assert len(storm.fault_counts) >= 4, storm.fault_counts
 
 
 load_tests = function_tests(__name__)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -39,7 +39,7 @@
     except AssertionError as error:
         print(f"seed {seed}: NOT ALLOWED\n{error}")
         return False
-    print(f"seed {seed}: {seen.history.endings()}, troubles {dict(seen.troubles)}")
+    print(f"seed {seed}: {seen.history.endings()}, troubles {dict(seen.fault_counts)}")
     sys.stdout.flush()
     return True
 
--- a/tests/support/chaos.py
+++ b/tests/support/chaos.py
@@ -24,18 +24,18 @@
 
 DEADLINE_S = 6.0
 MODEL_SHARE = 0.75
-ONCE_SHARE = 0.6
+NON_IDEMPOTENT_SHARE = 0.6
 STREAMED_SHARE = 0.7
 RESEND_SHARE = 0.35
-COME_BACKS = 3
-PAUSE_S = 0.1
+MAX_RESUMES = 3
+RETRY_DELAY_S = 0.1
 """Between a refusal or a cut and the next call; well below any Retry-After."""
 
 SERVICE_PATH = "/services/filings/drafts/"
 
 
 @dataclass
-class Storm:
+class ChaosRun:
     """Callers and failures on one cluster.
 
     Parameters
@@ -50,9 +50,9 @@
     random: Random
     history: History = field(default_factory=History)
     over: threading.Event = field(default_factory=threading.Event)
-    hit: Counter[str] = field(default_factory=Counter)
-    troubles: Counter[str] = field(default_factory=Counter)
-    known: list[Work] = field(default_factory=list)
+    disruptions: Counter[str] = field(default_factory=Counter)
+    fault_counts: Counter[str] = field(default_factory=Counter)
+    issued_work: list[Work] = field(default_factory=list)
     serial: int = 0
     lock: threading.Lock = field(default_factory=threading.Lock)
     errors: list[BaseException] = field(default_factory=list)
@@ -61,14 +61,16 @@
         """Call and fail for some time, then heal all and let the calls end."""
         seeds = [self.random.getrandbits(32) for _ in range(callers)]
         threads = [
-            threading.Thread(target=self._guarded, args=(self._call_on, Random(seed)))
+            threading.Thread(
+                target=self._guarded, args=(self._run_caller, Random(seed))
+            )
             for seed in seeds
         ]
         for thread in threads:
             thread.start()
         end_s = time.monotonic() + seconds
         while time.monotonic() < end_s:
-            self._trouble()
+            self._inject_fault()
             self.over.wait(self.random.uniform(0.3, 1.2))
         self.heal()
         self.over.set()
@@ -85,7 +87,7 @@
 
     # Callers.
 
-    def _call_on(self, random: Random) -> None:
+    def _run_caller(self, random: Random) -> None:
         while not self.over.is_set():
             work = self._next_work(random)
             self._call(work, random)
@@ -93,38 +95,38 @@
     def _next_work(self, random: Random) -> Work:
         """Return new work, or some that has been asked for before."""
         with self.lock:
-            if self.known and random.random() < RESEND_SHARE:
-                return random.choice(self.known[-12:])
+            if self.issued_work and random.random() < RESEND_SHARE:
+                return random.choice(self.issued_work[-12:])
             self.serial += 1
             name = f"key-{self.serial}"
-            once = random.random() < ONCE_SHARE
+            once = random.random() < NON_IDEMPOTENT_SHARE
             tokens = random.randint(5, 60) if random.random() < MODEL_SHARE else 0
             work = Work(name, f"letter {self.serial}", tokens, once or not tokens)
-            self.known.append(work)
+            self.issued_work.append(work)
             return work
 
     def _call(self, work: Work, random: Random) -> None:
         """Send a call; come back for the rest if its answer breaks off."""
         got, offset = "", 0
-        for _ in range(1 + COME_BACKS):
-            operation, end = self._once(work, random, offset)
+        for _ in range(1 + MAX_RESUMES):
+            operation, end = self._call_once(work, random, offset)
             self.history.add(operation)
             got += operation.text
             if operation.ending is Ending.NOT_RUN:
-                self.over.wait(PAUSE_S)
+                self.over.wait(RETRY_DELAY_S)
             if operation.ending is not Ending.CUT or not work.tokens:
                 return
             offset = end or offset
-            if self.over.wait(PAUSE_S):
+            if self.over.wait(RETRY_DELAY_S):
                 return
 
-    def _once(
+    def _call_once(
         self, work: Work, random: Random, offset: int
     ) -> tuple[Operation, int | None]:
         """Make one call; return it and the offset behind what came."""
         name = random.choice(self.entries)
         client = self.cluster.clients[name]
-        hits = self.hit[name]
+        hits = self.disruptions[name]
         start_s = time.monotonic()
         if not work.tokens:
             ending, text, end, detail = self._call_service(client, work)
@@ -140,7 +142,7 @@
             ending=ending,
             text=text,
             offset=offset,
-            excused=self.hit[name] != hits,
+            excused=self.disruptions[name] != hits,
             detail=detail,
         )
         return operation, end
@@ -180,9 +182,9 @@
 
     # Failures.
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         """Have one more thing fail, or come back."""
-        troubles: tuple[Callable[[], None], ...] = (
+        faults: tuple[Callable[[], None], ...] = (
             self._kill_entry,
             self._freeze_entry,
             self._freeze_entry,
@@ -197,25 +199,25 @@
             self._cut_from_store,
             self.heal,
         )
-        trouble = self.random.choice(troubles)
-        self.troubles[trouble.__name__.strip("_")] += 1
-        trouble()
+        fault = self.random.choice(faults)
+        self.fault_counts[fault.__name__.strip("_")] += 1
+        fault()
 
     def _kill_entry(self) -> None:
         name = self.random.choice(self.entries)
-        self.hit[name] += 1
+        self.disruptions[name] += 1
         self.cluster.entries[name].kill()
         self.cluster.add_entry(name)
-        self.hit[name] += 1
+        self.disruptions[name] += 1
 
     def _freeze_entry(self) -> None:
         name = self.random.choice(self.entries)
         process = self.cluster.entries[name]
-        self.hit[name] += 1
+        self.disruptions[name] += 1
         process.signal(signal.SIGSTOP)
         self.over.wait(self.random.uniform(0.5, 3.0))
         process.signal(signal.SIGCONT)
-        self.hit[name] += 1
+        self.disruptions[name] += 1
 
     def _crash_engine(self) -> None:
         self._fault(self._engine(), "crash", down_s=0.3)
@@ -263,7 +265,9 @@
 
     def starts(self, service: str) -> dict[str, int]:
         """Return how often the endpoints began the work of each key."""
-        bases = {_stream_base(work): work.key for work in self.known if work.tokens}
+        bases = {
+            _stream_base(work): work.key for work in self.issued_work if work.tokens
+        }
         counted: Counter[str] = Counter()
         for name in self.engines:
             for entry in self.cluster.journal(name):
--- a/tests/support/crashing_fleet.py
+++ b/tests/support/crashing_fleet.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Run:
+class EngineRun:
     """One attempt on an engine."""
 
     kernel: Kernel
@@ -80,7 +80,7 @@
     up_at_s: float = 0.0
     cut_until_s: float = 0.0
     sequence: int = 0
-    runs: dict[str, Run] = field(default_factory=dict)
+    runs: dict[str, EngineRun] = field(default_factory=dict)
     crashes: list[set[str]] = field(default_factory=list)
 
 
@@ -112,13 +112,13 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = count()
         self.poison: set[str] = set()
-        self.strike_s = PREFILL_S
+        self.crash_after_s = PREFILL_S
         self.bodies: dict[RequestId, str] = {}
         self.conclusions: dict[RequestId, Conclude] = {}
-        self.kept: list[Effect] = []
-        self.silenced = False
+        self.stored_effects: list[Effect] = []
+        self.gossip_disabled = False
         self.crash_log: list[set[str]] = []
-        self.unreached: list[str] = []
+        self.unreached_bodies: list[str] = []
         self.engines = {f"e{n}": CrashingEngine(f"e{n}") for n in range(engines)}
         self.kernels = [self.kernel(n) for n in range(kernels)]
         for each in self.kernels:
@@ -134,9 +134,9 @@
         """Return the kernel of an instance that has just started."""
         identity = InstanceIdentity(InstanceId(f"i{number}"), Incarnation(1), ZONE)
         kernel = Kernel(identity, self.clock, Random(number), create(PLUGINS))
-        self.tell(kernel, ConfigurationReceived(configuration()))
+        self.handle(kernel, ConfigurationReceived(configuration()))
         entries = tuple(engine_entry(name) for name in self.engines)
-        self.tell(kernel, InstancesListed(entries, ()))
+        self.handle(kernel, InstancesListed(entries, ()))
         return kernel
 
     def at(self, instant_s: float, action: Callable[[], None]) -> None:
@@ -155,7 +155,7 @@
     def submit(self, request: Request, kernel: int = 0) -> None:
         """Have a caller send a request."""
         self.bodies[request.request_id] = request.body_digest
-        self.tell(self.kernels[kernel], Submit(request))
+        self.handle(self.kernels[kernel], Submit(request))
 
     def crash(self, name: str) -> None:
         """End an engine's life; it comes back after a while, empty."""
@@ -187,11 +187,11 @@
             if body in bodies
         ]
 
-    def tell(self, kernel: Kernel, message: Message) -> None:
+    def handle(self, kernel: Kernel, message: Message) -> None:
         """Hand a kernel a message and carry out its effects."""
         for effect in kernel.handle(message):
             if isinstance(effect, WakeAt):
-                wake = partial(self.tell, kernel, effect.message)
+                wake = partial(self.handle, kernel, effect.message)
                 self.at(effect.at.total_seconds(), wake)
             elif isinstance(effect, Dispatch):
                 self._dispatch(kernel, effect)
@@ -203,16 +203,16 @@
             elif isinstance(effect, Publish):
                 self._publish(kernel, effect)
             elif isinstance(effect, StoreSuspicion | DropSuspicion):
-                self.kept.append(effect)
+                self.stored_effects.append(effect)
 
     def _tick(self, kernel: Kernel) -> None:
-        self.tell(kernel, Tick())
+        self.handle(kernel, Tick())
         self.at(self.now_s + TICK.total_seconds(), partial(self._tick, kernel))
 
     def _probe(self, kernel: Kernel) -> None:
         for engine in self.engines.values():
             if not self._answers(engine):
-                self.tell(kernel, ProbeFailed(engine_entry(engine.name).endpoint))
+                self.handle(kernel, ProbeFailed(engine_entry(engine.name).endpoint))
                 continue
             engine.sequence += 1
             report = replace(
@@ -221,7 +221,7 @@
                 running=len(engine.runs),
                 lag=timedelta(milliseconds=100),
             )
-            self.tell(kernel, LoadReported(report))
+            self.handle(kernel, LoadReported(report))
         self.at(self.now_s + PROBE_S, partial(self._probe, kernel))
 
     def _answers(self, engine: CrashingEngine) -> bool:
@@ -229,10 +229,10 @@
 
     def _dispatch(self, kernel: Kernel, dispatch: Dispatch) -> None:
         engine = self.engines[dispatch.endpoint]
-        run = Run(kernel, dispatch, self.bodies[dispatch.request_id])
+        run = EngineRun(kernel, dispatch, self.bodies[dispatch.request_id])
         if not self._answers(engine):
             if not dispatch.attach:
-                self.unreached.append(run.body)
+                self.unreached_bodies.append(run.body)
             fail = partial(self._fail, run, FailureKind.UNREACHED, Exposure.NEVER_SENT)
             self.at(self.now_s + 0.001, fail)
         elif dispatch.attach:
@@ -240,35 +240,38 @@
             self.at(self.now_s + 0.001, fail)
         else:
             engine.runs[dispatch.stream_id] = run
-            self.at(self.now_s + self.strike_s, partial(self._strike, engine, run))
-            self.at(self.now_s + PREFILL_S, partial(self._prefilled, engine, run))
-            self.at(self.now_s + RUN_S, partial(self._ended, engine, run))
+            self.at(
+                self.now_s + self.crash_after_s,
+                partial(self._crash_if_poisoned, engine, run),
+            )
+            self.at(self.now_s + PREFILL_S, partial(self._finish_prefill, engine, run))
+            self.at(self.now_s + RUN_S, partial(self._finish_run, engine, run))
 
-    def _strike(self, engine: CrashingEngine, run: Run) -> None:
+    def _crash_if_poisoned(self, engine: CrashingEngine, run: EngineRun) -> None:
         is_there = engine.runs.get(run.dispatch.stream_id) is run
         if is_there and run.body in self.poison:
             self.crash(engine.name)
 
-    def _prefilled(self, engine: CrashingEngine, run: Run) -> None:
+    def _finish_prefill(self, engine: CrashingEngine, run: EngineRun) -> None:
         if engine.runs.get(run.dispatch.stream_id) is not run:
             return
         dispatch = run.dispatch
-        self.tell(run.kernel, FirstToken(dispatch.request_id, dispatch.attempt))
+        self.handle(run.kernel, FirstToken(dispatch.request_id, dispatch.attempt))
 
-    def _ended(self, engine: CrashingEngine, run: Run) -> None:
+    def _finish_run(self, engine: CrashingEngine, run: EngineRun) -> None:
         if engine.runs.get(run.dispatch.stream_id) is not run:
             return
         del engine.runs[run.dispatch.stream_id]
         dispatch = run.dispatch
-        self.tell(run.kernel, AttemptFinished(dispatch.request_id, dispatch.attempt))
+        self.handle(run.kernel, AttemptFinished(dispatch.request_id, dispatch.attempt))
 
-    def _fail(self, run: Run, kind: FailureKind, exposure: Exposure) -> None:
+    def _fail(self, run: EngineRun, kind: FailureKind, exposure: Exposure) -> None:
         dispatch = run.dispatch
         failed = AttemptFailed(dispatch.request_id, dispatch.attempt, kind, exposure)
-        self.tell(run.kernel, failed)
+        self.handle(run.kernel, failed)
 
     def _publish(self, writer: Kernel, published: Publish) -> None:
-        if self.silenced:
+        if self.gossip_disabled:
             return
         kind = kind_of(published.value)
         decoded = kind.decode(kind.encode(published.value))
@@ -283,5 +286,5 @@
         message = kind.message(published.key, decoded, origin)
         for kernel in self.kernels:
             if kernel is not writer:
-                heard = partial(self.tell, kernel, message)
-                self.at(self.now_s + GOSSIP_S, heard)
+                deliver = partial(self.handle, kernel, message)
+                self.at(self.now_s + GOSSIP_S, deliver)
--- a/tests/support/zones.py
+++ b/tests/support/zones.py
@@ -69,7 +69,7 @@
 
 
 @dataclass
-class Instance:
+class SimulatedInstance:
     """A kernel with its exchanger."""
 
     kernel: Kernel
@@ -79,7 +79,7 @@
     published: list[Publish] = field(default_factory=list)
     dispatched: list[Dispatch] = field(default_factory=list)
     frozen: bool = False
-    unreached: set[EndpointId] = field(default_factory=set)
+    unreachable: set[EndpointId] = field(default_factory=set)
 
     @property
     def name(self) -> str:
@@ -91,7 +91,7 @@
         """The instance's availability zone."""
         return self.kernel.state.identity.availability_zone
 
-    def tell(self, message: Message) -> None:
+    def handle(self, message: Message) -> None:
         """Handle a message and carry out the effects that matter here."""
         for effect in self.kernel.handle(message):
             if isinstance(effect, WatchEndpoints):
@@ -103,11 +103,11 @@
             elif isinstance(effect, Dispatch):
                 self.dispatched.append(effect)
 
-    def drain_told(self) -> None:
+    def handle_received(self) -> None:
         """Hand what peers told to the kernel."""
-        told, self.peer.told[:] = list(self.peer.told), []
-        for message in told:
-            self.tell(message)
+        messages, self.peer.told[:] = list(self.peer.told), []
+        for message in messages:
+            self.handle(message)
 
 
 class Deployment:
@@ -130,54 +130,54 @@
         ]
         self.requests = 0
         for instance in self.instances:
-            instance.tell(ConfigurationReceived(configuration()))
+            instance.handle(ConfigurationReceived(configuration()))
 
-    def _instance(self, name: str, zone: str) -> Instance:
+    def _instance(self, name: str, zone: str) -> SimulatedInstance:
         plugins = create(self.plugins)
         kernel = Kernel(identity(name, zone), self.clock, Random(name), plugins)
         peer = node(name, self.clock, zone)
-        return Instance(kernel, peer, MembersView(peer.exchanger.store, 0.0))
+        return SimulatedInstance(kernel, peer, MembersView(peer.exchanger.store, 0.0))
 
-    def named(self, name: str) -> Instance:
+    def named(self, name: str) -> SimulatedInstance:
         """Return an instance."""
         return next(each for each in self.instances if each.name == name)
 
     def list_endpoints(self, *entries: EndpointEntry) -> None:
         """Let every instance read the platform's list."""
         for instance in self._awake():
-            instance.tell(InstancesListed(entries, ()))
+            instance.handle(InstancesListed(entries, ()))
 
     def list_all(self, *entries: EndpointEntry) -> None:
         """Let every instance read a list with the instances too."""
         instances = tuple(
             EntryInstance(
-                who.instance,
+                instance_identity.instance,
                 "127.0.0.1:1",
                 "127.0.0.1:2",
-                who.availability_zone,
-                who.incarnation,
+                instance_identity.availability_zone,
+                instance_identity.incarnation,
                 LifecycleState.LIVE,
             )
             for each in self.instances
-            for who in [each.kernel.state.identity]
+            for instance_identity in [each.kernel.state.identity]
         )
         for instance in self._awake():
-            instance.tell(InstancesListed(entries, instances))
+            instance.handle(InstancesListed(entries, instances))
 
     def step(self, exchanges: int = 2) -> None:
         """Let a second pass: probes, ticks and a few exchanges each."""
         self.clock.advance(STEP)
         for instance in self._awake():
             self._probe(instance)
-            instance.tell(Tick())
+            instance.handle(Tick())
             instance.peer.exchanger.store.beat(instance.peer.exchanger.now_s())
         for instance in self._awake():
             self._exchange(instance, exchanges)
         for instance in self._awake():
-            instance.drain_told()
+            instance.handle_received()
             changed = instance.view.changed({}, instance.peer.exchanger.now_s())
             if changed is not None:
-                instance.tell(changed)
+                instance.handle(changed)
 
     def steps(self, count: int) -> None:
         """Let some seconds pass."""
@@ -190,7 +190,7 @@
             self.requests += 1
             deadline = self.clock.monotonic() + timedelta(seconds=60)
             name = f"r{self.requests}"
-            instance.tell(Submit(model_request(name, deadline=deadline)))
+            instance.handle(Submit(model_request(name, deadline=deadline)))
 
     def watchers(self, endpoint: str) -> list[str]:
         """Return the names of an endpoint's watchers."""
@@ -200,40 +200,42 @@
             if endpoint in {each.endpoint for each in instance.watched}
         ]
 
-    def _awake(self) -> list[Instance]:
+    def _awake(self) -> list[SimulatedInstance]:
         return [instance for instance in self.instances if not instance.frozen]
 
-    def _probe(self, instance: Instance) -> None:
+    def _probe(self, instance: SimulatedInstance) -> None:
         for watched in instance.watched:
             endpoint = self.endpoints[watched.endpoint]
-            cut = watched.endpoint in instance.unreached
+            cut = watched.endpoint in instance.unreachable
             report = None if cut else endpoint.probe()
             if report is None:
-                instance.tell(ProbeFailed(watched.endpoint))
+                instance.handle(ProbeFailed(watched.endpoint))
             else:
-                instance.tell(LoadReported(report))
+                instance.handle(LoadReported(report))
 
-    def _exchange(self, instance: Instance, exchanges: int) -> None:
+    def _exchange(self, instance: SimulatedInstance, exchanges: int) -> None:
         others = [each for each in self._awake() if each is not instance]
-        near = [each for each in others if each.zone == instance.zone]
-        for other in self.random.sample(near, min(exchanges, len(near))):
+        same_zone = [each for each in others if each.zone == instance.zone]
+        for other in self.random.sample(same_zone, min(exchanges, len(same_zone))):
             instance.peer.exchange_with(other.peer)
         for zone in sorted({each.zone for each in others} - {instance.zone}):
-            far = [each for each in others if each.zone == zone]
-            instance.peer.exchange_with(self.random.choice(far).peer, own_zone=False)
+            other_zone = [each for each in others if each.zone == zone]
+            instance.peer.exchange_with(
+                self.random.choice(other_zone).peer, own_zone=False
+            )
 
 
 def members(*names: str, suspect: tuple[str, ...] = ()) -> MembersChanged:
     """Return the message that these are the zone's members."""
     found = []
     for name in names:
-        who = identity(name)
+        instance_identity = identity(name)
         state = MemberState.SUSPECT if name in suspect else MemberState.LIVE
         found.append(
             Member(
-                who.instance,
-                who.incarnation,
-                who.availability_zone,
+                instance_identity.instance,
+                instance_identity.incarnation,
+                instance_identity.availability_zone,
                 "",
                 state,
                 configuration().revision,
--- a/tests/unit/cache_index/test_cache_index.py
+++ b/tests/unit/cache_index/test_cache_index.py
@@ -48,7 +48,7 @@
 PROMPT = (SHORT, MIDDLE, LONG)
 
 
-def test_longest_cached_beginning_is_found() -> None:
+def test_longest_cached_prefix_is_found() -> None:
     with _reading() as bench:
         bench.handle(_snapshot(1, 10, SHORT, MIDDLE))
 
@@ -58,12 +58,12 @@
         assert _cached(bench) == CachedPrefix(65_536, False)
 
 
-def test_unknown_endpoint_is_doubtful() -> None:
+def test_unknown_endpoint_is_maybe_stale() -> None:
     with _reading() as bench:
         assert _cached(bench) == CachedPrefix(0, True)
 
 
-def test_gap_makes_doubtful_until_the_next_snapshot() -> None:
+def test_event_gap_marks_cache_stale_until_next_snapshot() -> None:
     """An engine drops one of its cache events, the eviction of a long prefix.
 
     The index would go on sending that prompt there for ever, and each time the
@@ -81,16 +81,16 @@
         assert _cached(bench) == CachedPrefix(1024, False)
 
 
-def test_lost_last_event_is_noticed_too() -> None:
+def test_lost_last_event_is_detected() -> None:
     with _reading() as bench:
         bench.handle(_snapshot(1, 10, LONG))
 
         bench.handle(_events(10, 12, (11, "stored", SHORT)))
 
-        assert _cached(bench).doubtful
+        assert _cached(bench).maybe_stale
 
 
-def test_snapshots_are_not_asked_for_at_every_gap() -> None:
+def test_snapshot_requests_are_rate_limited() -> None:
     with _reading() as bench:
         bench.handle(_snapshot(1, 0))
         for number in range(0, 40, 2):
@@ -100,7 +100,7 @@
         assert len(bench.emitted(FetchCacheSnapshot)) == 2
 
 
-def test_events_overtaken_by_a_snapshot_are_passed_over() -> None:
+def test_events_older_than_snapshot_are_ignored() -> None:
     with _reading() as bench:
         bench.handle(_snapshot(1, 20, LONG))
 
@@ -109,7 +109,7 @@
         assert _cached(bench) == CachedPrefix(65_536, False)
 
 
-def test_events_of_another_life_are_not_mixed_in() -> None:
+def test_events_of_another_incarnation_are_not_applied() -> None:
     with _reading() as bench:
         bench.handle(_snapshot(1, 10, LONG))
 
@@ -119,7 +119,7 @@
         assert _cached(bench) == CachedPrefix(65_536, False)
 
 
-def test_new_watcher_tells_the_longest_and_then_what_changes() -> None:
+def test_new_watcher_publishes_summary_then_changes() -> None:
     with _reading() as bench:
         bench.handle(_snapshot(1, 10, SHORT, LONG))
         bench.handle(Tick())
@@ -130,14 +130,14 @@
         bench.clock.advance(timedelta(seconds=3))
         bench.handle(Tick())
 
-        (news,) = _published(bench, CacheChanges)
-        assert (news.stored, news.evicted) == (
+        (changes,) = _published(bench, CacheChanges)
+        assert (changes.stored, changes.evicted) == (
             to_bytes([_short(MIDDLE)]),
             to_bytes([_short(LONG)]),
         )
 
 
-def test_prefix_that_came_and_went_is_not_told() -> None:
+def test_prefix_stored_and_evicted_is_not_published() -> None:
     with _reading() as bench:
         bench.handle(_snapshot(1, 10))
         bench.handle(_events(10, 12, (11, "stored", LONG), (12, "evicted", LONG)))
@@ -147,47 +147,47 @@
         assert _published(bench, CacheChanges) == []
 
 
-def test_missed_batch_makes_doubtful_and_a_summary_is_asked_for() -> None:
+def test_missed_batch_marks_cache_stale_and_requests_summary() -> None:
     """A batch of a peer's news is overwritten before this instance hears it.
 
     Evictions in it would be missed, and prompts sent to where nothing is cached.
     """
-    with _hearing() as bench:
-        bench.handle(_heard_summary(4, LONG))
-        bench.handle(_heard_news(5, stored=(SHORT,)))
-        assert not _cached(bench).doubtful
+    with _receiving() as bench:
+        bench.handle(_received_summary(4, LONG))
+        bench.handle(_received_changes(5, stored=(SHORT,)))
+        assert not _cached(bench).maybe_stale
 
-        bench.handle(_heard_news(7, stored=(MIDDLE,)))
+        bench.handle(_received_changes(7, stored=(MIDDLE,)))
 
         assert _cached(bench) == CachedPrefix(65_536, True)
         bench.clock.advance(timedelta(seconds=60))
         bench.handle(Tick())
         assert len(_published(bench, CacheSummaryRequest)) == 1
-        bench.handle(_heard_summary(7, MIDDLE))
+        bench.handle(_received_summary(7, MIDDLE))
         assert _cached(bench) == CachedPrefix(8192, False)
 
 
-def test_summary_older_than_the_news_does_not_revert_them() -> None:
-    with _hearing() as bench:
-        bench.handle(_heard_summary(4, LONG))
-        bench.handle(_heard_news(5, evicted=(LONG,)))
+def test_summary_older_than_applied_batch_is_ignored() -> None:
+    with _receiving() as bench:
+        bench.handle(_received_summary(4, LONG))
+        bench.handle(_received_changes(5, evicted=(LONG,)))
 
-        bench.handle(_heard_summary(4, LONG))
+        bench.handle(_received_summary(4, LONG))
 
         assert _cached(bench).tokens == 0
 
 
-def test_news_of_another_watcher_do_not_pass_for_the_next_batch() -> None:
-    with _hearing() as bench:
-        bench.handle(_heard_summary(4, LONG))
+def test_batch_of_another_watcher_is_not_taken_as_next() -> None:
+    with _receiving() as bench:
+        bench.handle(_received_summary(4, LONG))
 
-        bench.handle(_heard_news(5, stored=(SHORT,), name="i3"))
+        bench.handle(_received_changes(5, stored=(SHORT,), name="i3"))
 
         assert _cached(bench) == CachedPrefix(1024, True)
 
 
-def test_wish_heard_from_another_is_not_repeated() -> None:
-    with _hearing() as bench:
+def test_summary_request_of_peer_is_not_repeated() -> None:
+    with _receiving() as bench:
         bench.handle(CacheSummaryRequestReceived(endpoint_key(E1), _origin("i3")))
         bench.clock.advance(timedelta(seconds=10))
         bench.handle(Tick())
@@ -195,7 +195,7 @@
         assert _published(bench, CacheSummaryRequest) == []
 
 
-def test_zone_comes_to_know_a_cache_and_a_new_instance_too() -> None:
+def test_cache_spreads_to_zone_and_late_instance() -> None:
     plugins = (*PLUGINS, "cache-index")
     entries = [engine_entry("e1")]
     zone = Deployment({"az-1": 4}, entries, plugins)
@@ -208,11 +208,11 @@
         for each in zone.instances
         if any(watched.is_primary for watched in each.watched)
     )
-    first.tell(_snapshot(1, 10, *PROMPT))
+    first.handle(_snapshot(1, 10, *PROMPT))
     zone.steps(4)
-    awake = [each for each in zone.instances if not each.frozen]
+    running = [each for each in zone.instances if not each.frozen]
     expected = CachedPrefix(65_536, False)
-    assert [_known_by(each.kernel) for each in awake] == [expected] * 3
+    assert [_known_by(each.kernel) for each in running] == [expected] * 3
 
     zone.steps(60)
     late.frozen = False
@@ -222,7 +222,7 @@
     assert _known_by(late.kernel) == expected
 
 
-def test_routing_asks_the_index() -> None:
+def test_routing_uses_the_index() -> None:
     """Another instance had a dossier read on e1; a clerk asks about it here.
 
     Sent to another engine, the dossier would be prefilled once more.
@@ -266,7 +266,7 @@
 
 
 @contextmanager
-def _hearing() -> Iterator[Bench]:
+def _receiving() -> Iterator[Bench]:
     """Give a kernel that hears of e1 from i2 and i3, who watch it."""
     with _reading() as bench:
         names = [f"i{number}" for number in range(1, 20)]
@@ -310,26 +310,31 @@
 
 
 def _origin(name: str) -> Origin:
-    who = identity(name)
-    return Origin(who.instance, who.incarnation, who.availability_zone, timedelta(0))
+    instance_identity = identity(name)
+    return Origin(
+        instance_identity.instance,
+        instance_identity.incarnation,
+        instance_identity.availability_zone,
+        timedelta(0),
+    )
 
 
-def _heard_news(
+def _received_changes(
     batch: int,
     stored: tuple[PrefixMark, ...] = (),
     evicted: tuple[PrefixMark, ...] = (),
     name: str = "i2",
 ) -> CacheChangesReceived:
-    news = CacheChanges(
+    changes = CacheChanges(
         Incarnation(1),
         batch,
         to_bytes(map(_short, stored)),
         to_bytes(map(_short, evicted)),
     )
-    return CacheChangesReceived(endpoint_key(E1), news, _origin(name))
+    return CacheChangesReceived(endpoint_key(E1), changes, _origin(name))
 
 
-def _heard_summary(batch: int, *marks: PrefixMark) -> CacheSummaryReceived:
+def _received_summary(batch: int, *marks: PrefixMark) -> CacheSummaryReceived:
     summary = CacheSummary(Incarnation(1), batch, to_bytes(map(_short, marks)))
     return CacheSummaryReceived(endpoint_key(E1), summary, _origin("i2"))
 
--- a/tests/unit/claims/test_claim_machine.py
+++ b/tests/unit/claims/test_claim_machine.py
@@ -16,7 +16,7 @@
 from mimosafork.kernel.messages.outcomes import Outcome, Retention
 from mimosafork.kernel.messages.requests import CallerGone, Repeatability, Request
 from mimosafork.kernel.plugins import RetryPolicy
-from mimosafork.policies.claims.stage import SILENCE
+from mimosafork.policies.claims.stage import STORE_OUTAGE_BACKOFF
 from tests.support.claim_world import ENGINES, Call, Fate, World
 from tests.support.claims import CarelessRetry, keyed, once
 from tests.support.fake_table import Fault
@@ -209,7 +209,7 @@
 
     def check_kept(self, call: Call) -> None:
         """Check that a resend of a kept answer gets it and runs nothing."""
-        self.world.advance(SILENCE)
+        self.world.advance(STORE_OUTAGE_BACKOFF)
         before = self.world.starts[call.key]
         once_more = call.request.repeatability is Repeatability.IDEMPOTENT
         body = call.request.body_digest
--- a/tests/unit/claims/test_claim_stage.py
+++ b/tests/unit/claims/test_claim_stage.py
@@ -32,7 +32,7 @@
 )
 from mimosafork.kernel.messages.outcomes import Conclude, Outcome, Retention
 from mimosafork.kernel.messages.problems import ProblemCode
-from mimosafork.policies.claims.stage import REQUIRED_PATIENCE
+from mimosafork.policies.claims.stage import REQUIRED_CLAIM_TIMEOUT
 from tests.support.claims import (
     CarelessRetry,
     claiming_kernel,
@@ -130,7 +130,7 @@
     with claiming_kernel() as bench:
         bench.submit(once("r"))
         late = won(bench, "r")
-        bench.handle_after(REQUIRED_PATIENCE, overdue(bench, "r"))
+        bench.handle_after(REQUIRED_CLAIM_TIMEOUT, overdue(bench, "r"))
         ended(bench, "r", Outcome.NOT_RUN, ProblemCode.STORE_UNAVAILABLE)
         (release,) = bench.emitted(ReleaseClaim)
         assert release.claim_id == late.claim_id
--- a/tests/unit/membership/test_endpoint_words.py
+++ b/tests/unit/membership/test_endpoint_publisher.py
@@ -31,7 +31,7 @@
 WATCHED = engine_entry("e1")
 
 
-def test_first_watcher_tells_profile_once_and_load_at_its_pace() -> None:
+def test_primary_watcher_publishes_profile_once_and_load_at_interval() -> None:
     with _watching() as bench:
         for _ in range(8):
             bench.clock.advance(timedelta(milliseconds=500))
@@ -41,24 +41,24 @@
         assert len(_published(bench, EndpointLoad)) == 4
 
 
-def test_draining_does_not_wait_for_the_pace() -> None:
+def test_draining_is_published_immediately() -> None:
     with _watching() as bench:
         bench.clock.advance(timedelta(milliseconds=100))
 
         bench.report("e1", draining=True)
 
-        (word,) = _published(bench, EndpointLoad)
-        assert word.urgent
+        (load,) = _published(bench, EndpointLoad)
+        assert load.urgent
 
 
-def test_second_watcher_speaks_when_the_first_is_silent() -> None:
+def test_standby_watcher_publishes_when_primary_is_silent() -> None:
     """The first watcher of an endpoint can't tell its peers what it sees.
 
     They would route by ever older loads, although a second instance sees the
     endpoint as well.
     """
     with _watching() as bench:
-        second = _second_of(bench)
+        second = _endpoint_watched_second(bench)
         bench.handle(members("i1", "i2"))
         origin = _origin("i2")
         for step in range(1, 10):
@@ -68,15 +68,15 @@
                     EndpointLoadReceived(endpoint_key(second), _load(step), origin)
                 )
             bench.report(second)
-            told = [
+            published = [
                 each
                 for each in _published(bench, EndpointLoad)
                 if each.key == endpoint_key(second)
             ]
-            assert bool(told) == (step >= 8), step
+            assert bool(published) == (step >= 8), step
 
 
-def test_silence_is_told_at_once_and_again_after_the_endpoint_has_answered() -> None:
+def test_probe_failure_is_urgent_first_and_after_each_recovery() -> None:
     with _watching() as bench:
         for _ in range(2):
             bench.clock.advance(timedelta(seconds=1))
@@ -92,7 +92,7 @@
         ]
 
 
-def test_load_heard_before_its_profile_waits_for_it() -> None:
+def test_load_received_before_its_profile_is_deferred() -> None:
     far = engine_entry("f1", zone="az-2")
     with running_kernel(create(PLUGINS), [WATCHED]) as bench:
         bench.handle(InstancesListed((WATCHED, far), ()))
@@ -111,7 +111,7 @@
         assert known[far.endpoint].reported_at == timedelta(0)
 
 
-def test_heard_reports_are_not_published_again() -> None:
+def test_received_reports_are_not_republished() -> None:
     with _watching() as bench:
         bench.clock.advance(timedelta(seconds=5))
         report = replace(load_report("e1", 50), running=3)
@@ -127,7 +127,7 @@
     return running_kernel(create(PLUGINS), entries)
 
 
-def _second_of(bench: Bench) -> EndpointId:
+def _endpoint_watched_second(bench: Bench) -> EndpointId:
     """Return an endpoint of which i1 is the second watcher beside i2."""
     bench.handle(members("i1", "i2"))
     watched = bench.kernel.plugin(Membership).watched or {}
@@ -139,8 +139,13 @@
 
 
 def _origin(name: str) -> Origin:
-    who = identity(name)
-    return Origin(who.instance, who.incarnation, who.availability_zone, timedelta(0))
+    instance_identity = identity(name)
+    return Origin(
+        instance_identity.instance,
+        instance_identity.incarnation,
+        instance_identity.availability_zone,
+        timedelta(0),
+    )
 
 
 def _load(sequence: int) -> EndpointLoad:
--- a/tests/unit/membership/test_fleet_merge.py
+++ b/tests/unit/membership/test_fleet_merge.py
@@ -16,7 +16,7 @@
 E1 = EndpointId("e1")
 
 
-def test_draining_word_holds_against_a_lagging_list() -> None:
+def test_draining_report_overrides_lagging_list() -> None:
     """The platform drains an endpoint; its list shows it live for 30 s more.
 
     Requests sent there in that time would be refused, or cut when it goes.
@@ -29,7 +29,7 @@
         assert not fleet.endpoints[E1].accepts_new_requests(_at(second))
 
 
-def test_leaving_in_the_list_holds_against_the_endpoint() -> None:
+def test_leaving_in_list_overrides_endpoint_report() -> None:
     fleet = _fleet()
     fleet.apply_list(_listed(_leaving(1)), _at(10))
 
@@ -38,7 +38,7 @@
     assert not fleet.endpoints[E1].accepts_new_requests(_at(11))
 
 
-def test_next_life_is_used_while_the_list_tells_of_the_former() -> None:
+def test_new_incarnation_is_used_while_list_shows_previous_one() -> None:
     fleet = _fleet()
     fleet.apply_list(_listed(_leaving(1)), _at(10))
 
@@ -50,7 +50,7 @@
     assert endpoint.entry.incarnation == 2
 
 
-def test_report_of_a_former_life_is_passed_over() -> None:
+def test_report_of_previous_incarnation_is_ignored() -> None:
     fleet = _fleet()
     fleet.apply_list(_listed(engine_entry("e1", incarnation=2)), _at(10))
 
@@ -58,7 +58,7 @@
     assert fleet.endpoints[E1].accepts_new_requests(_at(11))
 
 
-def test_older_list_does_not_bring_back_what_has_gone() -> None:
+def test_older_list_does_not_restore_removed_endpoint() -> None:
     """The platform answers from two copies, one of them a minute behind.
 
     Every other read would bring back an endpoint that has been removed.
@@ -72,7 +72,7 @@
     assert set(fleet.endpoints) == {"e2"}
 
 
-def test_empty_list_is_not_believed() -> None:
+def test_empty_list_is_ignored() -> None:
     """The platform comes back from an outage without its entries.
 
     Its empty list, taken at its word, would end all work in every zone, while all
@@ -85,7 +85,7 @@
     assert fleet.endpoints[E1].accepts_new_requests(_at(10))
 
 
-def test_drain_refusal_holds_against_a_report_from_before() -> None:
+def test_drain_refusal_overrides_older_report() -> None:
     """An endpoint refuses a request as draining; its load report lags by 2 s.
 
     The next report still says that it is not draining. Believed, it would send the
@@ -101,7 +101,7 @@
     assert fleet.endpoints[E1].accepts_new_requests(_at(13))
 
 
-def test_newest_word_on_reachability_wins() -> None:
+def test_newest_reachability_observation_wins() -> None:
     fleet = _fleet()
     fleet.apply_report(_report(2), _at(10), own=False)
 
@@ -113,7 +113,7 @@
     assert fleet.endpoints[E1].accepts_new_requests(_at(12))
 
 
-def test_peers_do_not_talk_an_instance_into_an_endpoint_it_cannot_reach() -> None:
+def test_peer_reports_do_not_override_own_probe_failures() -> None:
     """One instance is cut off from an endpoint that its peers reach.
 
     Each report of theirs would make it usable here again, and every second some
@@ -129,7 +129,7 @@
     assert fleet.endpoints[E1].accepts_new_requests(_at(21))
 
 
-def test_endpoint_once_watched_by_this_instance_comes_back_by_peers() -> None:
+def test_formerly_watched_endpoint_recovers_through_peer_reports() -> None:
     fleet = _fleet()
     fleet.apply_failure(E1, _at(10), own=True)
 
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -7,7 +7,7 @@
 from mimosafork.policies.membership import Membership
 from tests.support.functions import function_tests
 from tests.support.kernels import engine_entry
-from tests.support.zones import Deployment, Instance
+from tests.support.zones import Deployment, SimulatedInstance
 
 
 def test_each_endpoint_has_two_watchers_and_work_is_spread() -> None:
@@ -20,7 +20,7 @@
     assert max(len(each.watched) for each in zone.instances) <= 16
 
 
-def test_new_instance_does_not_begin_by_watching_all() -> None:
+def test_new_instance_does_not_watch_whole_zone() -> None:
     """Twenty instances of a zone start together, each knowing only the list.
 
     Until it has heard of the others each would take itself for alone: probe all
@@ -31,10 +31,12 @@
     zone.list_all(*entries)
 
     most = max(len(instance.watched) for instance in zone.instances)
-    speakers = [instance.name for instance in zone.instances if _speaks(instance)]
+    publishers = [
+        instance.name for instance in zone.instances if _is_zone_publisher(instance)
+    ]
 
     assert most <= 10, most
-    assert len(speakers) == 1, speakers
+    assert len(publishers) == 1, publishers
 
 
 def test_watched_endpoints_are_known_everywhere() -> None:
@@ -46,7 +48,7 @@
         assert all(endpoint.report is not None for endpoint in known)
 
 
-def test_leaving_endpoint_gets_no_work_though_the_list_lags() -> None:
+def test_draining_endpoint_gets_no_requests_while_list_lags() -> None:
     """An endpoint begins to drain; the platform's list shows it live for 30 s more.
 
     Its watchers see it within a second; the others must hear it from them. Before,
@@ -69,7 +71,7 @@
         zone.step()
 
 
-def test_far_zone_hears_of_a_leaving_endpoint() -> None:
+def test_other_zone_learns_of_draining_endpoint() -> None:
     entries = [engine_entry("e1"), engine_entry("f1", zone="az-2")]
     zones = _running(Deployment({"az-1": 3, "az-2": 3}, entries), entries)
     zones.endpoints[entries[0].endpoint].draining = True
@@ -81,16 +83,18 @@
         assert leaving.leaving, instance.name
 
 
-def test_endpoint_that_dies_and_comes_back_is_used_again() -> None:
+def test_restarted_endpoint_is_used_again() -> None:
     """An endpoint dies that is not watched by the one who speaks for the zone.
 
     So the others, the speaker among them, know it only from its watchers' word.
     """
     entries = [engine_entry(f"e{number}") for number in range(8)]
     zone = _running(Deployment({"az-1": 5}, entries), entries)
-    speaker = next(each.name for each in zone.instances if _speaks(each))
+    publisher = next(each.name for each in zone.instances if _is_zone_publisher(each))
     name = next(
-        each.endpoint for each in entries if speaker not in zone.watchers(each.endpoint)
+        each.endpoint
+        for each in entries
+        if publisher not in zone.watchers(each.endpoint)
     )
     dead = zone.endpoints[name]
     dead.answers = False
@@ -104,7 +108,7 @@
     assert _usable(zone, name) == [True] * 5
 
 
-def test_dead_watchers_are_replaced() -> None:
+def test_frozen_watchers_are_replaced() -> None:
     """Both watchers of an endpoint freeze.
 
     Nobody would probe it: its load would grow old, and its draining go unseen. The
@@ -165,8 +169,8 @@
     return zones
 
 
-def _speaks(instance: Instance) -> bool:
-    return instance.kernel.plugin(Membership).speaks_for_zone
+def _is_zone_publisher(instance: SimulatedInstance) -> bool:
+    return instance.kernel.plugin(Membership).is_zone_publisher
 
 
 def _usable(zones: Deployment, endpoint: EndpointId) -> list[bool]:
--- a/tests/unit/orders/test_paused_holder.py
+++ b/tests/unit/orders/test_paused_holder.py
@@ -13,7 +13,7 @@
     SendOrder,
 )
 from mimosafork.leases.keeper import TTL
-from mimosafork.policies.rollout import LOOK_PERIOD
+from mimosafork.policies.rollout import STATE_READ_INTERVAL
 from tests.support.functions import function_tests
 from tests.support.order_zone import LOAD_TIME, MODEL, Member, OrderZone
 
@@ -106,7 +106,7 @@
     assert "2" in all_loaded(zone)[0]
     served: list[bool] = []
     zone.on_step.append(lambda: served.append(all(zone.versions())))
-    zone.run(LOOK_PERIOD + LOAD_TIME + 2 * SECOND)
+    zone.run(STATE_READ_INTERVAL + LOAD_TIME + 2 * SECOND)
     assert all_loaded(zone) == [{"1"}] * 3
     assert all(served)
 
@@ -125,7 +125,7 @@
     zone.run_until(lambda: not sleeper.http.before_order)
     assert late_orders(zone) == 1
     assert zone.versions().count(set()) == 1
-    zone.run(LOOK_PERIOD + LOAD_TIME + 4 * SECOND)
+    zone.run(STATE_READ_INTERVAL + LOAD_TIME + 4 * SECOND)
     assert zone.versions() == [{"1"}] * 3
 
 
--- a/tests/unit/policies/test_reporting.py
+++ b/tests/unit/policies/test_reporting.py
@@ -31,7 +31,7 @@
     RequestReport,
 )
 from mimosafork.kernel.registry import create
-from mimosafork.policies.reporting import PERIOD
+from mimosafork.policies.reporting import FLEET_REPORT_INTERVAL
 from tests.support.functions import function_tests
 from tests.support.kernels import (
     ZONE,
@@ -103,7 +103,7 @@
         kernel.handle(ProbeFailed(EndpointId("e1")))
         kernel.handle(Tick())
         assert len(kernel.emitted(FleetReport)) == 1
-        kernel.handle_after(PERIOD, Tick())
+        kernel.handle_after(FLEET_REPORT_INTERVAL, Tick())
     condition = fleet_of(kernel).endpoints[EndpointId("e1")].condition
     assert condition is EndpointCondition.UNREACHABLE
 
@@ -112,7 +112,7 @@
     with reporting_kernel() as kernel:
         members = {each.instance: each for each in (member("i1"), member("i2"))}
         kernel.kernel.state.fleet.members = members
-        kernel.handle_after(PERIOD, Tick())
+        kernel.handle_after(FLEET_REPORT_INTERVAL, Tick())
     assert peers_of(kernel) == {InstanceId("i2"): MemberState.LIVE}
 
 
--- a/tests/unit/quarantine/test_poisoned_request.py
+++ b/tests/unit/quarantine/test_poisoned_request.py
@@ -26,13 +26,13 @@
 from tests.support.kernels import model_request
 
 POISON = "poison"
-PATIENCE = timedelta(seconds=60)
+REQUEST_TIMEOUT = timedelta(seconds=60)
 STEP_S = 0.001
 
 
 def send(fleet: CrashingFleet, name: str, body: str = "", kernel: int = 0) -> None:
     now = fleet.clock.monotonic()
-    request = model_request(name, deadline=now + PATIENCE)
+    request = model_request(name, deadline=now + REQUEST_TIMEOUT)
     request = replace(request, body_digest=Digest(body or f"body-{name}"))
     fleet.submit(request, kernel)
 
@@ -111,7 +111,7 @@
     assert last.problem.code is ProblemCode.QUARANTINED
 
 
-def test_bystander_that_is_hit_twice_finishes_all_the_same() -> None:
+def test_bystander_hit_twice_still_finishes() -> None:
     """Three busy engines; some letters meet the poison on one and on the next.
 
     Each time, their next attempt finds the stream's engine gone, which is no run.
@@ -127,7 +127,7 @@
     assert not failed_of(fleet, names)
 
 
-def test_suspect_is_not_sent_where_another_has_just_struck() -> None:
+def test_suspect_is_not_sent_to_engine_that_just_crashed() -> None:
     """A letter waits for its sole run while the poison has its own, and strikes.
 
     The engine's last report still shows it up and idle, and it was free for the next
@@ -136,7 +136,7 @@
     """
     fleet = CrashingFleet(engines=3, kernels=1)
     fleet.poison.add(POISON)
-    fleet.strike_s = STEP_S
+    fleet.crash_after_s = STEP_S
     send(fleet, "p0", POISON)
     names = [f"n{number}" for number in range(5)]
     for name in names:
@@ -147,11 +147,11 @@
     assert verdict(fleet.kernels[0], bystander) is Verdict.SUSPECT
     fleet.run(60.0)
     assert fleet.crash_log[1:] == [{POISON}] * 2
-    assert fleet.unreached == [], fleet.unreached
+    assert fleet.unreached_bodies == [], fleet.unreached_bodies
     assert not failed_of(fleet, names)
 
 
-def test_engine_that_dies_by_itself_condemns_nobody() -> None:
+def test_unrelated_engine_crash_condemns_nothing() -> None:
     """An engine fails with twenty requests in progress, for reasons of its own."""
     fleet = CrashingFleet(engines=4, kernels=1)
     names = [f"n{number}" for number in range(80)]
@@ -166,7 +166,7 @@
     assert verdicts == {Verdict.CLEAR}
 
 
-def test_suspect_that_is_innocent_runs_alone_and_is_cleared() -> None:
+def test_innocent_suspect_runs_alone_and_is_cleared() -> None:
     """An engine dies by itself with a single request, which was not to blame."""
     fleet = CrashingFleet(engines=3)
     send(fleet, "n0")
@@ -180,7 +180,7 @@
         assert verdict(kernel, "body-n0") is Verdict.CLEAR
 
 
-def test_letters_past_their_prefill_are_hardly_suspected() -> None:
+def test_requests_past_prefill_get_little_suspicion() -> None:
     """Three answers are half written when the poison is read next to them.
 
     Run alone one after the other, they would wait for each other's whole answers.
@@ -199,7 +199,7 @@
     assert verdict(fleet.kernels[0], POISON) is Verdict.SUSPECT
 
 
-def test_suspect_shares_its_engine_with_nobody() -> None:
+def test_suspect_runs_alone_on_its_engine() -> None:
     """Others beside a suspect would be cut with it, and the crash would tell less.
 
     What other instances have sent just before they heard is not in any report yet.
@@ -246,7 +246,7 @@
     assert len(set(fleet.crashed(POISON))) == 2
 
 
-def test_cut_network_makes_no_culprits() -> None:
+def test_network_partition_condemns_nothing() -> None:
     """The network to an engine is cut, and then to the next, with one request.
 
     It looks like two sole crashes: connections break and probes fail. But the
@@ -279,19 +279,19 @@
     assert engine.name in confirmed
 
 
-def test_instance_that_hears_nothing_learns_from_the_store() -> None:
+def test_partitioned_instance_learns_from_store() -> None:
     """The body was condemned in one zone; another zone is cut off from it.
 
     Or all instances were replaced meanwhile: the table service keeps the word.
     """
     fleet = CrashingFleet(engines=4, kernels=1)
-    fleet.silenced = True
+    fleet.gossip_disabled = True
     resend_poison(fleet, 3)
-    kept = [each for each in fleet.kept if isinstance(each, StoreSuspicion)]
-    newcomer = fleet.kernel(7)
+    kept = [each for each in fleet.stored_effects if isinstance(each, StoreSuspicion)]
+    new_instance = fleet.kernel(7)
     read = StoredSuspicion(kept[-1].digest, kept[-1].evidence, timedelta(minutes=5))
-    fleet.tell(newcomer, SuspicionsRead((read,)))
-    assert verdict(newcomer, POISON) is Verdict.CONDEMNED
+    fleet.handle(new_instance, SuspicionsRead((read,)))
+    assert verdict(new_instance, POISON) is Verdict.CONDEMNED
 
 
 def test_cleared_body_is_dropped_from_the_store() -> None:
@@ -302,8 +302,8 @@
     fleet.poison.clear()
     fleet.run(20.0)
     assert not failed_of(fleet, ["p0"])
-    assert isinstance(fleet.kept[0], StoreSuspicion)
-    assert isinstance(fleet.kept[-1], DropSuspicion)
+    assert isinstance(fleet.stored_effects[0], StoreSuspicion)
+    assert isinstance(fleet.stored_effects[-1], DropSuspicion)
 
 
 def test_suspicion_is_forgotten_after_an_hour() -> None:
--- a/tests/unit/quarantine/test_kept_suspicions.py
+++ b/tests/unit/quarantine/test_stored_suspicions.py
@@ -20,7 +20,7 @@
 BODY = Digest("b0d1")
 
 
-class Trial:
+class TaskFixture:
     """A task that is called by hand."""
 
     def __init__(self, table: FakeTable, clock: ManualClock | None = None) -> None:
@@ -46,66 +46,66 @@
     return CrashEvidence(EndpointId(endpoint), Incarnation(1), 1.0, is_sole, True)
 
 
-def test_newcomer_reads_what_others_have_kept() -> None:
+def test_new_instance_reads_stored_suspicions() -> None:
     table = FakeTable()
-    Trial(table).task.receive(StoreSuspicion(BODY, (crash("e1"),)))
-    assert Trial(table).read() == [crash("e1")]
+    TaskFixture(table).task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    assert TaskFixture(table).read() == [crash("e1")]
 
 
-def test_evidence_of_two_instances_is_joined() -> None:
+def test_evidence_of_two_instances_is_merged() -> None:
     """Each of two zones has seen one crash; together they condemn the body."""
     table = FakeTable()
-    Trial(table).task.receive(StoreSuspicion(BODY, (crash("e1"),)))
-    Trial(table).task.receive(StoreSuspicion(BODY, (crash("e2"), crash("e1"))))
-    assert Trial(table).read() == [crash("e1"), crash("e2")]
+    TaskFixture(table).task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    TaskFixture(table).task.receive(StoreSuspicion(BODY, (crash("e2"), crash("e1"))))
+    assert TaskFixture(table).read() == [crash("e1"), crash("e2")]
 
 
 def test_lost_answer_neither_repeats_nor_stops_the_task() -> None:
     table = FakeTable()
     table.faults = [Fault.LOSE_ANSWER]
-    trial = Trial(table)
-    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
-    trial.task.receive(StoreSuspicion(BODY, (crash("e2"),)))
-    assert trial.read() == [crash("e1"), crash("e2")]
+    fixture = TaskFixture(table)
+    fixture.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    fixture.task.receive(StoreSuspicion(BODY, (crash("e2"),)))
+    assert fixture.read() == [crash("e1"), crash("e2")]
 
 
-def test_store_outage_is_passed_over() -> None:
+def test_store_outage_is_tolerated() -> None:
     table = FakeTable()
     table.down = True
-    trial = Trial(table)
-    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
-    assert trial.read() == []
+    fixture = TaskFixture(table)
+    fixture.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    assert fixture.read() == []
     table.down = False
-    assert trial.read() == []
+    assert fixture.read() == []
 
 
 def test_dropped_suspicion_is_gone() -> None:
     table = FakeTable()
-    trial = Trial(table)
-    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
-    trial.task.receive(DropSuspicion(BODY))
-    trial.task.receive(DropSuspicion(BODY))
-    assert trial.read() == []
+    fixture = TaskFixture(table)
+    fixture.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    fixture.task.receive(DropSuspicion(BODY))
+    fixture.task.receive(DropSuspicion(BODY))
+    assert fixture.read() == []
 
 
-def test_old_rows_are_passed_over_and_in_the_end_deleted() -> None:
+def test_expired_rows_are_ignored_and_eventually_deleted() -> None:
     table = FakeTable()
     clock = ManualClock()
-    trial = Trial(table, clock)
-    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    fixture = TaskFixture(table, clock)
+    fixture.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
     clock.advance(SUSPICION_TTL + timedelta(seconds=1))
     for _ in range(200):
-        assert trial.read() == []
+        assert fixture.read() == []
     assert not table.rows
 
 
-def test_unreadable_row_hides_no_other() -> None:
+def test_unreadable_row_does_not_hide_others() -> None:
     table = FakeTable()
     table.transact((), (Write(TABLE, "a", {"evidence": 7}),))
-    trial = Trial(table)
-    trial.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
-    trial.task.receive(StoreSuspicion(Digest("a"), (crash("e3"),)))
-    assert trial.read() == [crash("e3"), crash("e1")]
+    fixture = TaskFixture(table)
+    fixture.task.receive(StoreSuspicion(BODY, (crash("e1"),)))
+    fixture.task.receive(StoreSuspicion(Digest("a"), (crash("e3"),)))
+    assert fixture.read() == [crash("e3"), crash("e1")]
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/recovery/test_judgement.py
+++ b/tests/unit/recovery/test_judgement.py
@@ -31,7 +31,7 @@
 )
 from mimosafork.policies.claims.keys import stream_base_of, stream_ids
 from mimosafork.policies.priorities import FirstCome
-from mimosafork.policies.recovery import LIST_PERIOD, REMOVED_FOR, Recovery
+from mimosafork.policies.recovery import LIST_INTERVAL, REMOVED_AFTER, Recovery
 from mimosafork.policies.retry import BoundedRetry
 from tests.support.functions import function_tests
 from tests.support.kernels import (
@@ -144,17 +144,17 @@
             Revision(1),
         )
         bench.handle(MembersChanged((suspect,), ()))
-        pass_time_with_lists(bench, 2 * REMOVED_FOR, instance("i2"))
+        pass_time_with_lists(bench, 2 * REMOVED_AFTER, instance("i2"))
         assert free_reasons(bench, holding()) == []
 
 
 def test_an_owner_missing_from_the_list_for_a_short_time_keeps_its_streams() -> None:
     with lease_holder() as bench:
         pass_time_with_lists(bench, SECOND, instance("i2"))
-        pass_time_with_lists(bench, REMOVED_FOR - 2 * SECOND)
+        pass_time_with_lists(bench, REMOVED_AFTER - 2 * SECOND)
         assert free_reasons(bench, holding()) == []
         pass_time_with_lists(bench, SECOND, instance("i2"))
-        pass_time_with_lists(bench, REMOVED_FOR - 2 * SECOND)
+        pass_time_with_lists(bench, REMOVED_AFTER - 2 * SECOND)
         assert free_reasons(bench, holding()) == []
 
 
@@ -162,7 +162,7 @@
     """An instance is killed and never replaced under its id."""
     with lease_holder() as bench:
         pass_time_with_lists(bench, SECOND, instance("i2"))
-        pass_time_with_lists(bench, REMOVED_FOR + SECOND)
+        pass_time_with_lists(bench, REMOVED_AFTER + SECOND)
         assert free_reasons(bench, holding()) == [FreeReason.OWNER_REMOVED]
 
 
@@ -182,7 +182,7 @@
         )
         bench.handle(MembersChanged((member,), ()))
         bench.kernel.state.fleet.members = {member.instance: member}
-        pass_time_with_lists(bench, 2 * REMOVED_FOR)
+        pass_time_with_lists(bench, 2 * REMOVED_AFTER)
         assert free_reasons(bench, holding()) == []
 
 
@@ -215,7 +215,7 @@
     with lease_holder() as bench:
         receive_list(bench, instance("i2", incarnation=2))
         bench.handle(lease(bench.clock.monotonic()))
-        bench.clock.advance(2 * LIST_PERIOD)
+        bench.clock.advance(2 * LIST_INTERVAL)
         bench.effects.clear()
         bench.handle(Tick())
         assert free_reasons(bench, holding()) == []
@@ -224,7 +224,7 @@
 
 def test_own_zone_s_engines_are_listed_once_a_period() -> None:
     with lease_holder() as bench:
-        for _ in range(4 * LIST_PERIOD // SECOND):
+        for _ in range(4 * LIST_INTERVAL // SECOND):
             bench.handle_after(SECOND, Tick())
         requested = [each.endpoint for each in bench.emitted(ListHoldings)]
         assert set(requested) == {"e1", "e2"}
--- a/tests/unit/recovery/test_recovery_machine.py
+++ b/tests/unit/recovery/test_recovery_machine.py
@@ -15,7 +15,7 @@
 from mimosafork.kernel.messages.leases import Duty
 from mimosafork.kernel.messages.outcomes import Outcome
 from mimosafork.kernel.messages.problems import ProblemCode
-from mimosafork.policies.recovery import OVERDUE
+from mimosafork.policies.recovery import DEADLINE_GRACE
 from tests.support.fake_table import Fault
 from tests.support.functions import function_tests
 from tests.support.kernels import MODEL
@@ -210,7 +210,7 @@
         }
         for engine in self.world.engines.values():
             for stream in engine.freed:
-                overdue = stream.dispatch.deadline + OVERDUE <= self.world.now
+                overdue = stream.dispatch.deadline + DEADLINE_GRACE <= self.world.now
                 owner = (stream.owner, stream.owner_incarnation)
                 assert overdue or owner not in living, stream
 
--- a/tools/slopes/peer_probes.py
+++ b/tools/slopes/peer_probes.py
@@ -35,9 +35,9 @@
 from mimosafork.peers.partners import Partners
 from mimosafork.peers.task import FAN_OUT
 from mimosafork.peers.wire import reply_to_wire, request_to_wire
-from mimosafork.policies.endpoint_words import (
-    FLEET_PACE_PER_ENDPOINT,
-    ZONE_PACE_PER_ENDPOINT,
+from mimosafork.policies.endpoint_publisher import (
+    FLEET_INTERVAL_PER_ENDPOINT,
+    ZONE_INTERVAL_PER_ENDPOINT,
 )
 from mimosafork.policies.limits.demand_publisher import (
     FLEET_PACE,
@@ -57,12 +57,12 @@
 ZONE_NODES = round(SIZE.nodes_per_zone)
 ZONE_ENDPOINTS = round(SIZE.endpoints_per_zone)
 FAR_ENDPOINTS = SIZE.endpoints - ZONE_ENDPOINTS
-ZONE_WORDS = round(timedelta(seconds=1) / ZONE_PACE_PER_ENDPOINT)
+ZONE_WORDS = round(timedelta(seconds=1) / ZONE_INTERVAL_PER_ENDPOINT)
 """Loads that a zone's watchers tell in a second, whatever its size."""
 DEMANDS = round(timedelta(seconds=1) / ZONE_PACE_PER_INSTANCE)
 """Demands of client accounts that a zone's instances tell in a second."""
 FAR_WORDS = round(
-    (SIZE.availability_zones - 1) * timedelta(seconds=1) / FLEET_PACE_PER_ENDPOINT
+    (SIZE.availability_zones - 1) * timedelta(seconds=1) / FLEET_INTERVAL_PER_ENDPOINT
 )
 """Loads that all other zones' speakers tell in a second."""
 CALL_OVERHEAD_BYTES = 200
@@ -276,7 +276,7 @@
     "gossip_bytes_per_word",
     "loads told in a second",
     Unit.BYTES_A_SECOND,
-    "peers/exchanger.py, policies/endpoint_words.py",
+    "peers/exchanger.py, policies/endpoint_publisher.py",
     (12, 25, ZONE_WORDS),
 )
 def gossip_bytes_per_word(size: int) -> float:
@@ -288,7 +288,7 @@
     "gossip_bytes_per_far_word",
     "loads of other zones told in a second",
     Unit.BYTES_A_SECOND,
-    "peers/exchanger.py, policies/endpoint_words.py",
+    "peers/exchanger.py, policies/endpoint_publisher.py",
     (20, 40, FAR_WORDS),
 )
 def gossip_bytes_per_far_word(size: int) -> float:
@@ -312,7 +312,7 @@
     "gossip_time_per_word",
     "loads told in a second",
     Unit.MICROSECONDS_A_SECOND,
-    "peers/exchanger.py, policies/endpoint_words.py",
+    "peers/exchanger.py, policies/endpoint_publisher.py",
     (12, 25, ZONE_WORDS),
 )
 def gossip_time_per_word(size: int) -> float:
