--- a/src/mimosafork/policies/__init__.py
+++ b/src/mimosafork/policies/__init__.py
@@ -73,7 +73,7 @@
     "bounded-retry",
     "ageing-priorities",
 )
-"""Names of the plug-ins that decide under load; the policy benchmark runs these."""
+"""Names of the plug-ins for routing and overload; the policy benchmark runs these."""
 
 DEFAULT_PLUGINS = (
     *LOAD_PLUGINS,
@@ -89,4 +89,4 @@
     "sole-run",
     "reporting",
 )
-"""Names of the plug-ins that a server runs unless its settings say otherwise."""
+"""Names of the plug-ins that a server runs by default."""
--- a/src/mimosafork/policies/admission.py
+++ b/src/mimosafork/policies/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is let in at all."""
+"""Rejects requests for unknown targets and requests to an instance that is stopping."""
 
 from datetime import timedelta
 
@@ -15,7 +15,7 @@
 
 @register("known-target")
 class KnownTarget(Stage):
-    """Refuses requests for targets that the configuration does not have."""
+    """Refuses requests for targets that are missing from the configuration."""
 
     order = 10
 
--- a/src/mimosafork/policies/affinity.py
+++ b/src/mimosafork/policies/affinity.py
@@ -1,8 +1,8 @@
-"""Which endpoints probably have the beginning of a prompt in their cache.
+"""Estimates which endpoints have a prefix of a prompt in their KV cache.
 
-What this instance has sent itself is known at once; what others have sent comes
-from the cache index, late and with gaps. Being wrong costs time, never a wrong
-answer, so nothing is asked and nothing is waited for.
+This instance's own dispatches are known at once; those of other instances come
+from the cache index, late and with gaps. A wrong estimate costs time but never
+gives a wrong answer, so no endpoint is queried and nothing waits for an update.
 """
 
 from collections import OrderedDict
@@ -20,10 +20,10 @@
 from .cache_index import CacheIndex
 
 MAX_PREFIX_MARKS = 8192
-"""Prefix marks that are kept; the oldest go first. About 200 bytes each."""
+"""Prefix marks that are kept; the oldest are evicted first. About 200 bytes each."""
 
 PREFIX_TTL = timedelta(minutes=3)
-"""A cache under pressure has lost a prefix that nobody used for so long."""
+"""A cache under memory pressure has evicted a prefix that was unused for this time."""
 
 
 @register("prefix-affinity")
@@ -35,11 +35,11 @@
         self.index: CacheIndex | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-in that hears of what others have sent."""
+        """Look up the index of prefixes that other instances have sent."""
         self.index = find(CacheIndex)
 
     def holders(self, request: Request, now: timedelta) -> dict[EndpointId, int]:
-        """Return the endpoints that may have a beginning, with its length."""
+        """Return the endpoints that may have cached a prefix, with its length."""
         found: dict[EndpointId, int] = {}
         if self.index is not None and request.prefix_marks:
             found = self.index.holders(request.prefix_marks)
@@ -50,13 +50,13 @@
         return found
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Drop what was known of an endpoint that has begun a new life."""
+        """Drop the prefixes of an endpoint that has restarted."""
         for places in self.places.values():
             places.pop(endpoint.endpoint_id, None)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Learn from what happens."""
+        """Record where prompts were prefilled."""
 
     @handle.register
     def _(self, message: FirstToken, context: Context) -> None:
--- a/src/mimosafork/policies/baselines.py
+++ b/src/mimosafork/policies/baselines.py
@@ -1,4 +1,4 @@
-"""Simple policies, kept as the yardstick of the policy benchmark."""
+"""Simple policies, kept as baselines for the policy benchmark."""
 
 from typing import ClassVar
 
@@ -14,12 +14,12 @@
 
 
 class BaselinePlacer(Placer):
-    """Chooses among all endpoints that take new work."""
+    """Chooses among all endpoints that accept new requests."""
 
     order: ClassVar[int] = 90
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return the chosen endpoint, or wait if there is none."""
+        """Return the chosen endpoint, or wait if none is available."""
         usable = [
             endpoint
             for endpoint in context.state.fleet.serving(record.request.target)
@@ -37,7 +37,7 @@
         return PlaceOn(best.endpoint_id, best.entry.incarnation, best.entry.address)
 
     def choose(self, candidates: list[Endpoint], context: Context) -> Endpoint | None:
-        """Return one of the candidates; None to wait."""
+        """Return one of the candidates, or None to wait."""
         raise NotImplementedError
 
 
@@ -49,7 +49,7 @@
         self.turn = 0
 
     def choose(self, candidates: list[Endpoint], context: Context) -> Endpoint | None:
-        """Return the next one in the order of their ids."""
+        """Return the next endpoint in order of id."""
         self.turn += 1
         ordered = sorted(candidates, key=lambda each: each.endpoint_id)
         return ordered[self.turn % len(ordered)]
@@ -57,24 +57,24 @@
 
 @register("least-requests")
 class LeastRequests(BaselinePlacer):
-    """Sends each request to the better of two endpoints drawn at random.
+    """Sends each request to the less loaded of two endpoints sampled at random.
 
-    The one with fewer requests wins: those of its last report and this instance's
-    own since then.
+    The load is the number of requests in the last report, or this instance's own
+    in-flight requests if there are more of these.
     """
 
     def choose(self, candidates: list[Endpoint], context: Context) -> Endpoint | None:
-        """Return the less loaded of two."""
+        """Return the less loaded of two sampled endpoints."""
         drawn = context.random.sample(candidates, min(2, len(candidates)))
         return min(drawn, key=_requests_on)
 
 
 @register("one-queue")
 class OneQueue(BaselinePlacer):
-    """First come, first served: requests wait here until an endpoint has room."""
+    """First come, first served: requests queue here until an endpoint has capacity."""
 
     def choose(self, candidates: list[Endpoint], context: Context) -> Endpoint | None:
-        """Return the endpoint with the shortest backlog, if that is short."""
+        """Return the endpoint with the shortest backlog, if it is below the limit."""
         best = min(candidates, key=_backlog_of)
         return best if _backlog_of(best) < BACKLOG_TOKENS else None
 
@@ -88,7 +88,7 @@
 
 
 def _backlog_of(endpoint: Endpoint) -> int:
-    """Return the reported waiting tokens and those sent since the report."""
+    """Return the reported waiting tokens plus those sent since the report."""
     since = sum(
         each.prompt_tokens
         for each in endpoint.own_requests.values()
--- a/src/mimosafork/policies/bounds.py
+++ b/src/mimosafork/policies/bounds.py
@@ -1,8 +1,8 @@
-"""How much may wait at an engine, and how much of it long prompts may hold.
+"""Bounds an engine's backlog, and the part of it that long prompts may hold.
 
-Work beyond the bounds waits at the entry instances, where it can still go to
-whichever engine is free first. Within them the engine has enough to do until the
-next report.
+Work beyond the bounds queues at the entry instances, from where it can still go to
+the first engine with capacity. Work within them keeps the engine busy until the next
+report.
 """
 
 from functools import singledispatchmethod
@@ -19,37 +19,37 @@
 from .scoring import Candidate
 
 LONG_BACKLOG_S = 2.0
-"""Work of long prompts that may wait there when a further long one is sent."""
+"""Queued work of long prompts up to which an engine is sent another one."""
 
 SHORT_MEMORY_SHARE = 0.95
-"""Part of an engine's memory up to which short requests are sent. The rest is for
+"""Part of an engine's memory up to which short requests are sent. The rest absorbs
 what other instances send before the next report."""
 
 LONG_MEMORY_SHARE_BASE = 0.6
 LONG_MEMORY_SHARE_GROWTH = 0.5
-"""Long prompts are sent up to the first part of an engine's memory, and the second
-part of `long_share` more. What they leave is for short ones alone."""
+"""Long prompts are sent while an engine's memory use stays below the base plus the
+growth times `long_share`. The remaining memory is reserved for short prompts."""
 
 IDLE_MEMORY_SHARE = 0.05
-"""An engine with less than this part of its memory in use takes any prompt that it
-can hold."""
+"""An engine with less than this part of its memory in use accepts any prompt that
+fits into its memory."""
 
 
 @register("engine-bounds")
 class EngineBounds(Plugin):
-    """Tells whether an engine has room for a request."""
+    """Checks whether an engine has capacity for a request."""
 
     def __init__(self) -> None:
         self.prediction = Prediction()
         self.long_share = FleetPolicy().long_share
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the prediction."""
+        """Look up the prediction."""
         self.prediction = find(Prediction) or self.prediction
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Keep up with settings."""
+        """Apply changed settings."""
 
     @handle.register
     def _(self, message: ConfigurationReceived, context: Context) -> None:
@@ -58,7 +58,7 @@
     def with_room(
         self, record: RequestRecord, candidates: list[Candidate], context: Context
     ) -> list[Candidate]:
-        """Return the candidates to which a request may be sent now."""
+        """Return the candidates that have capacity for a request now."""
         request = record.request
         memory = request.prompt_tokens + request.max_tokens
         now_s = context.now.total_seconds()
@@ -79,7 +79,7 @@
         return found
 
     def _has_memory(self, load: EngineLoad, memory: int, is_long: bool) -> bool:
-        """Return whether an engine's memory has room for a request."""
+        """Return whether a request fits into an engine's memory."""
         if load.capacity == 0:
             return True
         if memory > load.capacity:
@@ -94,9 +94,9 @@
     def _has_long_room(self, load: EngineLoad, memory: int, waiting: float) -> bool:
         """Bound what long prompts hold of an engine's memory and prefill.
 
-        One alone is always let in, whatever its size. Without the bound a few of
-        them fill the memory of every engine, and short requests wait for it, however
-        high their priority.
+        A single long prompt is always accepted, whatever its size. Without the bound
+        a few long prompts fill the memory of every engine, and short requests wait
+        for it whatever their priority.
         """
         held = load.long_memory
         if (
--- a/src/mimosafork/policies/candidates.py
+++ b/src/mimosafork/policies/candidates.py
@@ -1,4 +1,4 @@
-"""Endpoints that are looked at for one decision: all of a few, some of many."""
+"""Selects the endpoints that one decision considers: all of a few, a sample of many."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -8,19 +8,19 @@
 from ..kernel.fleet import Endpoint
 
 FULL_SCAN_LIMIT = 24
-"""Up to so many endpoints all are looked at."""
+"""Groups of up to this many endpoints are considered in full."""
 
 SAME_ZONE_SAMPLE = 8
 OTHER_ZONE_SAMPLE = 4
-"""Endpoints drawn at random from a larger group, in the own availability zone and
-outside it. The best of eight is among the best third in 96 of 100 draws."""
+"""Endpoints sampled from a larger group, in this availability zone and outside it.
+The best of eight is among the best third in 96 of 100 samples."""
 
 GROUP_TTL = timedelta(milliseconds=500)
-"""Age at which the grouping by availability zone is made anew."""
+"""Age at which the grouping by availability zone is rebuilt."""
 
 
 class TargetEndpoints:
-    """The endpoints of one target, by nearness."""
+    """The endpoints of one target, split by availability zone."""
 
     def __init__(self, endpoints: list[Endpoint], own_zone: str, at: timedelta) -> None:
         self.size = len(endpoints)
@@ -34,10 +34,10 @@
 
 
 class Candidates:
-    """Draws the endpoints of a decision.
+    """Selects the endpoints that a decision considers.
 
-    The cost of a decision does not grow with the fleet: groups are kept for a
-    while, and a draw takes a fixed number of them.
+    The cost of a decision does not grow with the fleet: groups are cached, and a
+    sample has a fixed size.
     """
 
     def __init__(self) -> None:
@@ -49,12 +49,12 @@
         wanted: Iterable[EndpointId],
         context: Context,
     ) -> list[Endpoint]:
-        """Return endpoints that serve a target and take new work.
+        """Return endpoints that serve a target and accept new requests.
 
         Parameters
         ----------
         wanted : iterable of EndpointId
-            Always looked at, such as those that have the prompt cached.
+            Always considered, such as those that have the prompt cached.
         """
         serving = context.state.fleet.by_target.get(target, {})
         group = self._group(target, serving, context)
@@ -71,8 +71,8 @@
             if each.endpoint_id in serving and each.accepts_new_requests(now)
         }
         if not usable and group.size > FULL_SCAN_LIMIT:
-            # Most of a large group may be leaving or out of reach; then all are
-            # looked at rather than a request refused while some could take it.
+            # Most of a large group may be draining or unreachable. Scan all of it
+            # rather than refuse a request that some endpoint could accept.
             usable = {
                 name: each
                 for name, each in serving.items()
--- a/src/mimosafork/policies/deadlines.py
+++ b/src/mimosafork/policies/deadlines.py
@@ -1,4 +1,4 @@
-"""Whether a request can still finish in time, when it comes and while it waits."""
+"""Rejects requests that can't meet their deadline, on arrival and while queued."""
 
 from collections import defaultdict
 from datetime import timedelta
@@ -21,25 +21,25 @@
 from .scoring import FirstTokenScores
 
 GIVE_UP_MARGIN = 1.25
-"""A waiting request is given up when its predicted time is so many times what it
-has left: predictions are not exact, and it has waited already."""
+"""A queued request is given up when its predicted time exceeds its remaining time by
+this factor: predictions are not exact, and it has waited already."""
 
 MIN_DRAIN_SHARE = 0.35
-"""Part of its even share of the fleet that a lane is thought to drain at least; it
-may have sent little of late only because little came."""
+"""Lower bound of a lane's drain rate, as part of its even share of the fleet; few
+recent dispatches may only mean that few requests arrived."""
 
 NO_ENDPOINT_TIMEOUT = timedelta(seconds=5)
-"""How long a request waits for any endpoint to appear."""
+"""How long a request waits for an endpoint that serves its target."""
 
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 300.0
 RETRY_AFTER_JITTER = 0.3
-"""Part by which callers that are sent away together are spread."""
+"""Spreads the retries of callers that are refused together."""
 
 
 @register("deadline-admission")
 class DeadlineCheck(Stage):
-    """Refuses at once what can't finish in time."""
+    """Refuses requests that can't meet their deadline."""
 
     order = 60
 
@@ -50,13 +50,13 @@
         self.drains: defaultdict[str, DrainRate] = defaultdict(DrainRate)
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that this check queries."""
         self.prediction = find(Prediction) or self.prediction
         self.scores = find(FirstTokenScores) or self.scores
         self.discipline = find(QueueDiscipline)
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
-        """Refuse with an honest time to come back, or proceed."""
+        """Refuse with the predicted time until a retry can succeed, or proceed."""
         request = record.request
         if request.kind is RequestKind.SERVICE:
             return Proceed()
@@ -75,7 +75,7 @@
     def late(
         self, record: RequestRecord, first_token_s: float, context: Context
     ) -> Refuse | None:
-        """Return the refusal of a waiting request that can't finish any more."""
+        """Return the refusal of a queued request that can no longer finish in time."""
         request = record.request
         rate = self.scores.fleet_rate(request.target, context)
         alone_s = self.prediction.alone_s(request, rate.tokens_per_s / rate.endpoints)
@@ -89,17 +89,17 @@
     def without_endpoint(
         self, record: RequestRecord, context: Context
     ) -> Refuse | None:
-        """Return the refusal of a request that no endpoint has taken for a while."""
+        """Return the refusal of a request that has had no endpoint for too long."""
         if context.now - record.submitted_at < NO_ENDPOINT_TIMEOUT:
             return None
         detail = f"no endpoint serves {record.request.target!r} now"
         return refusal(ProblemCode.NO_ENDPOINT, detail, NO_ENDPOINT_TIMEOUT)
 
     def _queue_s(self, record: RequestRecord, context: Context) -> float:
-        """Return how long this instance's queue keeps the request.
+        """Return the queue wait that the request has at this instance.
 
-        Each entry instance drains its part of the fleet; the others are taken to
-        have queues like this one's.
+        Each entry instance drains its part of the fleet; the other instances are
+        assumed to have queues like this one's.
         """
         waiting = context.state.waiting.waiting_for(record.request.target)
         if not waiting or self.discipline is None:
@@ -115,7 +115,7 @@
         return ahead / self._drain_rate(record, lane, context)
 
     def _drain_rate(self, record: RequestRecord, lane: str, context: Context) -> float:
-        """Return the tokens a second that leave this instance's lane."""
+        """Return the tokens per second that are dispatched from a lane here."""
         rate = self.scores.fleet_rate(record.request.target, context)
         instances = max(1, len(context.state.fleet.instances))
         least = MIN_DRAIN_SHARE * rate.tokens_per_s / instances
@@ -123,7 +123,7 @@
         return max(least, drained)
 
     def dispatched(self, record: RequestRecord, context: Context) -> None:
-        """Note that a request has left the queue for an endpoint."""
+        """Record that a request was dispatched to an endpoint."""
         if self.discipline is not None:
             drain = self.drains[self.discipline.lane(record)]
             drain.note(context.now.total_seconds(), record.request.prompt_tokens)
@@ -148,5 +148,5 @@
 
 
 def refusal(code: ProblemCode, detail: str, retry_after: timedelta | None) -> Refuse:
-    """Return a refusal with a reason and a time to come back."""
+    """Return a refusal with a reason and a retry delay."""
     return Refuse(Problem(code, detail, retry_after))
--- a/src/mimosafork/policies/drain.py
+++ b/src/mimosafork/policies/drain.py
@@ -1,27 +1,27 @@
-"""How fast waiting requests leave this instance, by lane."""
+"""Measures how fast queued requests leave this instance, by lane."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 WINDOW_S = 30.0
-"""Dispatches that count: long enough for a few long prompts."""
+"""Averaging window: long enough for a few long prompts."""
 
 
 @dataclass(slots=True)
 class DrainRate:
-    """Prompt tokens a second that one lane has sent of late."""
+    """Prompt tokens per second that one lane has dispatched recently."""
 
     sent: deque[tuple[float, int]] = field(default_factory=deque)
     tokens: int = 0
 
     def note(self, now_s: float, tokens: int) -> None:
-        """Note a dispatch."""
+        """Record a dispatch."""
         self.sent.append((now_s, tokens))
         self.tokens += tokens
         self._forget(now_s)
 
     def rate(self, now_s: float) -> float:
-        """Return tokens a second over the window."""
+        """Return the tokens per second over the window."""
         self._forget(now_s)
         return self.tokens / WINDOW_S
 
--- a/src/mimosafork/policies/ejection.py
+++ b/src/mimosafork/policies/ejection.py
@@ -1,7 +1,7 @@
-"""Takes endpoints out of use that answer, but far more slowly than their like.
+"""Ejects endpoints that answer, but far more slowly than their peers.
 
-Each instance judges by its own requests. A probe does not show such an endpoint: it
-answers probes in time, and its load report says nothing of a failing link or card.
+Each instance judges by its own requests. Probes do not detect such an endpoint: it
+answers them in time, and its load report does not show a failing link or card.
 """
 
 from collections import deque
@@ -22,47 +22,48 @@
 from .prediction import MIN_FIRST_TOKEN_S, Prediction, fleet_policy
 
 SLOW_RATIO = 5.0
-"""An endpoint is slow if it takes so many times the median of its peers. Queues that
-are told late make differences of two; a failing card or link, of ten and more."""
+"""An endpoint is slow if it takes this many times the median of its peers. Queues that
+are reported late make a factor of two; a failing card or link, of ten and more."""
 
 MAX_OBSERVATIONS = 16
-"""Newest observations that count."""
+"""Newest observations that are kept of each kind."""
 
 QUARTERS = 4
-"""An endpoint counts by its lower quartile and is compared with its peers' medians: a
-sick one is slow for all, while callers that read slowly and prompts that met a queue
+"""An endpoint's lower quartile is compared with its peers' medians: a faulty endpoint
+is slow for all requests, while callers that read slowly and prompts that were queued
 make only some of its requests slow."""
 
 MIN_OBSERVATIONS = 6
 MIN_PROBATION_OBSERVATIONS = 3
-"""Observations before an endpoint is judged, and when it has come back."""
+"""Observations before an endpoint is judged, normally and after an ejection."""
 
 MIN_PEERS = 2
-"""Peers with observations of their own; against one alone nobody knows which of
-the two is the odd one."""
+"""Peers that need observations of their own; of two endpoints alone it is unknown
+which one is the outlier."""
 
 OBSERVATION_TTL = timedelta(minutes=2)
-"""Age from which an observation does not count."""
+"""Age at which an observation is discarded."""
 
 BASE_EJECTION_TIME = timedelta(seconds=10)
 MAX_EJECTION_TIME = timedelta(minutes=5)
-"""The pause doubles each time."""
+"""The ejection time doubles with each ejection, up to the maximum."""
 
 EJECTION_RESET_AFTER = timedelta(minutes=10)
-"""An endpoint that was not ejected for so long begins with the first pause again."""
+"""The ejection time restarts from the base when an endpoint was not ejected for this
+time beyond the maximum ejection time."""
 
 REFERENCE_RATE = 30_000.0
-"""Tokens a second at which work is counted; only ratios between endpoints matter."""
+"""Tokens per second that normalize work; only ratios between endpoints matter."""
 
 CHECK_INTERVAL = timedelta(seconds=1)
 
 MIN_ANSWER_TOKENS = 8
-"""A shorter answer tells nothing of the time between tokens."""
+"""Shorter answers are too short to measure the time between tokens."""
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One measured time, made comparable between requests."""
+    """One measured time, normalized to be comparable between requests."""
 
     at: timedelta
     value: float
@@ -70,14 +71,14 @@
 
 @dataclass(slots=True)
 class LatencyHistory:
-    """What is known of one life of an endpoint.
+    """Latency observations of one incarnation of an endpoint.
 
     Attributes
     ----------
     first_tokens : deque of Observation
-        Seconds to the first token over those that the work ahead needs at one token
-        a second: the reported rate is left out, since a slow endpoint may report
-        a low one.
+        Observed time to first token over the time that the work ahead would take at
+        `REFERENCE_RATE`. The reported rate is left out, since a slow endpoint may
+        report a low one.
     gaps : deque of Observation
         Seconds between two tokens.
     """
@@ -94,13 +95,13 @@
 
     @property
     def on_probation(self) -> bool:
-        """Whether it was ejected and has not been forgiven."""
+        """Whether it was ejected before."""
         return self.ejections > 0
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedAttempt:
-    """When an attempt's last token came, and how many there were."""
+    """When an attempt's last token arrived, and the number of its tokens."""
 
     at: timedelta
     tokens: int
@@ -108,7 +109,7 @@
 
 @register("slow-endpoint-ejection")
 class SlowEndpointEjection(Plugin):
-    """Ejects endpoints for a growing pause, never too many at once."""
+    """Ejects endpoints for a growing time, up to a share of each target's endpoints."""
 
     def __init__(self) -> None:
         self.prediction: Prediction | None = None
@@ -117,12 +118,12 @@
         self.checked_at = DISTANT_PAST
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the prediction."""
+        """Look up the prediction."""
         self.prediction = find(Prediction)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Observe, and look at what was observed."""
+        """Record latencies and evaluate them periodically."""
 
     @handle.register
     def _(self, message: InstancesListed, context: Context) -> None:
@@ -144,7 +145,7 @@
             return
         observed_s = context.now.total_seconds() - expected.at_s
         rate = self.prediction.load_of(endpoint).rate
-        # The fixed part keeps requests that need next to no work comparable.
+        # The fixed part keeps requests with almost no work comparable.
         work = max(0.0, expected.plain_s - MIN_FIRST_TOKEN_S) * rate
         usual_s = MIN_FIRST_TOKEN_S + work / REFERENCE_RATE
         value = observed_s / usual_s
@@ -182,7 +183,7 @@
             self._check_target(target, list(group.values()), context)
 
     def _reset_restarted(self, context: Context) -> None:
-        """Let an endpoint that was started again begin without its past."""
+        """Drop history and ejection of endpoints that have restarted."""
         endpoints = context.state.fleet.endpoints
         for name, history in list(self.histories.items()):
             endpoint = endpoints.get(name)
@@ -201,7 +202,7 @@
     def _check_target(
         self, target: ModelId | ServiceId, group: list[Endpoint], context: Context
     ) -> None:
-        """Eject the slowest of a target's endpoints that are slow."""
+        """Eject slow endpoints of a target, the slowest first."""
         seen = {
             each.endpoint_id: self.histories[each.endpoint_id]
             for each in group
@@ -227,7 +228,7 @@
         histories: dict[EndpointId, LatencyHistory],
         now: timedelta,
     ) -> Iterable[tuple[EndpointId, float]]:
-        """Return how many times the median of its peers each endpoint takes."""
+        """Return each endpoint's latency as a multiple of the median of its peers."""
         medians = {}
         quartiles = {}
         for name, kept in series.items():
@@ -265,10 +266,10 @@
 
 
 def _may_eject(endpoint: Endpoint, context: Context) -> bool:
-    """Return whether the models of an endpoint can spare it.
+    """Return whether all targets of an endpoint keep enough others without it.
 
-    A load that makes many endpoints slow must not take the rest of them away: the
-    others would get their load and be slow in turn.
+    A load that makes many endpoints slow must not eject many of them: the others
+    would get their load and become slow in turn.
     """
     share = fleet_policy(context).ejected_share
     for group in context.state.fleet.by_target.values():
--- a/src/mimosafork/policies/engine_load.py
+++ b/src/mimosafork/policies/engine_load.py
@@ -1,8 +1,8 @@
-"""What an engine has to do, estimated between its lagging reports.
+"""Estimates an engine's load between its delayed reports.
 
 Reports are old when they arrive, and each entry instance sees only its own
-dispatches since. Without adding them, all requests of the next half second go to
-the engine that looked idle; it shows as a sawtooth of first tokens.
+dispatches since then. If these were not added, all requests of the next half second
+would go to the engine that looked idle, and first-token times would show a sawtooth.
 """
 
 from dataclasses import dataclass, field
@@ -12,20 +12,20 @@
 from ..kernel.fleet import Endpoint
 
 DEFAULT_PREFILL_RATE = 30_000.0
-"""Prompt tokens a second of an engine that has not reported yet."""
+"""Prompt tokens per second assumed of an engine that has not reported yet."""
 
 SHORT_BACKLOG_S = 1.0
-"""Work of short prompts that is let wait at an engine: reports are about that old."""
+"""Work of short prompts that may queue at an engine: reports are about that old."""
 
 DEFAULT_TICK_S = 0.25
 MAX_TICKS_AHEAD = 20
-"""Reports that may be missing until the engine's time is taken to stand still."""
+"""Report intervals without a report after which the engine's clock stops advancing."""
 
 UNFILTERED_TICKS = 3
-"""Observations that are believed whatever they are."""
+"""First observations, which are accepted even if they are outliers."""
 
 TICK_EWMA_WEIGHT = 0.1
-"""Weight of a new observation of the time between two reports."""
+"""Weight of a new observation in the average time between two reports."""
 
 
 @dataclass(slots=True)
@@ -55,15 +55,15 @@
     ----------
     short_level, long_level : float
         Prompt tokens that wait there at `level_at_s`, of short and long prompts.
-    sent : dict of RequestId to Sent
+    sent : dict of RequestId to SentRequest
         All of this instance's requests there.
-    recent : dict of RequestId to Sent
-        Those that the newest report can't know yet, oldest first.
+    recent : dict of RequestId to SentRequest
+        Those that the newest report does not include yet, oldest first.
     peers_long : int
         Tokens of long prompts that other instances have there before their first
-        token, as they tell.
+        token, as published by them.
     tick_s : float
-        Time that the engine takes between two numbers of its reports.
+        Time between two consecutive sequence numbers of the engine's reports.
     """
 
     incarnation: Incarnation
@@ -86,7 +86,7 @@
     peers_long_memory: int = 0
 
     def report(self, endpoint: Endpoint) -> None:
-        """Begin again from a new report and replay what it can't know."""
+        """Reset the estimate to a new report and replay dispatches since then."""
         report = endpoint.report
         if report is None:
             return
@@ -105,8 +105,8 @@
             if each.is_long and not each.prefilled
         )
         waiting = report.waiting_prefill_tokens
-        # Others' long prompts are not told apart in the report. Short ones are kept
-        # to a bound, so what waits beyond it is long.
+        # The report does not distinguish long prompts of other instances. The backlog
+        # of short prompts is bounded, so what exceeds the bound is long.
         likely_long = waiting - SHORT_BACKLOG_S * self.rate
         self.long_level = min(waiting, max(0.0, known_long, likely_long))
         self.short_level = report.waiting_prefill_tokens - self.long_level
@@ -120,8 +120,8 @@
         if self.sequence == 0 or steps <= 0:
             return
         seen_s = (reported_at_s - self.reported_at_s) / steps
-        # An engine that was restarted counts from one again: one such step would
-        # spoil the estimate for minutes.
+        # A restarted engine counts from one again: one such step would distort the
+        # estimate for minutes.
         usual = self.tick_s / 4 < seen_s < self.tick_s * 4
         if seen_s > 0 and (usual or self.ticks_seen < UNFILTERED_TICKS):
             self.ticks_seen += 1
@@ -138,7 +138,7 @@
             self.recent_memory -= self.recent.pop(request_id).memory
 
     def _drain(self, now_s: float) -> None:
-        """Let the engine work until an instant, short prompts first."""
+        """Subtract the work done until an instant, short prompts first."""
         done = max(0.0, now_s - self.level_at_s) * self.rate
         self.level_at_s = max(now_s, self.level_at_s)
         from_short = min(done, self.short_level)
@@ -153,7 +153,7 @@
             self.short_level += sent.work
 
     def send(self, request_id: RequestId, sent: SentRequest) -> None:
-        """Note a dispatch."""
+        """Record a dispatch."""
         self.finish(request_id)
         self.sent[request_id] = sent
         self.recent[request_id] = sent
@@ -164,7 +164,7 @@
         self._add(sent)
 
     def first_token(self, request_id: RequestId) -> SentRequest | None:
-        """Note that a prefill is over; return what was sent."""
+        """Record the end of a prefill; return the request that was sent."""
         sent = self.sent.get(request_id)
         if sent is None or sent.prefilled:
             return None
@@ -174,7 +174,7 @@
         return sent
 
     def finish(self, request_id: RequestId) -> None:
-        """Note that a request has left the engine; it need not be known."""
+        """Record that a request has left the engine; ignore unknown requests."""
         sent = self.sent.pop(request_id, None)
         if sent is None:
             return
@@ -186,25 +186,25 @@
             self.recent_memory -= sent.memory
 
     def levels(self, now_s: float) -> tuple[float, float]:
-        """Return the waiting prompt tokens of short and long prompts now."""
+        """Return the queued prompt tokens of short and of long prompts."""
         self._drain(now_s)
         return self.short_level, self.long_level
 
     @property
     def memory_used(self) -> int:
-        """Reported memory and that of requests sent since."""
+        """Reported memory plus that of requests sent since the report."""
         return self.reported_memory + self.recent_memory
 
     @property
     def long_memory(self) -> int:
-        """Memory that long prompts hold, as far as it is known."""
+        """Memory that long prompts of this and other instances are known to hold."""
         return self.own_long_memory + self.peers_long_memory
 
     def clock_ticks(self, now: timedelta) -> float:
-        """Return the engine's own time: the number of its report, with a fraction.
+        """Return the engine's time: the sequence number of its report, with a fraction.
 
-        Entry instances share no clock, but all of them see the same numbers, so
-        priorities made from it can be compared at the engine.
+        Entry instances share no clock, but all of them see the same sequence numbers,
+        so priorities derived from it are comparable at the engine.
         """
         since_s = now.total_seconds() - self.reported_at_s
         return self.sequence + min(since_s / self.tick_s, MAX_TICKS_AHEAD)
--- a/src/mimosafork/policies/fair_shares.py
+++ b/src/mimosafork/policies/fair_shares.py
@@ -1,4 +1,4 @@
-"""Keeps a few large client accounts from filling the queue before the small ones."""
+"""Keeps a few large client accounts from starving small ones in the queue."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -21,24 +21,25 @@
 from .prediction import Prediction
 
 UNPENALIZED_SHARES = 2.0
-"""An account is ranked later for what it has beyond so many fair shares; its short
-requests would otherwise lengthen the tail of all whenever it is a little busier."""
+"""Fair shares that an account may use without a penalty. Penalizing small excesses
+would add to the tail latency of short requests of every slightly busier account."""
 
 UNPENALIZED_PER_OTHER_ACCOUNT = 0.25
 
 MAX_PENALTY_S = 5.0
-"""A request is never ranked later by more: a large account's requests go on
-ageing, and none of them waits for ever."""
+"""Upper bound of the penalty: a large account's requests still age, and none of them
+starves."""
 
 DEFAULT_WEIGHT = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class AccountWorkload:
-    """An account's long prompts, or its others.
+    """An account's long prompts, or its short ones.
 
-    They are counted apart: an account's letters would wait for its one dossier,
-    which takes nothing from the letters of others.
+    They are counted separately: otherwise an account's short requests would be
+    penalized for its one long prompt, which takes nothing from short requests of
+    other accounts.
     """
 
     account: AccountId
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldWork:
-    """What a request in progress holds of its account's share."""
+    """The work that a request in progress counts towards its account's share."""
 
     holder: AccountWorkload
     work_s: float
@@ -55,11 +56,11 @@
 
 @register("fair-shares")
 class FairShares(Stage):
-    """Ranks a request later the more of its share its account has already.
+    """Penalizes the rank of requests of accounts that exceed their fair share.
 
-    The fair share of an account is its weight's part of all work that waits or runs
-    on this instance. A lone account has all of it and loses nothing, and so does a
-    request that is all that its account has here, however long it is.
+    The fair share of an account is its weight's part of all work that is queued or
+    running on this instance. A sole account has no penalty, and neither has an
+    account's only request here, however long it is.
     """
 
     order = 41
@@ -73,11 +74,11 @@
         self.excess_s: dict[AccountWorkload, float] | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the prediction."""
+        """Look up the prediction."""
         self.prediction = find(Prediction)
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
-        """Note the request and its rank; never refuse."""
+        """Count the request's work; never refuse."""
         request = record.request
         if request.kind is RequestKind.SERVICE or self.prediction is None:
             return Proceed()
@@ -92,7 +93,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Keep up with ended requests."""
+        """Remove the work of ended requests."""
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
@@ -108,7 +109,7 @@
         self.excess_s = None
 
     def penalty_s(self, record: RequestRecord) -> float:
-        """Return by how much the request is ranked later than by its age."""
+        """Return the seconds by which the request ranks later than by its age."""
         held = self.held.get(record.request_id)
         if held is None:
             return 0.0
@@ -118,13 +119,13 @@
         return min(MAX_PENALTY_S, beyond_s)
 
     def _excess_by_workload(self) -> dict[AccountWorkload, float]:
-        """Return the work of each account beyond what is free."""
+        """Return each workload's work in excess of its unpenalized shares."""
         excess_s = {}
         for is_long in (False, True):
             group = [each for each in self.work_s if each.is_long is is_long]
             total_s = sum(self.work_s[each] for each in group)
             weights = sum(self.weights[each] for each in group)
-            # Among two or three accounts two fair shares are all that there is.
+            # With only two or three accounts, two fair shares are nearly all work.
             free = min(
                 UNPENALIZED_SHARES, 1 + UNPENALIZED_PER_OTHER_ACCOUNT * (len(group) - 1)
             )
--- a/src/mimosafork/policies/gangs/__init__.py
+++ b/src/mimosafork/policies/gangs/__init__.py
@@ -1,4 +1,4 @@
-"""Prompts beyond one engine's memory, spread over a gang of engines."""
+"""Placement of prompts beyond one engine's memory on a gang of engines."""
 
 from . import placer
 
--- a/src/mimosafork/policies/gangs/allowance.py
+++ b/src/mimosafork/policies/gangs/allowance.py
@@ -1,4 +1,4 @@
-"""Whether and how much of the fleet a gang may take."""
+"""Limits when a gang may start and how much of the fleet it may use."""
 
 from ...kernel.context import Context
 from ...kernel.fleet import Endpoint
@@ -10,10 +10,10 @@
 from .plan import split, whole_room
 
 YIELD_BACKLOG_S = 0.5
-"""Work of long prompts, over all engines, from which on a gang waits."""
+"""Queued work of long prompts, over all engines, above which a gang waits."""
 
 YIELD_SHARE = 0.2
-"""Part of its time that a gang waits at most for others."""
+"""Maximum part of the time to its deadline that a gang waits for other prompts."""
 
 
 def long_part(
@@ -21,10 +21,10 @@
     pairs: list[tuple[Endpoint, EngineLoad]],
     context: Context,
 ) -> float | None:
-    """Return the part of each engine that the gang may take.
+    """Return the part of each engine's memory that the gang may use.
 
-    That of long prompts, if the idle fleet could hold the prompt so; else all;
-    None if even that is not enough.
+    The share of long prompts, if the prompt fits into that share of an idle fleet;
+    else all memory; None if the prompt does not fit into the whole fleet.
     """
     request = record.request
     for share in (fleet_policy(context).long_share, 1.0):
@@ -39,10 +39,10 @@
     pairs: list[tuple[Endpoint, EngineLoad]],
     context: Context,
 ) -> bool:
-    """Return whether a gang had better wait for other long prompts.
+    """Return whether a gang should wait for other long prompts.
 
-    It holds memory on several engines for a minute, and its caller has given it
-    many minutes: under a short burst it is what can wait best.
+    A gang holds memory on several engines for a minute, and its deadline is usually
+    many minutes away, so it is the best candidate to wait during a short burst.
     """
     given = record.request.deadline - record.submitted_at
     if context.now - record.submitted_at > YIELD_SHARE * given:
@@ -53,7 +53,7 @@
 
 
 def refuse_oversized_prompt(record: RequestRecord) -> Refuse:
-    """Return the refusal of a prompt that the whole fleet could not hold."""
+    """Return the refusal of a prompt that does not fit into the whole fleet."""
     detail = (
         f"the prompt has {record.request.prompt_tokens} tokens, more than the engines "
         "hold together"
--- a/src/mimosafork/policies/gangs/gang.py
+++ b/src/mimosafork/policies/gangs/gang.py
@@ -1,4 +1,4 @@
-"""One gang: what it holds on which engine, and its next step."""
+"""State of one gang: its holdings on each engine and its current step."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -10,18 +10,18 @@
 
 
 class Step(Enum):
-    """What a gang waits for."""
+    """The step that a gang is in."""
 
     RESERVING = "reserving"
     PREFILLING = "prefilling"
     IMPORTING = "importing"
     RUNNING = "running"
-    """All but the last part are prefilled, and the request runs on the last engine."""
+    """All segments but the last are prefilled; the request runs on the last engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class GangHolding:
-    """Something that an engine may hold for the gang."""
+    """A reservation, stream or export that an engine may hold for the gang."""
 
     endpoint: EndpointId
     address: str
@@ -36,9 +36,9 @@
     Attributes
     ----------
     reservation : ReservationId
-        For its part of the prompt, and on the last engine for the answer.
+        For its segment of the prompt, and on the last engine for the answer.
     placeholder : ReservationId
-        Keeps the memory that the import will take; freed right before it.
+        Reserves the memory that the import will use; freed right before it.
     """
 
     segment: Segment
@@ -57,7 +57,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Life of the engine in which the gang began."""
+        """Incarnation of the engine."""
         return self.segment.endpoint.entry.incarnation
 
 
@@ -68,14 +68,15 @@
     Attributes
     ----------
     incarnations : tuple of Incarnation
-        Lives of the engines when the gang began.
-    parts : dict of str to Part
-        All that may be held for it, by holding id. What is asked for is entered
-        before the answer is known: an answer may be lost after its step took effect.
-    reserve_at : int
-        Index of the next reservation; two a member, but for the first.
-    segment_at : int
-        Index of the member whose part is prefilled.
+        Incarnations of the engines when the gang began.
+    holdings : dict of str to GangHolding
+        All that may be held for it, by holding id. A holding is entered before its
+        request is answered, since an answer may be lost after the step took effect.
+    next_reservation : int
+        Index of the next reservation; two per member, except that the first member
+        needs no placeholder.
+    current_index : int
+        Index of the member whose segment is prefilled.
     """
 
     request_id: RequestId
@@ -92,26 +93,26 @@
 
     @property
     def current(self) -> Member:
-        """The member whose part comes next."""
+        """The member whose segment is next."""
         return self.members[self.current_index]
 
     @property
     def is_last(self) -> bool:
-        """Whether the current part is the last one."""
+        """Whether the current segment is the last one."""
         return self.current_index == len(self.members) - 1
 
     def hold(self, member: Member, kind: HoldingKind, holding_id: str) -> None:
-        """Note that an engine may hold something from now on."""
+        """Record that an engine may hold something from now on."""
         holding = GangHolding(member.endpoint, member.address, kind, holding_id)
         self.holdings[holding_id] = holding
 
     def name(self, what: str, index: int) -> str:
-        """Return an id for something of this gang."""
+        """Return an id for one of this gang's holdings."""
         return f"{self.request_id}.g{self.number}.{what}{index}"
 
 
 def make_gang(request_id: RequestId, number: int, segments: list[Segment]) -> Gang:
-    """Return a gang that holds nothing yet."""
+    """Return a gang without holdings."""
     gang = Gang(
         request_id,
         number,
--- a/src/mimosafork/policies/gangs/placer.py
+++ b/src/mimosafork/policies/gangs/placer.py
@@ -1,10 +1,10 @@
 """Places prompts beyond one engine's memory on a gang of engines.
 
-All members are reserved before anything is prefilled, one after the other in the
-order of their ids, each for a limited time. A refusal frees what was reserved and
-the request waits again. So no gang ever waits while it holds something: two gangs
-can't block each other, and of two that want the same engines the one that got the
-first of these is not stopped by the other.
+Memory of all members is reserved before anything is prefilled, one member after the
+other in order of engine id, each for a limited time. A refusal frees all reservations
+and the request is queued again. A gang never waits while it holds memory, so two gangs
+can't deadlock, and of two gangs that compete for the same engines the one that reserved
+the first of these is not blocked by the other.
 """
 
 from datetime import timedelta
@@ -55,19 +55,19 @@
 from .plan import free_room, split
 
 MAX_GANG_FAILURES = 3
-"""Gangs of one request that may fail for other reasons than memory."""
+"""Gangs of one request that may fail for reasons other than lack of memory."""
 
 MEAN_PAUSE_S = 1.0
-"""Mean pause before a gang that found no memory is tried again."""
+"""Mean pause before a failed gang is retried."""
 
 MIN_RESERVATION_TTL = timedelta(seconds=10)
-"""Least time for which memory is reserved, on top of the predicted time until its
-part is prefilled. An engine frees the reservations of a dead instance then."""
+"""Minimum time to live of a reservation, on top of the predicted time until its segment
+is prefilled. After it an engine frees the reservations of a crashed instance."""
 
 
 @register("gangs")
 class GangPlacer(Placer):
-    """Reserves, prefills and passes on, part by part."""
+    """Reserves memory, then prefills and transfers the KV cache segment by segment."""
 
     order = 70
 
@@ -81,13 +81,13 @@
         self.not_before: dict[RequestId, timedelta] = {}
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that gang placement queries."""
         self.prediction = find(Prediction) or self.prediction
         self.priorities = find(AgeingPriorities)
         self.deadlines = find(DeadlineCheck)
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Begin a gang, wait for memory, or refuse what the fleet can't hold."""
+        """Start a gang, wait for memory, or refuse a prompt beyond the fleet."""
         request = record.request
         if request.kind is RequestKind.SERVICE:
             return NotApplicable()
@@ -122,7 +122,7 @@
     def _reserve_next(
         self, gang: Gang, record: RequestRecord, context: Context
     ) -> None:
-        """Ask for the next reservation, or begin to prefill after the last."""
+        """Request the next reservation, or start prefilling after the last one."""
         if gang.next_reservation >= 2 * len(gang.members):
             self._prefill(gang, record, context)
             return
@@ -161,14 +161,14 @@
     def _time_to_live(
         self, record: RequestRecord, first: int, context: Context
     ) -> timedelta:
-        """Return how long memory is kept for the part that begins at a token."""
+        """Return the reservation time for a segment that begins at a token."""
         whole_s = self.prediction.alone_s(record.request, DEFAULT_PREFILL_RATE)
         before_s = whole_s * first / max(1, record.request.prompt_tokens)
         kept = MIN_RESERVATION_TTL + timedelta(seconds=2 * before_s)
         return min(kept, record.request.deadline - context.now)
 
     def _prefill(self, gang: Gang, record: RequestRecord, context: Context) -> None:
-        """Prefill the current part, or dispatch the request with the last one."""
+        """Prefill the current segment, or dispatch the request with the last one."""
         member = gang.current
         segment = member.segment
         imports = (gang.import_id,) if gang.import_id is not None else ()
@@ -214,7 +214,7 @@
     def _import(
         self, gang: Gang, record: RequestRecord, handle: str, context: Context
     ) -> None:
-        """Have the next engine pull the KV of all parts so far."""
+        """Let the next engine import the KV cache of all segments so far."""
         source = gang.current
         gang.current_index += 1
         member = gang.current
@@ -250,7 +250,7 @@
             load.finish(RequestId(holding_id))
 
     def _release_gang(self, request_id: RequestId, context: Context) -> Gang | None:
-        """Free all that the gang of a request may hold, in the order it was asked."""
+        """Free all holdings of a request's gang, in the order of their requests."""
         gang = self.gangs.pop(request_id, None)
         if gang is not None:
             for holding_id in list(gang.holdings):
@@ -258,7 +258,7 @@
         return gang
 
     def _fail(self, gang: Gang, failure: GangStepFailure, context: Context) -> None:
-        """Free everything and give the request back to the queue, or give up."""
+        """Free all holdings and requeue the request, or refuse it."""
         request_id = gang.request_id
         self._release_gang(request_id, context)
         pause_s = MEAN_PAUSE_S * (0.5 + context.random.random())
@@ -275,7 +275,7 @@
     def _gang_at_step(
         self, request_id: RequestId, step: Step, context: Context
     ) -> tuple[Gang, RequestRecord] | None:
-        """Return a gang that waits for this step; late answers find none."""
+        """Return the request's gang if it is in this step; None for late answers."""
         gang = self.gangs.get(request_id)
         record = context.state.requests.get(request_id)
         if gang is None or record is None or gang.step is not step:
@@ -284,7 +284,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Take the next step."""
+        """Advance a gang, or release its holdings."""
 
     @handle.register
     def _(self, message: MemoryReserved, context: Context) -> None:
@@ -302,8 +302,8 @@
     def _(self, message: SegmentPrefilled, context: Context) -> None:
         found = self._gang_at_step(message.request_id, Step.PREFILLING, context)
         if found is None or found[0].stream_id != message.stream_id:
-            # The gang was given up while this answer was on its way: its export
-            # would be held until the deadline if nobody freed it.
+            # The gang was given up while this answer was in transit. Without this
+            # the export would be held until the deadline.
             kind = HoldingKind.EXPORT
             context.emit(
                 FreeOwnHolding(message.endpoint, message.address, kind, message.handle)
@@ -314,9 +314,9 @@
         self._import(gang, record, message.handle, context)
 
     def _note_prefilled(self, gang: Gang, handle: str, context: Context) -> None:
-        """Take the export for what the engine holds now.
+        """Replace the holdings of a prefilled segment by its export.
 
-        The stream has taken over its reservation and import, and ended.
+        The stream has consumed its reservation and import, and has ended.
         """
         member = gang.current
         for name in (gang.stream_id, member.reservation, gang.import_id):
@@ -363,10 +363,10 @@
 
 
 def _has_lost_member(gang: Gang, context: Context) -> bool:
-    """Return whether an engine has died since the gang began.
+    """Return whether an engine has crashed or restarted since the gang began.
 
-    Its part of the KV is gone. A chain that went on would end with an answer to a
-    prompt with a hole, or wait for an engine that knows nothing of it.
+    Its segment of the KV cache is lost. Without a restart of the gang the answer would
+    miss a part of the prompt, or the gang would wait for an engine that lost its state.
     """
     endpoints = context.state.fleet.endpoints
     for member, incarnation in zip(gang.members, gang.incarnations, strict=True):
--- a/src/mimosafork/policies/gangs/plan.py
+++ b/src/mimosafork/policies/gangs/plan.py
@@ -1,4 +1,4 @@
-"""Which engines take which part of a prompt."""
+"""Splits a prompt into segments over engines."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -7,13 +7,13 @@
 from ..engine_load import EngineLoad
 
 IMPORT_SHARE = 16
-"""An import takes one token of memory for this many imported (docs/PLATFORM.md)."""
+"""Imported tokens per token of memory that an import uses (docs/PLATFORM.md)."""
 
 MAX_MEMBERS = 8
-"""Engines of one gang: each further one is one more that can fail."""
+"""Maximum engines of one gang: each further engine is one more that can fail."""
 
 USABLE_SHARE = 0.9
-"""Part of the memory thought free that a plan counts on: reports are old."""
+"""Part of the estimated free memory that a plan uses: reports are delayed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """A part of a prompt on an engine.
+    """A segment of a prompt on an engine.
 
     Attributes
     ----------
     first, tokens : int
-        Where it begins in the prompt, and its length.
+        Offset in the prompt, and length.
     import_tokens : int
-        Memory that the KV of all parts before takes there.
+        Memory that the import of all earlier segments uses there.
     """
 
     endpoint: Endpoint
@@ -45,7 +45,7 @@
 def free_room(
     pairs: Iterable[tuple[Endpoint, EngineLoad]], long_share: float
 ) -> list[Room]:
-    """Return what each engine has free for long prompts now, the most first."""
+    """Return each engine's memory that is free for long prompts, largest first."""
     rooms = []
     for endpoint, load in pairs:
         free = (load.capacity - load.memory_used) * USABLE_SHARE
@@ -57,7 +57,7 @@
 def whole_room(
     pairs: Iterable[tuple[Endpoint, EngineLoad]], long_share: float
 ) -> list[Room]:
-    """Return what each engine has when nothing runs there, the most first."""
+    """Return each engine's memory for long prompts when idle, largest first."""
     rooms = [
         Room(endpoint, int(load.capacity * long_share)) for endpoint, load in pairs
     ]
@@ -71,18 +71,18 @@
 def split(
     prompt_tokens: int, answer_tokens: int, rooms: Sequence[Room]
 ) -> list[Segment] | None:
-    """Spread a prompt over as few engines as hold it.
+    """Split a prompt over the fewest engines that can hold it.
 
     Parameters
     ----------
     rooms : sequence of Room
-        The most first.
+        Largest first.
 
     Returns
     -------
     list of Segment or None
-        In the order of the engines' ids, which all gangs reserve in; None if the
-        engines, up to `MOST_MEMBERS`, don't hold it.
+        In order of engine id, which is the order of all gangs' reservations; None if
+        the prompt does not fit into the `MAX_MEMBERS` largest.
     """
     for members in range(1, min(MAX_MEMBERS, len(rooms)) + 1):
         chosen = sorted(rooms[:members], key=lambda room: room.endpoint.entry.endpoint)
@@ -95,7 +95,7 @@
 def _split_over(
     prompt_tokens: int, answer_tokens: int, rooms: Sequence[Room]
 ) -> list[Segment] | None:
-    """Fill engines in proportion to what each can take behind those before it."""
+    """Fill engines in proportion to their memory left after import and answer."""
     left_over = [
         room.tokens - prompt_tokens // IMPORT_SHARE - answer_tokens for room in rooms
     ]
--- a/src/mimosafork/policies/limits/__init__.py
+++ b/src/mimosafork/policies/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts: shares moved by demand, and the stage that holds them."""
+"""Rate limits of client accounts: shares by demand, and the enforcing stage."""
 
 from .stage import AccountLimits
 
--- a/src/mimosafork/policies/limits/demand_publisher.py
+++ b/src/mimosafork/policies/limits/demand_publisher.py
@@ -1,4 +1,4 @@
-"""Telling the peers what accounts want here, within the traffic budget."""
+"""Publishes the demand of accounts to peers, within the traffic budget."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,27 +16,27 @@
 from .shares import EVEN_SHARE, Shares
 
 MAX_ACCOUNTS = 12
-"""Accounts that an instance tells of: those that want most of their limits."""
+"""Accounts that an instance publishes: those with most demand relative to limit."""
 
 MAX_ZONE_ACCOUNTS = 150
 
 ZONE_PACE_PER_INSTANCE = timedelta(milliseconds=40)
-"""A zone's instances together write 25 values a second at most, of about 150 bytes:
+"""A zone's instances together publish at most 25 values per second of about 150 bytes:
 under 4 KB/s, whatever the number of instances and accounts."""
 
 MIN_PACE = timedelta(seconds=1)
 FLEET_PACE = timedelta(seconds=3)
-"""A zone's sums are 1.4 KB at most: under 0.5 KB/s for each zone."""
+"""A zone's sums are at most 1.4 KB: under 0.5 KB/s per zone."""
 
 MIN_PUBLISHED_PART = 0.5
-"""Demand, over the even part of an instance, from which it is told."""
+"""Minimum published demand, relative to the even share of an instance."""
 
 NO_DEMAND = AccountDemand((), ())
 
 
 @dataclass(frozen=True, slots=True)
 class LocalDemand:
-    """What an account asks this instance for, in tokens a second."""
+    """An account's demand at this instance and its limit, in tokens per second."""
 
     account: AccountKey
     demand: float
@@ -44,7 +44,7 @@
 
 
 class DemandPublisher:
-    """Publishes this instance's demand, and its zone's if it speaks for it."""
+    """Publishes the demand of this instance, and of its zone if it is responsible."""
 
     def __init__(self, shares: Shares) -> None:
         self.shares = shares
@@ -54,7 +54,7 @@
         self.zone_at = DISTANT_PAST
 
     def publish_own(self, wanted: Iterable[LocalDemand], context: Context) -> None:
-        """Publish the demand here, if it is time."""
+        """Publish this instance's demand, if the interval has passed."""
         zone = context.state.identity.availability_zone
         pace = ZONE_PACE_PER_INSTANCE * self.shares.listed[zone]
         if context.now - self.own_at < max(MIN_PACE, pace):
@@ -77,7 +77,7 @@
         context.emit(Publish(INSTANCE_DEMAND, demand, Scope.ZONE))
 
     def publish_zone(self, context: Context) -> None:
-        """Publish the sums of the zone, if it is time."""
+        """Publish the zone's sums, if the interval has passed."""
         if context.now - self.zone_at < FLEET_PACE:
             return
         sums = self.shares.zone_sums().most_common(MAX_ZONE_ACCOUNTS)
--- a/src/mimosafork/policies/limits/shares.py
+++ b/src/mimosafork/policies/limits/shares.py
@@ -1,14 +1,15 @@
-"""Which part of an account's limit this instance may give out.
-
-An instance's weight is its published demand and a small even part; its share is
-its weight over all weights. The shares of all instances never sum up to more than
-the limit although words take time: each counts itself by the least that it has
-published within `SETTLE`, and the others by the most. If words arrive within
-`SETTLE`, the demands of that long ago lie within everybody's bounds; by them the
-shares would sum up to one, and each is at most what it would be by them.
-
-The same is done twice: among the instances of an availability zone, and among the
-zones by the sums that their speakers publish.
+"""Computes the part of an account's limit that this instance may grant.
+
+An instance's weight is its published demand plus a small even share; its share is
+its weight over the sum of all weights. The shares of all instances never exceed the
+limit in total, although messages are delayed: each instance counts its own demand by
+the least value that it has published within `PROPAGATION_LIMIT`, and the others by
+their largest. If messages arrive within `PROPAGATION_LIMIT`, the demands of that long
+ago lie within the bounds of every instance. Shares computed from these demands would
+sum to one, and each actual share is at most that.
+
+This is done twice: among the instances of an availability zone, and among the zones,
+using the sums that the publishing instance of each zone sends.
 """
 
 from collections import Counter, deque
@@ -23,22 +24,22 @@
 from ...kernel.messages.peers import MemberState
 
 PROPAGATION_LIMIT = timedelta(seconds=10)
-"""Longest time that a word is thought to take to all that it concerns."""
+"""Assumed maximum time in which a published value reaches all its receivers."""
 
 DEMAND_TTL = timedelta(seconds=30)
-"""A silent instance or zone is not counted any more after so long."""
+"""Time after which the demand of a silent instance or zone is dropped."""
 
 EVEN_SHARE = 0.1
-"""Weight of the even split, as part of the limit: what an account can take at an
-instance that has not told of it yet, and what of it is never used if all of its
-requests come to one instance."""
+"""Weight of the even split, as part of the limit. It is what an account can use at an
+instance that has not published its demand yet, and what stays unused if all of its
+requests arrive at one instance."""
 
 Demands = Mapping[AccountKey, int]
 
 
 @dataclass(slots=True)
 class PublishedDemand:
-    """What one instance, or one zone's speaker, has published.
+    """Demand that one instance, or one zone, has published.
 
     Attributes
     ----------
@@ -51,29 +52,29 @@
     past: deque[tuple[timedelta, Demands]] = field(default_factory=deque)
 
     def replace_current(self, demand: AccountDemand, now: timedelta) -> None:
-        """Take over the newest value."""
+        """Store the newest value."""
         self.past.append((now, self.current))
         pairs = zip(demand.accounts, demand.tokens_per_second, strict=True)
         self.current = dict(pairs)
         self.at = now
 
     def drop_past(self, now: timedelta) -> None:
-        """Drop the values that everybody has replaced by now."""
+        """Drop the values that all receivers have replaced by now."""
         while self.past and now - self.past[0][0] > PROPAGATION_LIMIT:
             self.past.popleft()
 
     def least(self, account: AccountKey) -> int:
-        """Return the least demand of an account that may count somewhere."""
+        """Return the least demand of an account that any receiver may still use."""
         now = self.current.get(account, 0)
         return min([now, *(each.get(account, 0) for _, each in self.past)])
 
     def most_of(self, account: AccountKey) -> int:
-        """Return the largest demand of an account that may count somewhere."""
+        """Return the largest demand of an account that any receiver may still use."""
         now = self.current.get(account, 0)
         return max([now, *(each.get(account, 0) for _, each in self.past)])
 
     def most(self) -> dict[AccountKey, int]:
-        """Return the largest demand of each account that may count somewhere."""
+        """Return the largest demand of each account that any receiver may still use."""
         found = dict(self.current)
         for _, earlier in self.past:
             for account, demand in earlier.items():
@@ -82,16 +83,16 @@
 
 
 class Shares:
-    """Keeps what is told of demand and works out shares.
+    """Stores published demand and computes shares.
 
     Attributes
     ----------
-    instances : dict of InstanceId to Told
-        Of the own zone, this one included.
-    zones : dict of AvailabilityZoneId to Told
-        Sums of all zones, the own one as its speaker told it.
+    instances : dict of InstanceId to PublishedDemand
+        Of this instance's zone, this instance included.
+    zones : dict of AvailabilityZoneId to PublishedDemand
+        Sums of all zones; this instance's zone as published for it.
     is_cut_off : bool
-        Nothing is heard of any instance of the own zone: shares stay as they were.
+        No other instance of the zone is reachable: shares stay unchanged.
     """
 
     def __init__(self) -> None:
@@ -105,7 +106,7 @@
         self.is_cut_off = False
 
     def receive(self, message: AccountDemandReceived, context: Context) -> None:
-        """Note what a peer has told."""
+        """Store the demand that a peer has published."""
         origin = message.origin
         if message.of_zone:
             published = self.zones.setdefault(
@@ -116,28 +117,28 @@
         published.replace_current(message.demand, context.now)
 
     def note_own(self, demand: AccountDemand, context: Context) -> None:
-        """Note what this instance tells of itself."""
+        """Store the demand that this instance publishes for itself."""
         own = context.state.identity.instance
         self.instances.setdefault(own, PublishedDemand()).replace_current(
             demand, context.now
         )
 
     def note_zone(self, demand: AccountDemand, context: Context) -> None:
-        """Note what this instance tells as its zone's speaker."""
+        """Store the demand that this instance publishes for its zone."""
         zone = context.state.identity.availability_zone
         self.zones.setdefault(zone, PublishedDemand()).replace_current(
             demand, context.now
         )
 
     def zone_sums(self) -> Counter[AccountKey]:
-        """Return the zone's newest demand by account."""
+        """Return the newest total demand of the zone by account."""
         sums: Counter[AccountKey] = Counter()
         for published in self.instances.values():
             sums.update(published.current)
         return sums
 
     def refresh(self, context: Context) -> None:
-        """Sum up anew; at a steady pace, as each decision needs it."""
+        """Recompute the sums; done periodically, since each decision uses them."""
         identity = context.state.identity
         self.listed = Counter(
             each.availability_zone for each in context.state.fleet.instances.values()
@@ -149,10 +150,10 @@
         self.fleet_most = _sum_of(self.zones.values(), context.now)
 
     def _forget_silent(self, context: Context) -> None:
-        """Stop counting what has fallen silent, unless this instance has.
+        """Drop silent instances and zones, unless this instance is isolated.
 
-        An instance that hears nobody would take all others for gone and give out
-        the whole limit, as each of them may do too when a switch fails.
+        An isolated instance would take all others for gone and grant the whole limit.
+        If a switch fails, each of the others may do the same.
         """
         own = context.state.identity
         members = context.state.fleet.members
@@ -175,12 +176,12 @@
         }
 
     def part(self, account: AccountKey, limit: float, context: Context) -> float:
-        """Return which part of an account's limit is this instance's now.
+        """Return this instance's current part of an account's limit.
 
         Parameters
         ----------
         limit : float
-            Tokens a second, of the whole fleet.
+            Tokens per second of the whole fleet.
         """
         count = max(1, self.listed.total())
         if self.is_cut_off:
--- a/src/mimosafork/policies/limits/stage.py
+++ b/src/mimosafork/policies/limits/stage.py
@@ -1,4 +1,4 @@
-"""Holds each client account to its tokens a second, over all entry instances."""
+"""Enforces each client account's tokens per second over all entry instances."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Charge:
-    """What a request in progress has been charged."""
+    """Tokens that a request in progress has been charged."""
 
     account: AccountId
     tokens: int
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class LimitedAccount:
-    """An account with recent traffic here."""
+    """An account with recent traffic at this instance."""
 
     bucket: AccountBucket
     demand: DemandMeter
@@ -48,11 +48,12 @@
 
 @register("account-limits")
 class AccountLimits(Stage):
-    """Refuses what an account's part here does not cover.
+    """Refuses requests beyond this instance's part of an account's limit.
 
-    It comes after the claims: refused before them, the resend of a call that has
-    run would hear "not run", and its caller would send the draft anew. What joins a
-    run or its kept answer passes this stage by, and is not charged again.
+    It runs after the claims stage: refused before it, the resend of a call that has
+    run would be answered "not run", and its caller would submit the call again.
+    Requests that join a run or its kept answer skip this stage and are not charged
+    again.
     """
 
     order = 40
@@ -65,7 +66,7 @@
         self.refreshed_at = DISTANT_PAST
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
-        """Take the request's tokens, or refuse with the time of their refill."""
+        """Charge the request's tokens, or refuse with the time until the refill."""
         request = record.request
         policy = _policy_of(request.account, context)
         if request.kind is RequestKind.SERVICE or policy is None:
@@ -84,7 +85,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Keep up with demand, usage and peers."""
+        """Track demand, usage and peers."""
 
     @handle.register
     def _(self, message: AttemptFinished, context: Context) -> None:
@@ -122,7 +123,7 @@
             self._refresh(context)
 
     def _refresh(self, context: Context) -> None:
-        """Tell the demand, and move the buckets by what is told of it."""
+        """Publish the demand here, and resize the buckets by all published demand."""
         self.refreshed_at = context.now
         self.publisher.publish_own(self._local_demands(context), context)
         self.shares.refresh(context)
@@ -173,10 +174,10 @@
 
 
 def _cost(message: RequestConcluded, charge: Charge) -> int:
-    """Return the tokens that a request has really cost.
+    """Return the tokens that a request has actually used.
 
-    A request that was answered by another call's run costs that one. What a broken
-    run has cost is not told, so its prompt and what the caller got count.
+    A request that was answered by another call's run is charged to that call. The
+    usage of a broken run is unknown, so its prompt and the delivered tokens count.
     """
     record = message.record
     if message.conclusion.outcome is Outcome.NOT_RUN or record.attached_run is not None:
--- a/src/mimosafork/policies/model_rights.py
+++ b/src/mimosafork/policies/model_rights.py
@@ -1,4 +1,4 @@
-"""Whether a request asks a model for what its account may have."""
+"""Checks an account's permission for a model and the model's own limits."""
 
 from ..ids import ModelId
 from ..kernel.configuration import Configuration, ModelPolicy
@@ -12,9 +12,9 @@
 
 @register("model-rights")
 class ModelRights(Stage):
-    """Refuses models that are not the account's, and more than a model gives.
+    """Refuses models that an account may not use, and requests beyond model limits.
 
-    Runs behind the stage that knows that the target exists.
+    Runs after the stage that checks that the target exists.
     """
 
     order = 11
@@ -37,8 +37,8 @@
     request = record.request
     account = configuration.accounts.get(request.account)
     if account is not None and account.models and model.model not in account.models:
-        # The same words as for a model that does not exist: which models others
-        # have is not this account's business.
+        # Same message as for a model that does not exist, so that an account does
+        # not learn which models other accounts have.
         detail = f"no model is called {request.target!r}"
         return Problem(ProblemCode.UNKNOWN_MODEL, detail)
     if request.adapter is not None and request.adapter not in model.adapters:
--- a/src/mimosafork/policies/prediction.py
+++ b/src/mimosafork/policies/prediction.py
@@ -1,10 +1,10 @@
-"""Predicted first token and finish, learned from what is observed.
+"""Predicts times to first token and answer times, corrected by observations.
 
-A prediction is made of the work ahead at the endpoint and the request's own
+A prediction is computed from the work ahead at the endpoint and the request's own
 prefill. Observed first tokens correct it: by a factor for each model and prompt
-length, which takes in what the plain sum leaves out (context cost, steps shared
-with decoding, the network), and by a factor for each endpoint, which shows one
-that is slow but alive.
+length, which covers what the plain sum leaves out (context cost, steps shared with
+decoding, the network), and by a factor for each endpoint, which detects one that is
+slow but alive.
 """
 
 from dataclasses import dataclass, field
@@ -26,42 +26,42 @@
 
 LENGTH_EWMA_WEIGHT = 0.05
 ENDPOINT_EWMA_WEIGHT = 0.1
-"""Weights of a new observation, in logarithms."""
+"""Weights of a new observation in moving averages of logarithms."""
 
 MAX_RATIO = 20.0
-"""Observations beyond it, either way, count as this much."""
+"""Observed ratios are clamped to this factor in both directions."""
 
 MIN_FIRST_TOKEN_S = 0.02
-"""Least predicted time to first token: the network and one step of the engine."""
+"""Minimum predicted time to first token: the network and one engine step."""
 
 DEFAULT_TOKEN_S = 0.01
-"""Time of an answer over the most tokens that its caller asked for, before any was
-observed: 40 ms a token, and a quarter of what may be asked for."""
+"""Initial value of answer time over `max_tokens`: 40 ms per token, with a quarter of
+`max_tokens` generated."""
 
 DEFAULT_ANSWER_S = 5.0
-"""Mean time of an answer before any was observed."""
+"""Initial value of the mean answer time."""
 
 MAX_ANSWER_RATIO = 2.0
-"""Answers are not expected to take longer than this many mean ones: callers ask for
-thousands of tokens to be on the safe side and get a hundred."""
+"""Predicted answer times are capped at this multiple of the mean: callers set
+`max_tokens` to thousands as a precaution and get a hundred tokens."""
 
 DEFAULT_BLOCKING = 0.3
-"""Part of a long prefill that a short prompt is first thought to wait for."""
+"""Initial estimate of the part of a long prefill that a short prompt waits for."""
 
 MIN_LONG_AHEAD_S = 0.5
-"""Long work ahead from which an observation tells how much of it blocks."""
+"""Long work ahead from which an observation updates the blocking estimate."""
 
 
 @dataclass(slots=True)
 class AttemptPrediction:
-    """What was predicted for an attempt when it was sent.
+    """The prediction that was made when an attempt was sent.
 
     Attributes
     ----------
     plain_s : float
-        Before the learned factors.
+        Predicted time to first token without the learned factors.
     long_ahead_s : float
-        Work of long prompts that was ahead of a short one.
+        Work of long prompts ahead of a short one.
     """
 
     endpoint: EndpointId
@@ -73,19 +73,19 @@
 
 @dataclass(slots=True)
 class ModelEstimates:
-    """What has been learned of one model.
+    """Learned estimates of one model.
 
     Attributes
     ----------
     factors : dict of int to float
-        Logarithm of observed over plain prediction, by `band_of`.
+        Logarithm of observed over plainly predicted time, by `band_of`.
     blocking : float
         Part of the long work ahead that a short prompt waits for: near 0 for
         engines that interrupt a prefill, near 1 for others.
     token_s : float
-        Time of an answer over the most tokens that its caller asked for.
+        Answer time over the `max_tokens` of the request.
     answer_s : float
-        Mean time of an answer.
+        Mean answer time.
     """
 
     factors: dict[int, float] = field(default_factory=dict)
@@ -96,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Quote:
-    """A request's own part of a prediction, the same at all endpoints.
+    """The part of a request's prediction that is the same at all endpoints.
 
     Attributes
     ----------
     long_part : float
         Part of the long work ahead that it waits for.
     factor : float
-        Learned for its model and length.
+        Learned correction for its model and length.
     """
 
     prompt_tokens: int
@@ -112,14 +112,14 @@
     now_s: float
 
     def plain_s(self, load: EngineLoad, cached: int) -> float:
-        """Return the first token's time by work ahead and prefill alone."""
+        """Return the time to first token from work ahead and prefill alone."""
         short, long = load.levels(self.now_s)
         work = short + long * self.long_part + self.prompt_tokens - cached
         return MIN_FIRST_TOKEN_S + work / load.rate
 
 
 def band_of(prompt_tokens: int) -> int:
-    """Return the power of two below a prompt's length."""
+    """Return the power-of-two band of a prompt's length."""
     return max(1, prompt_tokens).bit_length()
 
 
@@ -136,7 +136,7 @@
     def __init__(self) -> None:
         self.loads: dict[EndpointId, EngineLoad] = {}
         self.slowness: dict[EndpointId, float] = {}
-        """Observed over predicted time, against the other endpoints; 1 is usual."""
+        """Observed over predicted time, relative to other endpoints; 1 is normal."""
         self.models: dict[ModelId | ServiceId, ModelEstimates] = {}
         self.expected: dict[RequestId, AttemptPrediction] = {}
         self.long_prompt_tokens = FleetPolicy().long_prompt_tokens
@@ -145,7 +145,7 @@
         self.shapes: dict[EndpointId, tuple[int, tuple[ModelId, ...]]] = {}
 
     def load_of(self, endpoint: Endpoint) -> EngineLoad:
-        """Return the load of an endpoint's present life."""
+        """Return the load of an endpoint's current incarnation."""
         load = self.loads.get(endpoint.entry.endpoint)
         incarnation = endpoint.entry.incarnation
         if load is None or load.incarnation != incarnation:
@@ -156,7 +156,7 @@
         return load
 
     def learned(self, target: ModelId | ServiceId) -> ModelEstimates:
-        """Return what is known of a model."""
+        """Return the learned estimates of a model."""
         known = self.models.get(target)
         if known is None:
             known = self.models[target] = ModelEstimates()
@@ -167,12 +167,12 @@
         return request.prompt_tokens >= self.long_prompt_tokens
 
     def exceeds_one_engine(self, request: Request) -> bool:
-        """Return whether no single engine has the memory for a request."""
+        """Return whether a request needs more memory than any single engine has."""
         needed = request.prompt_tokens + request.max_tokens
         return needed > self.largest.get(request.target, needed)
 
     def quote(self, request: Request, now_s: float) -> "Quote":
-        """Return what predicts the request's first token at any endpoint."""
+        """Return the endpoint-independent part of a request's prediction."""
         return Quote(
             prompt_tokens=request.prompt_tokens,
             long_part=1.0 if self.is_long(request) else self.blocking(request),
@@ -185,13 +185,13 @@
         return self.learned(request.target).blocking
 
     def first_token_s(self, quote: "Quote", endpoint: Endpoint, cached: int) -> float:
-        """Return the time until the first token if it were sent there now."""
+        """Return the predicted time to first token at an endpoint."""
         slowness = self.slowness.get(endpoint.entry.endpoint, 1.0)
         plain_s = quote.plain_s(self.load_of(endpoint), cached)
         return plain_s * quote.factor * slowness
 
     def alone_s(self, request: Request, rate: float) -> float:
-        """Return the first token's time on an idle endpoint."""
+        """Return the predicted time to first token on an idle endpoint."""
         plain_s = MIN_FIRST_TOKEN_S + request.prompt_tokens / rate
         return plain_s * exp(self._factor(request))
 
@@ -214,7 +214,7 @@
     def sent(
         self, request: Request, endpoint: Endpoint, cached: int, now: timedelta
     ) -> None:
-        """Note a dispatch and what is expected of it."""
+        """Record a dispatch and its prediction."""
         now_s = now.total_seconds()
         load = self.load_of(endpoint)
         is_long = self.is_long(request)
@@ -232,7 +232,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Learn from what happens."""
+        """Update loads and estimates."""
 
     @handle.register
     def _(self, message: InstancesListed, context: Context) -> None:
@@ -244,7 +244,7 @@
         self._note_sizes(context)
 
     def _note_sizes(self, context: Context) -> None:
-        """Find the largest engine of each model; only when one has changed."""
+        """Find the largest engine of each model; called only when one has changed."""
         self.largest.clear()
         for endpoint in context.state.fleet.endpoints.values():
             report = endpoint.report
@@ -258,8 +258,7 @@
     def _(self, message: LoadReported, context: Context) -> None:
         self.long_prompt_tokens = fleet_policy(context).long_prompt_tokens
         endpoint = context.state.fleet.endpoints.get(message.report.endpoint)
-        # A report that came late was not taken over; replaying it would count
-        # requests twice.
+        # An outdated report was not stored; replaying it would count requests twice.
         if endpoint is None or endpoint.report is not message.report:
             return
         if endpoint.entry.kind is EndpointKind.MODEL_ENGINE:
--- a/src/mimosafork/policies/priorities.py
+++ b/src/mimosafork/policies/priorities.py
@@ -1,4 +1,4 @@
-"""Order in which waiting requests are taken, here and in an engine."""
+"""Priority order of queued requests, at this instance and at an engine."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -16,22 +16,22 @@
 from .prediction import Prediction, fleet_policy
 
 WORK_WEIGHT = 8.0
-"""Seconds of waiting that weigh as much as a second of predicted work, when long
-and short prompts share an endpoint evenly (``long_share`` 0.5)."""
+"""Seconds of queue wait that offset a second of predicted work, when long and short
+prompts share an endpoint evenly (``long_share`` 0.5)."""
 
 SHORT_LANE = "short"
 LONG_LANE = "long"
 GANG_LANE = "gang"
 
 MAX_WORK_S = 2.0
-"""Work beyond it does not lower a request's place any more. The longest prompts
-would otherwise wait for all long ones that come in the next minutes; among
-themselves they are better served in the order of arrival."""
+"""Work beyond this does not lower a request's rank further. The longest prompts would
+otherwise wait for all long ones that arrive in the next minutes; among themselves they
+are better served in order of arrival."""
 
 
 @register("first-come")
 class FirstCome(QueueDiscipline):
-    """Oldest first."""
+    """Ranks requests by submission time."""
 
     def rank(self, record: RequestRecord, now: timedelta) -> float:
         """Return the instant of submission in seconds."""
@@ -40,13 +40,12 @@
 
 @register("ageing-priorities")
 class AgeingPriorities(QueueDiscipline):
-    """Least work first, but each second of waiting makes up for some work.
+    """Shortest job first with ageing: queue wait offsets predicted work.
 
-    A request of `w` seconds of work that came at `t` ranks by ``t + weight * w``, with
-    `w` up to `MOST_WORK_S`. A shorter one overtakes it only if it comes within
-    ``weight`` times the difference of their work: a long prompt is passed by the
-    short ones that come soon after it, and by none that come later. Neither class can
-    starve the other.
+    A request with `w` seconds of work that arrived at `t` ranks by ``t + weight * w``,
+    with `w` up to `MAX_WORK_S`. A shorter one overtakes it only if it arrives within
+    ``weight`` times the difference of their work: short prompts overtake a long one
+    only if they arrive soon after it. Neither class can starve the other.
     """
 
     def __init__(self) -> None:
@@ -56,13 +55,13 @@
         self.work_s: dict[RequestId, float] = {}
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that the ranking queries."""
         self.prediction = find(Prediction)
         self.fair_shares = find(FairShares)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Keep up with settings and ended requests."""
+        """Apply changed settings and drop ended requests."""
 
     @handle.register
     def _(self, message: ConfigurationReceived, context: Context) -> None:
@@ -74,7 +73,7 @@
         self.work_s.pop(message.record.request_id, None)
 
     def predicted_work_s(self, record: RequestRecord) -> float:
-        """Return the request's work as first predicted, up to `MOST_WORK_S`."""
+        """Return the request's work as first predicted, up to `MAX_WORK_S`."""
         known = self.work_s.get(record.request_id)
         if known is None:
             known = 0.0
@@ -85,14 +84,14 @@
         return known
 
     def rank(self, record: RequestRecord, now: timedelta) -> float:
-        """Return the request's place; lower goes first."""
+        """Return the request's rank; lower goes first."""
         submitted_s = record.submitted_at.total_seconds()
         if self.fair_shares is not None:
             submitted_s += self.fair_shares.penalty_s(record)
         return submitted_s + self.weight * self.predicted_work_s(record)
 
     def lane(self, record: RequestRecord) -> str:
-        """Return which bounds the request has to meet."""
+        """Return the lane, which selects the bounds that apply to the request."""
         if self.prediction is None or not self.prediction.is_long(record.request):
             return SHORT_LANE
         if self.prediction.exceeds_one_engine(record.request):
@@ -106,16 +105,16 @@
         now: timedelta,
         begun_at: timedelta | None = None,
     ) -> int:
-        """Return the rank on the engine's own time, in thousandths of its reports.
+        """Return the rank in the engine's time, in thousandths of a report interval.
 
-        A long prompt counts there from its dispatch on: under overload they wait here
-        for so long that each would go before all short ones at its engine.
+        A long prompt ages there from its dispatch on: under overload long prompts
+        queue here so long that each would go before all short ones at its engine.
 
         Parameters
         ----------
         begun_at : timedelta, optional
-            Instant at which an engine began with an earlier part of the request. It
-            has been passed by short ones there.
+            Instant at which an engine began with an earlier part of the request,
+            which short prompts have already overtaken there.
         """
         if self.prediction is None:
             return 0
--- a/src/mimosafork/policies/retry.py
+++ b/src/mimosafork/policies/retry.py
@@ -1,4 +1,4 @@
-"""What follows a failed attempt."""
+"""Decides whether and when a failed attempt is retried."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -25,29 +25,30 @@
 BASE_BACKOFF = timedelta(milliseconds=50)
 MAX_BACKOFF = timedelta(seconds=2)
 MIN_BACKOFF = timedelta(milliseconds=1)
-"""Above zero, so that plug-ins have seen the failure before the next attempt."""
+"""Above zero, so that plug-ins process the failure before the next attempt."""
 
 RETRY_AFTER = timedelta(seconds=2)
 RESERVE = 20.0
-"""Further attempts that a target may have at once: one endpoint's requests."""
+"""Retries that a target may have in a burst: one endpoint's in-flight requests."""
 
 REFILL_PER_S = 0.2
-"""Paid in by time, so that a target with few requests is not left without."""
+"""Refill over time, so that a target with few requests still has some budget."""
 
 ATTEMPTS_PER_RUN = 3
-"""Attempts that only attach to a stream, and so run nothing, are not counted, but
-they are not endless either."""
+"""Bounds attempts that only attach to a running stream. They start no run and so do
+not count as runs."""
 
 REDIRECTING = frozenset({"draining", "role", "unknown-model"})
-"""Refusals that say "not here" rather than "not now"; they cost no engine work."""
+"""Refusals that redirect to another endpoint rather than report overload; they cost no
+engine work."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Token bucket of further attempts for one target.
+    """Token bucket of retries for one target.
 
-    Answered requests pay in, further attempts take out. A target that answers
-    nothing pays in nothing, so a storm of retries can't feed itself.
+    Answered requests deposit, retries withdraw. A target that answers nothing
+    deposits nothing, so a retry storm can't sustain itself.
     """
 
     tokens: float = RESERVE
@@ -55,11 +56,11 @@
     refilled_at: timedelta = timedelta(0)
 
     def deposit(self, share: float) -> None:
-        """Pay in for one request that has got its first token."""
+        """Deposit for one request that has received its first token."""
         self.tokens = min(self.reserve, self.tokens + share)
 
     def withdraw(self, now: timedelta) -> bool:
-        """Take out one further attempt; return whether there was one."""
+        """Withdraw one retry; return whether the budget allowed it."""
         waited_s = (now - self.refilled_at).total_seconds()
         self.tokens = min(self.reserve, self.tokens + waited_s * REFILL_PER_S)
         self.refilled_at = now
@@ -71,12 +72,12 @@
 
 @register("bounded-retry")
 class BoundedRetry(RetryPolicy):
-    """Retries what may safely run again, within a budget and the time left.
+    """Retries requests that may safely run again, within a budget and the deadline.
 
     Without the budget, a zone that is slow for half a minute stays down: each
-    request comes three times, the queues stay longer than the stall timeout, and
-    the work done is thrown away. It shows as timeouts at full load long after the
-    cause is gone. The budget holds because it is paid in by answers only.
+    request is sent three times, queue wait stays above the stall timeout, and the
+    work done is discarded. The symptom is timeouts at full load long after the cause
+    has ended. The budget prevents this because retries are mainly funded by answers.
     """
 
     def __init__(self) -> None:
@@ -84,12 +85,12 @@
         self.attach: AttachToRun | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the placer that knows whether an attempt would run nothing."""
+        """Look up the placer that knows whether an attempt would only attach."""
         self.attach = find(AttachToRun)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Pay in for requests that are being answered."""
+        """Deposit into the budget for requests that are being answered."""
 
     @handle.register
     def _(self, message: FirstToken, context: Context) -> None:
@@ -102,7 +103,7 @@
     def decide(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> RetryDecision:
-        """Return a jittered pause, or the final problem."""
+        """Return a jittered backoff, or the final problem."""
         if not self._may_run_again(record, failure, context):
             return GiveUp(Problem(ProblemCode.ENDPOINT_FAILED, failure.kind.value))
         reason = failure.refusal or failure.kind.value
@@ -133,11 +134,11 @@
     def _adds_no_load(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> bool:
-        """Return whether a further attempt adds no load to endpoints that work.
+        """Return whether a retry adds no load to working endpoints.
 
-        The budget is against work that is done again. An endpoint that redirects,
-        or that has died, did none; a crash would else let down all but the first
-        twenty of those whose answers it cut.
+        The budget limits repeated work. An endpoint that redirects or has crashed did
+        none; charging its requests would fail all but the first twenty of those that
+        a crash interrupts.
         """
         if failure.kind is FailureKind.UNREACHED or failure.refusal in REDIRECTING:
             return True
@@ -146,8 +147,8 @@
     def _can_reattach(self, record: RequestRecord, context: Context) -> bool:
         """Return whether the next attempt would only attach to a running stream.
 
-        It makes an engine do nothing again. When the connections of hundreds of
-        streams break at once, the budget would let most of their callers down.
+        Attaching repeats no engine work. When the connections of hundreds of streams
+        break at once, charging the budget would fail most of their requests.
         """
         return self.attach is not None and self.attach.can_reattach(record, context)
 
@@ -164,10 +165,10 @@
 
 
 def _backoff_after(attempts: int, context: Context) -> timedelta:
-    """Return a pause drawn from zero to a bound that doubles with each attempt.
+    """Return exponential backoff with full jitter.
 
-    The draw spreads requests that failed together; a fixed pause would bring all
-    of them back in the same moment.
+    The jitter spreads requests that failed together; a fixed delay would retry all
+    of them at the same moment.
     """
     bound = min(BASE_BACKOFF * 2 ** (attempts - 1), MAX_BACKOFF)
     return max(MIN_BACKOFF, bound * context.random.random())
--- a/src/mimosafork/policies/routing.py
+++ b/src/mimosafork/policies/routing.py
@@ -1,4 +1,4 @@
-"""Choice of an endpoint for a request that fits on one engine."""
+"""Routes a request that fits on one engine to an endpoint."""
 
 from ..kernel.context import Context
 from ..kernel.messages.requests import RequestKind
@@ -23,13 +23,13 @@
 
 TIE_SHARE = 0.1
 TIE_S = 0.02
-"""Scores within this of the best are taken for equal, and two of them drawn. All
-instances see the same old reports: if each took the very best, all would."""
+"""Scores within this distance of the best count as ties, and two of them are sampled.
+All instances see the same delayed reports and would else pick the same endpoint."""
 
 
 @register("predicted-first-token")
 class PredictedFirstToken(Placer):
-    """Sends a request where its first token is expected soonest."""
+    """Sends a request to the endpoint with the earliest predicted first token."""
 
     order = 90
 
@@ -40,14 +40,14 @@
         self.deadlines: DeadlineCheck | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that routing queries."""
         self.scores = find(FirstTokenScores) or self.scores
         self.priorities = find(AgeingPriorities)
         self.bounds = find(EngineBounds)
         self.deadlines = find(DeadlineCheck)
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return the endpoint, wait for room, or give up."""
+        """Return the endpoint, wait for capacity, or refuse."""
         if record.request.kind is RequestKind.SERVICE:
             return NotApplicable()
         candidates = self.scores.find(record, context)
@@ -55,8 +55,8 @@
             return self._without_endpoint(record, context)
         free = self._with_room(record, candidates, context)
         if not free:
-            # Scoring all endpoints for nothing, at each tick and for each waiting
-            # request, is what a decision would cost most under overload.
+            # Skip scoring: done in vain for each queued request at each tick, it
+            # would dominate the cost of decisions under overload.
             return self._late(record, 0.0, context) or Wait("no-room")
         scored = self.scores.score(record, free, context)
         late = self._late(record, scored[0].score_s, context)
@@ -77,7 +77,7 @@
         return self.deadlines.late(record, first_token_s, context)
 
     def _draw(self, scored: list[Scored], context: Context) -> Scored:
-        """Return the better of two endpoints drawn among the close scores."""
+        """Return the better of two endpoints sampled among near-ties."""
         limit_s = scored[0].score_s * (1 + TIE_SHARE) + TIE_S
         close = [each for each in scored if each.score_s <= limit_s]
         if len(close) <= 1:
--- a/src/mimosafork/policies/scoring.py
+++ b/src/mimosafork/policies/scoring.py
@@ -1,4 +1,4 @@
-"""Predicted first token at the endpoints that might take a request."""
+"""Scores candidate endpoints by predicted time to first token."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -14,19 +14,19 @@
 from .prediction import Prediction
 
 CROSS_ZONE_PENALTY_S = 0.005
-"""Predicted gain that is worth leaving the own availability zone."""
+"""Penalty for endpoints outside this instance's availability zone."""
 
 FLEET_RATE_TTL = timedelta(milliseconds=500)
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint that might take a request.
+    """An endpoint that a request may be sent to.
 
     Attributes
     ----------
     cached : int
-        Prompt tokens that it has probably cached.
+        Prompt tokens that are probably in its cache.
     """
 
     endpoint: Endpoint
@@ -40,7 +40,7 @@
     Attributes
     ----------
     cached : int
-        Prompt tokens that it has probably cached.
+        Prompt tokens that are probably in its cache.
     """
 
     endpoint: Endpoint
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetRate:
-    """Prompt tokens a second of all endpoints that serve a target."""
+    """Prompt tokens per second of all endpoints that serve a target."""
 
     tokens_per_s: float
     endpoints: int
@@ -68,12 +68,12 @@
         self.rates: dict[ModelId | ServiceId, FleetRate] = {}
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that scoring queries."""
         self.prediction = find(Prediction) or self.prediction
         self.affinity = find(PrefixAffinity)
 
     def find(self, record: RequestRecord, context: Context) -> list[Candidate]:
-        """Return endpoints that take new work and have not failed the request."""
+        """Return available endpoints, if possible none that failed the request."""
         request = record.request
         holders: dict[EndpointId, int] = {}
         if self.affinity is not None:
@@ -88,7 +88,7 @@
     def score(
         self, record: RequestRecord, candidates: list[Candidate], context: Context
     ) -> list[Scored]:
-        """Return candidates with their scores, the soonest first token first."""
+        """Return candidates with their scores, the earliest first token first."""
         prediction = self.prediction
         quote = prediction.quote(record.request, context.now.total_seconds())
         own_zone = context.state.identity.availability_zone
@@ -103,7 +103,7 @@
         return scored
 
     def fleet_rate(self, target: ModelId | ServiceId, context: Context) -> FleetRate:
-        """Return the speed of all endpoints together, as of a moment ago."""
+        """Return the total prefill rate of a target's endpoints, cached briefly."""
         known = self.rates.get(target)
         if known is None or context.now - known.at > FLEET_RATE_TTL:
             serving = list(context.state.fleet.serving(target))
--- a/src/mimosafork/policies/services.py
+++ b/src/mimosafork/policies/services.py
@@ -1,4 +1,4 @@
-"""Choice of a plain service's replica."""
+"""Routes calls of plain services to replicas."""
 
 from ..kernel.context import Context
 from ..kernel.fleet import Endpoint
@@ -21,11 +21,11 @@
 
 @register("service-routing")
 class ServiceRouting(Placer):
-    """Sends a call to the better of two replicas drawn at random.
+    """Sends a call to the less loaded of two replicas sampled at random.
 
-    The one with fewer calls of this instance wins, then the one with fewer reported
-    ones, then one of the own availability zone. Calls are short, so that what is
-    under way here says more than a report half a second old.
+    Fewer in-flight calls of this instance win, then fewer reported calls, then this
+    instance's availability zone. Calls are short, so this instance's in-flight calls
+    are more accurate than a report half a second old.
     """
 
     order = 80
@@ -35,11 +35,11 @@
         self.deadlines = DeadlineCheck()
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the check of deadlines."""
+        """Look up the deadline check."""
         self.deadlines = find(DeadlineCheck) or self.deadlines
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return the replica, or wait if there is none."""
+        """Return the replica, or wait if none is available."""
         if record.request.kind is not RequestKind.SERVICE:
             return NotApplicable()
         found = self.candidates.select(record.request.target, (), context)
