--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's core in virtual time."""
+"""The core of the engine stand-in in virtual time."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -15,7 +15,7 @@
 
 @dataclass
 class VirtualEngine:
-    """An engine core with its own time and a record of what its streams did."""
+    """An engine core with its own clock and a record of its stream events."""
 
     settings: EngineSettings
     now_s: float = 0.0
@@ -28,7 +28,7 @@
         self.records.append((stream.id, event, detail))
 
     def start(self, stream_id: str, prompt_tokens: int = 1, **members: Any) -> Stream:
-        """Start a stream with a prompt of so many tokens and let it settle."""
+        """Start a stream with a prompt of the given length and advance the core."""
         prompt = members.pop("prompt", None) or unlike_prompt(stream_id, prompt_tokens)
         start = StreamStart(
             stream_id=stream_id,
@@ -45,7 +45,7 @@
         return stream
 
     def run_until(self, at_s: float) -> None:
-        """Move time forward, from one instant that is due to the next."""
+        """Advance time to an instant, processing each due event on the way."""
         while True:
             due_s = self.core.advance(self.now_s)
             if due_s is None or due_s > at_s:
@@ -55,21 +55,21 @@
         self.core.advance(at_s)
 
     def run_for(self, seconds: float) -> None:
-        """Move time forward by some seconds."""
+        """Advance time by a number of seconds."""
         self.run_until(self.now_s + seconds)
 
     def started(self) -> list[str]:
-        """List the streams that entered the batch, in that order."""
+        """List the streams that entered the batch, in order of entry."""
         return [name for name, event, _ in self.records if event == "started"]
 
     @property
     def total(self) -> int:
-        """Tokens of memory that are taken, evictable ones included."""
+        """Tokens of memory in use, evictable ones included."""
         return self.core.memory.held + self.core.cache.tokens
 
 
 def unlike_prompt(name: str, tokens: int) -> str:
-    """Return a prompt of so many tokens that shares no prefix with others."""
+    """Return a prompt of the given length that shares no prefix with others."""
     size = tokens * BYTES_PER_TOKEN
     return (name + "." * size)[:size] if size > len(name) else name[:size]
 
--- a/tests/support/gang_engines.py
+++ b/tests/support/gang_engines.py
@@ -1,4 +1,4 @@
-"""Engines that answer a kernel's gang effects and keep count of what they hold."""
+"""Engines that answer a kernel's gang effects and track their holdings."""
 
 from collections.abc import Iterable
 from functools import singledispatchmethod
@@ -22,18 +22,18 @@
 
 
 class GangEngines:
-    """Answers at once, unless a kind of effect is held back.
+    """Answers effects at once, except for kinds that are held back.
 
     Attributes
     ----------
     held : dict of str to int
         Memory by holding id, of all engines together.
     by_engine : dict of str to dict
-        The same by engine.
+        Memory by holding id, by engine.
     held_back : list of Effect
         Effects of the kinds in `holding_back`, not answered.
     failing : dict of type to GangStepFailure
-        Kinds of effects that are answered by a failure.
+        Kinds of effects that are answered with a failure.
     """
 
     def __init__(self, bench: Bench, capacity: int = 400_000) -> None:
@@ -56,7 +56,7 @@
         }
 
     def serve(self, effects: Iterable[Effect]) -> None:
-        """Answer effects and all that comes of the answers."""
+        """Answer effects, and the effects that follow from the answers."""
         waiting = list(effects)
         while waiting:
             effect = waiting.pop(0)
@@ -67,14 +67,14 @@
                 waiting += self.bench.handle(message)
 
     def release_one(self) -> Effect:
-        """Answer the oldest effect that was held back."""
+        """Answer the oldest effect that is held back."""
         effect = self.held_back.pop(0)
         for message in self.answer(effect):
             self.serve(self.bench.handle(message))
         return effect
 
     def hold(self, engine: str, name: str, tokens: int) -> bool:
-        """Take memory; return whether it was there."""
+        """Allocate memory; return whether enough was free."""
         holdings = self.by_engine.setdefault(engine, {})
         if sum(holdings.values()) + tokens > self.capacity:
             return False
@@ -86,7 +86,7 @@
 
     @singledispatchmethod
     def answer(self, effect: Effect) -> list[Message]:
-        """Return what an engine answers; nothing to effects that don't concern it."""
+        """Return an engine's answers; none to effects that don't concern it."""
         return []
 
     @answer.register
@@ -128,7 +128,7 @@
 
     @answer.register
     def _(self, effect: Dispatch) -> list[Message]:
-        """Take over reservation and imports; a stream frees them at its end."""
+        """Consume reservation and imports; the stream frees them when it ends."""
         holdings = self.by_engine.setdefault(effect.endpoint, {})
         for name in [*effect.imports, *filter(None, [effect.reservation])]:
             holdings.pop(name, None)
--- a/tests/support/limits.py
+++ b/tests/support/limits.py
@@ -1,4 +1,4 @@
-"""Entry instances that hold client accounts to their limits, in virtual time."""
+"""Simulation of entry instances that enforce account limits, in virtual time."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -48,16 +48,16 @@
 
 @dataclass
 class LimitSimulation:
-    """Instances in zones, words between them that take time, and one account.
+    """Instances in zones, delayed messages between them, and one account.
 
     Attributes
     ----------
     granted : Counter of str
-        Tokens that each instance let through.
-    parted : bool
-        Zones do not hear of each other.
-    alone : str
-        Instance that hears nobody and is heard by nobody.
+        Tokens that each instance granted.
+    partitioned : bool
+        Zones receive no messages from each other.
+    isolated : str
+        Instance that neither sends messages to others nor receives any.
     largest_sum : float
         Largest sum of the instances' rates, over the limit.
     """
@@ -94,18 +94,18 @@
         self.send_members()
 
     def reaches(self, name: str, other: str) -> bool:
-        """Return whether words of one instance come to another."""
+        """Return whether messages pass between two instances."""
         if self.isolated in (name, other):
             return name == other
         return not self.partitioned or self.zone_of[name] == self.zone_of[other]
 
     def partition(self, partitioned: bool = False, isolated: str = "") -> None:
-        """Change which instances hear of each other."""
+        """Change which instances can reach each other."""
         self.partitioned, self.isolated = partitioned, isolated
         self.send_members()
 
     def send_members(self) -> None:
-        """Tell each instance whom it hears."""
+        """Send each instance the list of its members and silent zones."""
         for name, kernel in self.kernels.items():
             zone = self.zone_of[name]
             near = [each for each, home in self.zone_of.items() if home == zone]
@@ -127,7 +127,7 @@
         return Member(*identity, "10.0.0.1:1", state, Revision(1))
 
     def run(self, seconds: float, demand: Mapping[str, float]) -> int:
-        """Let callers ask at these requests a second; return the tokens granted."""
+        """Send requests at these rates per second; return the tokens granted."""
         before = self.granted.total()
         owed = dict.fromkeys(demand, 0.0)
         for step in range(int(seconds / STEP.total_seconds())):
@@ -152,7 +152,7 @@
         ends = [each for each in effects if isinstance(each, Conclude)]
         if not ends:
             self.granted[name] += tokens
-            # Nothing serves them here; trying them at each tick only takes time.
+            # No endpoint serves them; placing them at each tick only costs time.
             self.kernels[name].state.waiting.by_target.clear()
             return None
         (end,) = ends
@@ -167,7 +167,7 @@
             self._take(name, self.kernels[name].handle(message))
 
     def _take(self, name: str, effects: Iterable[Effect]) -> None:
-        """Send published values on their way, each with a delay of its own."""
+        """Queue published values for delivery, each with its own delay."""
         for effect in effects:
             if not isinstance(effect, Publish):
                 continue
@@ -211,7 +211,7 @@
 
 
 def entry_instance(name: str, zone: str) -> EntryInstance:
-    """Return an entry instance as the platform lists it."""
+    """Return an entry instance as listed by the platform."""
     return EntryInstance(
         instance=InstanceId(name),
         address="10.0.0.1:2",
--- a/tests/support/storm.py
+++ b/tests/support/storm.py
@@ -1,8 +1,8 @@
-"""Several kernels and a few small engines in virtual time, for tests of overload.
+"""Simulation of kernels and small engines under overload, in virtual time.
 
-An engine serves a bounded number of requests at once and the rest in order of
-arrival. An attempt without an answer after `STALL_TIMEOUT` is given up, as the
-data path does, and its work so far is lost.
+An engine serves a bounded number of requests concurrently and queues the rest in
+order of arrival. As in the data path, an attempt without an answer after
+`STALL_TIMEOUT_S` is given up, and its work so far is lost.
 """
 
 import heapq
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class SmallEngine:
-    """A bounded number of requests at once, the rest in order of arrival."""
+    """An engine with a bounded number of slots and a FIFO queue."""
 
     entry: EndpointEntry
     busy: int = 0
@@ -85,15 +85,15 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What happened to the requests of a run.
+    """Outcomes of the requests of a run.
 
     Attributes
     ----------
     submitted_at_s : dict of RequestId to float
     failed_s : list of float
-        When each failed request had been submitted.
+        Submission times of the failed requests.
     answered_s, further_attempts_s : list of float
-        When a request was answered, when a further attempt was sent.
+        Times of answers and of retries.
     """
 
     submitted_at_s: dict[RequestId, float] = field(default_factory=dict)
@@ -110,8 +110,8 @@
     fleet : FleetPolicy
     kernels, engines : int
     seed : int
-    more_plugins : sequence of Plugin
-        Beside those of `PLUGINS`; shared by all kernels.
+    extra_plugins : sequence of Plugin
+        In addition to `PLUGINS`; shared by all kernels.
     """
 
     def __init__(
@@ -143,7 +143,7 @@
 
     @property
     def capacity_per_s(self) -> float:
-        """Requests a second that all engines serve when nothing is wrong."""
+        """Requests per second that all engines serve without faults."""
         return len(self.engines) * SLOTS / SERVICE_S
 
     def _kernel(self, fleet: FleetPolicy, number: int) -> Kernel:
@@ -162,7 +162,7 @@
         return kernel
 
     def at(self, instant_s: float, action: Callable[[], None]) -> None:
-        """Have something done at an instant."""
+        """Schedule an action at an instant."""
         heapq.heappush(self.events, (instant_s, next(self.tie_breaker), action))
 
     def run_until(self, end_s: float) -> None:
@@ -173,7 +173,7 @@
             action()
 
     def offer(self, rate_per_s: float, end_s: float) -> None:
-        """Submit requests at random instants until an end; also start ticks."""
+        """Submit requests at random instants until an end, and start the ticks."""
         instant_s = 0.0
         for number in count():
             instant_s += self.random.expovariate(rate_per_s)
@@ -197,7 +197,7 @@
         self.deliver(self.kernels[number % len(self.kernels)], Submit(submitted))
 
     def deliver(self, kernel: Kernel, message: Message) -> None:
-        """Hand a kernel a message and carry out its effects."""
+        """Deliver a message to a kernel and carry out its effects."""
         for effect in kernel.handle(message):
             if isinstance(effect, WakeAt):
                 wake = partial(self.deliver, kernel, effect.message)
--- a/tests/support/streaming_clients.py
+++ b/tests/support/streaming_clients.py
@@ -1,4 +1,4 @@
-"""Callers that stream side by side."""
+"""Clients that stream concurrently."""
 
 import threading
 from dataclasses import dataclass, field
@@ -11,13 +11,13 @@
 
 
 def prompt_of(number: int) -> str:
-    """Return what a caller of a crowd asks."""
+    """Return the prompt of a client."""
     return f"letter {number}"
 
 
 @dataclass
 class StreamingClients:
-    """Callers that stream side by side."""
+    """Clients that stream concurrently."""
 
     client: Client
     headers: dict[str, str] = field(default_factory=dict)
@@ -26,7 +26,7 @@
     begun: threading.Semaphore = field(default_factory=lambda: threading.Semaphore(0))
 
     def add(self, count: int) -> None:
-        """Start callers and return when each has got its first token."""
+        """Start clients and return when each has received its first token."""
         for _ in range(count):
             thread = threading.Thread(target=self.stream, args=(len(self.threads),))
             self.threads.append(thread)
@@ -50,7 +50,7 @@
         self.streams.append(streamed)
 
     def check_whole(self) -> None:
-        """Check that every caller read its own answer, each token once."""
+        """Check that every client read its own answer, each token once."""
         for streamed in self.finish():
             assert streamed.status == 200 and streamed.done, streamed
             expected = expected_answer(prompt_of(streamed.number), TOKENS)
@@ -58,7 +58,7 @@
             assert streamed.offsets == list(range(1, TOKENS + 1)), streamed
 
     def finish(self) -> list[StreamedText]:
-        """Wait until all have ended and return what they read."""
+        """Wait until all streams have ended and return them."""
         for thread in self.threads:
             thread.join(30)
         assert len(self.streams) == len(self.threads)
--- a/tests/unit/policies/test_bounds.py
+++ b/tests/unit/policies/test_bounds.py
@@ -1,4 +1,4 @@
-"""What may wait at an engine, and how much of it long prompts may hold."""
+"""Bounds of an engine's backlog and of the part that long prompts may hold."""
 
 from datetime import timedelta
 
@@ -33,10 +33,10 @@
 
 
 def test_long_prompts_together_keep_to_their_share() -> None:
-    """Short requests stand before full memory, however high their priority.
+    """Long prompts fill an engine's memory, and short requests can't start.
 
-    Two dossiers together would take three quarters of the engine. The second one
-    waits until the first is done; one alone may take more than the share.
+    Two long prompts together would take three quarters of the memory. The second one
+    waits until the first is done; a single one may take more than the share.
     """
     settings = configuration(FleetPolicy(long_share=0.5))
     with policy_kernel(BOUNDED, ONE, settings) as bench:
@@ -56,7 +56,7 @@
         assert len(bench.dispatches("third")) == 1
 
 
-def test_long_prefill_that_waits_keeps_a_further_one_here() -> None:
+def test_long_prompt_is_queued_while_long_prefill_waits_at_the_engine() -> None:
     with policy_kernel(BOUNDED, ONE) as bench:
         bench.report("e1", waiting_prefill_tokens=150_000, kv_used=10_000)
         bench.submit(model_request("long", 100_000, MINUTES))
@@ -66,7 +66,7 @@
         assert len(bench.dispatches("long")) == 1
 
 
-def test_short_backlog_is_kept_here() -> None:
+def test_short_backlog_beyond_the_bound_is_queued() -> None:
     with policy_kernel(BOUNDED, ONE) as bench:
         for number in range(40):
             bench.submit(model_request(f"r{number}", 3_000))
--- a/tests/unit/policies/test_deadlines.py
+++ b/tests/unit/policies/test_deadlines.py
@@ -1,4 +1,4 @@
-"""What can't finish in time is refused at once, with an honest time to return."""
+"""Requests that can't meet their deadline are refused at once, with a retry delay."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
 
 
 def refused(bench: Bench, name: str) -> Problem:
-    """Return the problem of a request that must have been refused as not run."""
+    """Return the problem of a request; check that it was refused as not run."""
     conclusion = bench.conclusion(name)
     assert conclusion is not None
     assert conclusion.outcome is Outcome.NOT_RUN
@@ -23,13 +23,13 @@
     return conclusion.problem
 
 
-def test_request_with_time_enough_is_let_in() -> None:
+def test_request_with_enough_time_is_admitted() -> None:
     with policy_kernel(ADMITTED, TWO) as bench:
         bench.submit(model_request("r", 3_000, timedelta(seconds=10)))
         assert len(bench.dispatches("r")) == 1
 
 
-def test_request_that_no_idle_engine_could_finish_has_no_time_to_return() -> None:
+def test_request_that_no_idle_engine_could_finish_gets_no_retry_delay() -> None:
     with policy_kernel(ADMITTED, TWO) as bench:
         bench.submit(model_request("r", 300_000, timedelta(seconds=5)))
         problem = refused(bench, "r")
@@ -37,11 +37,11 @@
         assert problem.retry_after is None
 
 
-def test_backlog_refuses_at_once_and_says_when_it_will_be_gone() -> None:
-    """A clerk waits half a minute for an answer that could never come in time.
+def test_backlog_refuses_at_once_with_the_time_until_it_is_processed() -> None:
+    """A caller waits half a minute for an answer that can't be in time.
 
-    Both engines have a minute of work. The refusal comes with the submission, and
-    its time to return is about what the backlog lacks.
+    Both engines have a minute of work. The request is refused on submission, and the
+    retry delay is about the time by which the backlog exceeds the deadline.
     """
     with policy_kernel(ADMITTED, TWO) as bench:
         for each in ("e1", "e2"):
@@ -75,8 +75,8 @@
 def test_waiting_request_is_given_up_before_its_deadline() -> None:
     """The final answer comes only when the deadline has passed.
 
-    The engine stays full. As soon as what is left is less than the prefill and the
-    answer take, waiting longer is of no use.
+    The engine stays full. Once the remaining time is less than prefill and answer
+    take, the request is refused without waiting longer.
     """
     with policy_kernel(ADMITTED, [engine_entry("e1")]) as bench:
         bench.report("e1", kv_used=399_900)
@@ -92,7 +92,7 @@
         assert refused(bench, "r").code is ProblemCode.DEADLINE_UNREACHABLE
 
 
-def test_answers_time_is_learned_and_counts() -> None:
+def test_observed_answer_time_is_part_of_the_prediction() -> None:
     with policy_kernel(ADMITTED, TWO) as bench:
         for number in range(80):
             name = f"r{number}"
@@ -109,11 +109,11 @@
         assert problem.code is ProblemCode.DEADLINE_UNREACHABLE
 
 
-def test_caller_that_asks_for_many_tokens_is_let_in() -> None:
+def test_request_with_high_max_tokens_is_admitted() -> None:
     """Every call of a client that sets a high `max_tokens` is refused.
 
-    It asks for 8192 tokens, gets a hundred as everybody does, and gives the usual
-    two minutes. Taken at its word, the answer could not be finished in time.
+    It requests 8192 tokens with the usual deadline of two minutes, and gets about a
+    hundred tokens. An answer of 8192 tokens could not be finished in time.
     """
     with policy_kernel(ADMITTED, TWO) as bench:
         asked = timedelta(minutes=2)
--- a/tests/unit/policies/test_ejection.py
+++ b/tests/unit/policies/test_ejection.py
@@ -1,4 +1,4 @@
-"""Endpoints that answer, but far more slowly than their like."""
+"""Ejection of endpoints that answer far more slowly than their peers."""
 
 from datetime import timedelta
 
@@ -27,12 +27,12 @@
 
 
 class Load:
-    """Requests that run at endpoints of which some are slow.
+    """Requests at endpoints of which some are slow.
 
     Parameters
     ----------
     first_s, gap_s : dict of str to float
-        Seconds to the first token and between tokens, where they are not usual.
+        Seconds to the first token and between tokens, where not the default.
     """
 
     def __init__(
@@ -47,14 +47,14 @@
         self.number = 0
 
     def round(self, times: int) -> None:
-        """Run one request at each endpoint that takes new work, several times."""
+        """Run one request at each endpoint that accepts requests, several times."""
         for _ in range(times):
             for name in self.in_use():
                 self.run_one(name)
             self.bench.handle_after(timedelta(seconds=1), Tick())
 
     def in_use(self) -> list[str]:
-        """Return the endpoints that take new work."""
+        """Return the endpoints that accept new requests."""
         now = self.bench.clock.monotonic()
         all_of_them = endpoints_of(self.bench)
         return [
@@ -86,16 +86,16 @@
 
 
 def endpoints_of(bench: Bench) -> dict[EndpointId, Endpoint]:
-    """Return what the kernel knows of the endpoints."""
+    """Return the kernel's state of the endpoints."""
     return bench.kernel.state.fleet.endpoints
 
 
-def test_slow_to_begin_is_ejected_and_comes_back_on_trial() -> None:
-    """One engine's card fails: its callers wait ten times as long for a first word.
+def test_slow_first_token_is_ejected_and_returns_on_probation() -> None:
+    """One engine's card fails: its first tokens take ten times as long.
 
-    It answers probes in time and reports no load, so it gets its part of the work.
-    After its pause it has to show itself, and is ejected again at once if it is as
-    slow as before, for twice as long.
+    It answers probes in time and reports no load, so it gets its part of the requests.
+    After its ejection time it is used again, and is ejected for twice as long after
+    few requests if it is still slow.
     """
     with policy_kernel(PLUGINS, [engine_entry(name) for name in NAMES]) as bench:
         load = Load(bench, first_s={"e3": 10 * USUAL_S})
@@ -118,7 +118,7 @@
 
 
 def test_slow_between_tokens_is_ejected() -> None:
-    """One engine begins in time and then writes a word a second."""
+    """One engine's first tokens are in time, but its further tokens are slow."""
     with policy_kernel(PLUGINS, [engine_entry(name) for name in NAMES]) as bench:
         load = Load(bench, gap_s={"e5": 0.2})
         load.round(8)
@@ -126,7 +126,7 @@
 
 
 def test_no_more_than_the_share_is_ejected() -> None:
-    """Three of eight engines are slow, and the other five drown in their work."""
+    """Three of eight engines are slow; ejecting all of them overloads the others."""
     slow = dict.fromkeys(("e1", "e2", "e3"), 10 * USUAL_S)
     for share, ejected in ((0.3, 2), (0.1, 0)):
         settings = configuration(FleetPolicy(ejected_share=share))
@@ -141,7 +141,7 @@
 
 
 def test_only_endpoint_of_a_model_is_never_ejected() -> None:
-    """A slow engine is taken away for one model, and another has nobody left.
+    """A slow engine is ejected for one model, and another model has no engine left.
 
     It is one of eight that serve the first model and the only one of the second.
     """
@@ -154,16 +154,16 @@
         assert set(NAMES) - set(load.in_use()) == {"e4"}
 
 
-def test_all_slow_together_are_left_alone() -> None:
-    """A rush makes every engine slow, and a third of them is taken away as well."""
+def test_no_endpoint_is_ejected_when_all_are_slow() -> None:
+    """A load peak makes every engine slow, and a third of them is ejected as well."""
     with policy_kernel(PLUGINS, [engine_entry(name) for name in NAMES]) as bench:
         load = Load(bench, first_s=dict.fromkeys(NAMES, 10 * USUAL_S))
         load.round(10)
         assert len(load.in_use()) == len(NAMES)
 
 
-def test_restarted_endpoint_begins_without_its_past() -> None:
-    """An operator restarts the slow engine, and it stays out for five minutes."""
+def test_restart_ends_an_ejection() -> None:
+    """An operator restarts the slow engine, but it stays ejected for five minutes."""
     with policy_kernel(PLUGINS, [engine_entry(name) for name in NAMES]) as bench:
         load = Load(bench, first_s={"e3": 10 * USUAL_S})
         load.round(8)
--- a/tests/unit/policies/test_engine_load.py
+++ b/tests/unit/policies/test_engine_load.py
@@ -1,4 +1,4 @@
-"""Work of an engine, estimated between its reports."""
+"""Estimate of an engine's load between its reports."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
 
 
 def reported(sequence: int, at_s: float, waiting: int = 0, memory: int = 0) -> Endpoint:
-    """Return an engine with a report that describes an instant."""
+    """Return an engine with a report of its state at an instant."""
     report = replace(
         load_report("e1", sequence), waiting_prefill_tokens=waiting, kv_used=memory
     )
@@ -31,8 +31,8 @@
 def test_own_dispatches_since_the_report_count() -> None:
     """All requests of half a second go to the engine that looked idle.
 
-    The report is 0.4 s old. What was sent before it is in its figures; what was
-    sent after has to be added, or the engine still looks idle.
+    Requests sent before the report are included in it. Those sent after it have to be
+    added, or the engine still looks idle.
     """
     load = EngineLoad(Incarnation(1))
     load.send(RequestId("before"), short(0.5, 9_000))
@@ -51,7 +51,7 @@
     assert load.levels(10.0) == (3_000.0, 0.0)
 
 
-def test_short_work_is_taken_to_go_first() -> None:
+def test_short_work_is_drained_first() -> None:
     load = EngineLoad(Incarnation(1))
     load.send(RequestId("long"), SentRequest(0.0, 100_000, 100_100, is_long=True))
     load.send(RequestId("short"), short(0.0, 30_000))
@@ -59,18 +59,18 @@
     assert load.levels(2.0) == (0.0, 70_000.0)
 
 
-def test_waiting_work_beyond_the_short_bound_is_taken_for_long() -> None:
+def test_waiting_work_beyond_the_short_bound_counts_as_long() -> None:
     """Short requests avoid an engine that would serve them at once.
 
-    Another instance has a long prompt there. The report does not say so, but short
-    ones never fill so much.
+    Another instance has a long prompt there. The report does not show this, but the
+    backlog of short prompts never exceeds its bound.
     """
     load = EngineLoad(Incarnation(1))
     load.report(reported(1, at_s=0.0, waiting=200_000))
     assert load.levels(0.0) == (30_000.0, 170_000.0)
 
 
-def test_finished_request_is_forgotten_once() -> None:
+def test_finished_request_is_removed_once() -> None:
     load = EngineLoad(Incarnation(1))
     load.send(RequestId("long"), SentRequest(0.0, 100_000, 100_100, is_long=True))
     assert load.first_token(RequestId("long")) is not None
@@ -86,8 +86,8 @@
 def test_engine_clock_follows_the_report_numbers() -> None:
     """Requests of an instance whose clock is wrong always go first, or last.
 
-    Priorities are compared at the engine, so they are made from the engine's own
-    count of reports and not from any clock of ours.
+    Priorities are compared at the engine, so they are derived from the sequence numbers
+    of its reports and not from an instance's clock.
     """
     load = EngineLoad(Incarnation(1))
     for number in range(1, 200):
--- a/tests/unit/policies/test_fair_shares.py
+++ b/tests/unit/policies/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""A large account's queue and the small accounts' requests."""
+"""Fair shares of large and small accounts in the queue."""
 
 from datetime import timedelta
 
@@ -26,10 +26,10 @@
 
 
 def test_largest_account_cannot_starve_the_smallest() -> None:
-    """A parish waits behind eight dossiers of an archive that came a moment before.
+    """A small account waits behind eight slightly older requests of a large one.
 
-    All are long prompts, and only one of them runs at a time. The parish's one goes
-    next, although it came last.
+    All are long prompts, and only one of them runs at a time. The small account's
+    request goes next, although it arrived last.
     """
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
         submit_long_prompts(bench, 8)
@@ -41,7 +41,7 @@
         assert len(bench.dispatches("large1")) == 0
 
 
-def test_lone_account_loses_nothing() -> None:
+def test_sole_account_has_no_penalty() -> None:
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
         submit_long_prompts(bench, 8)
         fair_shares = bench.kernel.plugin(FairShares)
@@ -49,8 +49,8 @@
         assert {fair_shares.penalty_s(each) for each in records} == {0.0}
 
 
-def test_letters_do_not_wait_for_their_own_account_s_dossier() -> None:
-    """A parish that has one dossier read finds all its letters served last."""
+def test_short_requests_are_not_penalized_for_a_long_one_of_the_account() -> None:
+    """An account that has one long prompt running gets its short ones served last."""
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
         submit_long_prompts(bench, 1)
         bench.submit(replace(model_request("other", 1_000), account=SMALL))
@@ -59,8 +59,8 @@
         assert bench.kernel.plugin(FairShares).penalty_s(record) == 0
 
 
-def test_weight_decides_what_is_a_fair_share() -> None:
-    """The archive has paid for nine tenths of the fleet, and is treated as greedy."""
+def test_weight_sets_the_fair_share() -> None:
+    """An account with nearly all of the weight is penalized for using its share."""
     heavy = AccountPolicy(LARGE, (), 1e9, 10**9, weight=99.0)
     light = AccountPolicy(SMALL, (), 1e9, 10**9, weight=1.0)
     settings = configuration(accounts=[heavy, light])
@@ -83,7 +83,7 @@
 
 
 def end_first(bench: Bench) -> None:
-    """End the one dossier that runs, and let the engine tell that it is free."""
+    """End the one long prompt that runs, and report the engine as idle."""
     bench.handle(CallerGone(RequestId("large0")))
     bench.handle_after(timedelta(seconds=1), Tick())
     bench.report("e1")
--- a/tests/unit/policies/test_gangs.py
+++ b/tests/unit/policies/test_gangs.py
@@ -1,4 +1,4 @@
-"""Prompts beyond one engine's memory run on several, or leave nothing behind."""
+"""Gangs run prompts beyond one engine's memory and release all their holdings."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -37,13 +37,13 @@
 
 @contextmanager
 def gang_fleet() -> Iterator[tuple[Bench, GangEngines]]:
-    """Give a kernel and four engines that hold a huge prompt together."""
+    """Provide a kernel and four engines that can hold a huge prompt together."""
     with policy_kernel((*ADMITTED, "gangs"), FLEET) as bench:
         yield bench, GangEngines(bench)
 
 
 def nothing_left(bench: Bench, engines: GangEngines) -> None:
-    """Check that no engine and no plug-in holds anything any more."""
+    """Check that no engine and no plug-in holds anything for a gang."""
     assert not engines.held, engines.held
     assert not bench.kernel.plugin(GangPlacer).gangs
     loads = bench.kernel.plugin(Prediction).loads.values()
@@ -51,7 +51,7 @@
 
 
 def again(bench: Bench, engines: GangEngines, seconds: float = 2.0) -> None:
-    """Let the pause of a failed gang pass, with fresh reports."""
+    """Advance past the pause of a failed gang, with new reports."""
     bench.clock.advance(timedelta(seconds=seconds))
     for name in NAMES:
         bench.report(name)
@@ -87,7 +87,7 @@
 
 
 def test_prompt_beyond_the_fleet_is_refused_at_once() -> None:
-    """A treasurer waits for an hour for what no fleet of this size can read."""
+    """A caller waits for an hour for a prompt that does not fit into the fleet."""
     fleet = [engine_entry("e1"), engine_entry("e2")]
     with policy_kernel((*ADMITTED, "gangs"), fleet) as bench:
         bench.submit(model_request("r", HUGE, HOUR))
@@ -103,8 +103,8 @@
 def test_refused_reservation_frees_the_others_and_is_tried_again() -> None:
     """A gang holds three engines and waits for a fourth that is never free.
 
-    The last engine refuses. What was reserved has to go at once, and the request
-    waits in the queue with nothing held.
+    The last engine refuses. All reservations have to be freed at once, and the request
+    is queued without holdings.
     """
     with gang_fleet() as (bench, engines):
         engines.hold("e4", "somebody's", 399_000)
@@ -117,11 +117,11 @@
         assert len(bench.dispatches("r")) == 1
 
 
-def test_two_gangs_that_cross_never_block_each_other() -> None:
-    """Two dossiers each hold half of the engines and wait for the other's half.
+def test_two_concurrent_gangs_do_not_deadlock() -> None:
+    """Two gangs each hold half of the engines and wait for the other half.
 
-    Both want engines that can hold only one of them; their steps alternate. One goes
-    through, the other one holds nothing meanwhile and goes through after it.
+    Both need engines that can hold only one of them, and their steps alternate. One
+    completes; the other one holds nothing meanwhile and completes after it.
     """
     with gang_fleet() as (bench, engines):
         engines.holding_back = {ReserveMemory}
@@ -146,11 +146,11 @@
         nothing_left(bench, engines)
 
 
-def test_member_that_dies_between_reserve_and_prefill() -> None:
-    """A reading never ends: its next part waits for an engine that was restarted.
+def test_member_that_restarts_between_reserve_and_prefill() -> None:
+    """A request never ends: its next segment waits for an engine that was restarted.
 
-    The list shows a new incarnation of a member that is reserved, while the first
-    part is still being prefilled elsewhere.
+    The list shows a new incarnation of a reserved member while the first segment is
+    still being prefilled elsewhere.
     """
     with gang_fleet() as (bench, engines):
         engines.holding_back = {PrefillSegment}
@@ -172,9 +172,10 @@
 
 
 def test_expired_reservation_is_a_failure_like_any_other() -> None:
-    """The prefill is refused as its reservation has expired; nobody cleans up.
+    """A prefill is refused because its reservation has expired, and holdings leak.
 
-    A paused entry instance comes back after the engines have let go.
+    This happens when a paused entry instance resumes after the engines have freed its
+    reservations.
     """
     with gang_fleet() as (bench, engines):
         engines.holding_back = {PrefillSegment}
@@ -195,7 +196,7 @@
         assert len(bench.dispatches("r")) == 1
 
 
-def test_reservations_outlive_the_parts_before_them_and_not_the_deadline() -> None:
+def test_reservations_last_for_earlier_segments_and_not_past_the_deadline() -> None:
     with gang_fleet() as (bench, engines):
         deadline = timedelta(minutes=20)
         engines.serve(bench.submit(model_request("r", HUGE, deadline)))
@@ -205,10 +206,10 @@
         assert timedelta(seconds=30) < times_to_live[-1] < deadline
 
 
-def test_every_step_can_fail_and_leaves_nothing() -> None:
-    """Engines lose memory with every reading that fails half-way, until none is left.
+def test_failure_of_any_step_frees_all_holdings() -> None:
+    """Engines leak memory with every gang that fails half-way, until none is left.
 
-    Each kind of step fails in turn, for the request's whole life.
+    Each kind of step fails in turn until the request ends.
     """
     for kind in (ReserveMemory, ImportKv):
         for failure in GangStepFailure:
@@ -229,8 +230,8 @@
                 assert conclusion.outcome is expected
 
 
-def test_part_that_ran_is_never_called_not_run() -> None:
-    """A clerk is told "not run" although an engine has read half of the prompt."""
+def test_request_with_a_prefilled_segment_is_not_reported_as_not_run() -> None:
+    """A caller gets "not run" although an engine has prefilled half of the prompt."""
     with gang_fleet() as (bench, engines):
         engines.failing[ImportKv] = GangStepFailure.LOST
         request = model_request(
@@ -258,8 +259,8 @@
                 nothing_left(bench, engines)
 
 
-def test_answers_that_come_after_the_end_are_cleaned_up() -> None:
-    """An export stays until the deadline, as its handle came after the caller left."""
+def test_exports_of_late_answers_are_freed() -> None:
+    """An export stays until the deadline if its answer arrives too late."""
     with gang_fleet() as (bench, engines):
         engines.holding_back = {PrefillSegment}
         engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
@@ -302,7 +303,7 @@
         assert max(engines.most_held.values()) <= 0.5 * 400_000
 
 
-def test_prompt_that_fits_on_one_engine_is_no_gang() -> None:
+def test_prompt_that_fits_on_one_engine_uses_no_gang() -> None:
     with gang_fleet() as (bench, _):
         bench.submit(model_request("r", 300_000, HOUR))
         assert len(bench.dispatches("r")) == 1
--- a/tests/unit/policies/test_limits.py
+++ b/tests/unit/policies/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts over all entry instances."""
+"""Rate limits of client accounts over all entry instances."""
 
 from datetime import timedelta
 
@@ -40,10 +40,10 @@
 
 
 def test_many_instances_together_keep_to_the_limit() -> None:
-    """An account that spreads its calls gets nine times what it pays for.
+    """An account that spreads its calls over nine instances gets nine times its limit.
 
     It sends twelve times its limit evenly to nine instances, each of which knows
-    only what it lets through itself.
+    only the requests that it accepts itself.
     """
     world = LimitSimulation(POLICY, ZONES)
     granted = world.run(120, dict.fromkeys(world.zone_of, 4.0))
@@ -56,8 +56,8 @@
     """A caller at one instance gets a ninth of its limit.
 
     Its load balancer sends all of its calls to one instance, and later to another in
-    another zone. Words of the move take up to 4 s, and at no time do the instances
-    together give out more than the limit.
+    another zone. Messages take up to 4 s, and the instances together never grant more
+    than the limit.
     """
     world = LimitSimulation(POLICY, ZONES)
     for place in ("az-1-0", "az-3-2"):
@@ -70,12 +70,12 @@
     assert world.largest_sum <= ROUNDING, world.largest_sum
 
 
-def test_zones_that_do_not_hear_of_each_other_overrun_by_their_number_at_most() -> None:
-    """Cut-off zones shut a client out, or let it have any amount.
+def test_partitioned_zones_each_grant_at_most_the_limit() -> None:
+    """Partitioned zones refuse a client completely, or grant it any amount.
 
-    Each goes on with its part for `FORGET` and may then give out the whole limit,
-    three times the limit altogether. When they hear of each other again, the sum of
-    the shares is within the limit as soon as words have come through.
+    Each keeps its share for `DEMAND_TTL` and may then grant the whole limit, which is
+    three times the limit in total. After the partition, the sum of the shares is within
+    the limit as soon as messages have arrived.
     """
     world = LimitSimulation(POLICY, ZONES)
     demand = dict.fromkeys(world.zone_of, 4.0)
@@ -91,8 +91,8 @@
     assert world.largest_sum <= ROUNDING, world.largest_sum
 
 
-def test_instance_that_hears_nobody_goes_on_with_its_last_share() -> None:
-    """A frozen switch makes one instance give out the whole limit of all accounts."""
+def test_isolated_instance_keeps_its_last_share() -> None:
+    """A failed switch makes one instance grant the whole limit of all accounts."""
     world = LimitSimulation(POLICY, ZONES)
     demand = dict.fromkeys(world.zone_of, 4.0)
     world.run(60, demand)
@@ -103,11 +103,11 @@
     assert 0.5 * RATE * 120 / 9 <= taken <= 2 * RATE * 120 / 9, taken
 
 
-def test_request_larger_than_the_burst_is_served_and_paid_for() -> None:
-    """A dossier of 100,000 tokens is refused for ever, as no bucket ever holds it.
+def test_request_larger_than_the_burst_overdraws_a_full_bucket() -> None:
+    """A prompt of 100,000 tokens is always refused, as it exceeds the bucket's size.
 
-    It runs when the bucket is full; the next request is told when the debt is paid,
-    and is let in then and not before.
+    It is accepted when the bucket is full. The next request is refused with the time
+    until the debt is paid, and is accepted then and not before.
     """
     world = LimitSimulation(POLICY, {"az-1": 1})
     assert world.ask("az-1-0", 100_000) is None
@@ -124,7 +124,7 @@
 
 
 def test_charge_is_corrected_by_the_usage() -> None:
-    """An account that asks for long answers and gets short ones is refused early."""
+    """An account that gets shorter answers than requested is refused too early."""
     settings = configuration(accounts=[replace(POLICY, tokens_per_second=1)])
     with policy_kernel(LIMITED, [engine_entry("e1")], settings) as bench:
         bench.submit(model_request("r", 2_000, max_tokens=4_000))
@@ -137,8 +137,8 @@
         assert account.bucket.level == BURST - 2_010
 
 
-def test_few_accounts_are_told_however_many_want_much() -> None:
-    """Two thousand busy accounts fill the links between the instances."""
+def test_number_of_published_accounts_is_bounded() -> None:
+    """Two thousand busy accounts saturate the links between the instances."""
     with policy_kernel(LIMITED, []) as bench:
         context = Context(timedelta(0), bench.kernel.random, bench.kernel.state)
         telling = DemandPublisher(Shares())
@@ -156,11 +156,11 @@
 
 
 def test_resend_of_a_finished_draft_is_answered_though_the_limit_is_reached() -> None:
-    """A volunteer sends a draft again and hears "not run", though it was run.
+    """A resend of a call that has run is answered "not run".
 
-    Her first call was answered to a connection that had broken. Meanwhile another
-    call has used up the account's tokens, and the resend is refused before anybody
-    looks whether its key has run. She files anew, under another key.
+    The answer to the first call was lost with its connection. Meanwhile another call
+    has used up the account's tokens, and the resend is refused before its idempotency
+    key is checked. The caller submits the call again under another key.
     """
     done = replace(
         other_claim(),
--- a/tests/unit/policies/test_model_rights.py
+++ b/tests/unit/policies/test_model_rights.py
@@ -1,4 +1,4 @@
-"""What an account may have of a model."""
+"""Permissions of accounts for models, and limits of models."""
 
 from msgspec.structs import replace
 
@@ -26,7 +26,7 @@
 def refused_as(
     request: Request, models: tuple[ModelId, ...] = ()
 ) -> ProblemCode | None:
-    """Return the code with which a request is refused; None if it is let in."""
+    """Return the code with which a request is refused; None if it is admitted."""
     settings = configuration(
         accounts=[AccountPolicy(ACCOUNT, (), 1e6, 10**7, 1.0, models)]
     )
@@ -49,20 +49,20 @@
         return conclusion.problem.code
 
 
-def test_an_account_has_its_own_models() -> None:
+def test_account_is_limited_to_its_models() -> None:
     assert refused_as(model_request("r")) is None
     assert refused_as(model_request("r"), (MODEL,)) is None
     other = (ModelId("other"),)
     assert refused_as(model_request("r"), other) is ProblemCode.UNKNOWN_MODEL
 
 
-def test_an_answer_is_no_longer_than_the_model_gives() -> None:
+def test_max_tokens_beyond_the_model_limit_is_refused() -> None:
     assert refused_as(model_request("r", max_tokens=500)) is None
     too_long = model_request("r", max_tokens=501)
     assert refused_as(too_long) is ProblemCode.MALFORMED
 
 
-def test_an_adapter_must_be_the_models() -> None:
+def test_adapter_that_the_model_lacks_is_refused() -> None:
     assert refused_as(model_request("r", adapter=AdapterId("letters"))) is None
     strange = model_request("r", adapter=AdapterId("ledgers"))
     assert refused_as(strange) is ProblemCode.UNKNOWN_MODEL
--- a/tests/unit/policies/test_priorities.py
+++ b/tests/unit/policies/test_priorities.py
@@ -1,4 +1,4 @@
-"""Short requests first, and nobody for ever last."""
+"""Short requests go first, and long ones do not starve."""
 
 from datetime import timedelta
 
@@ -23,11 +23,11 @@
         assert only_dispatch(bench, "short").priority < long
 
 
-def test_long_request_is_not_passed_for_ever() -> None:
-    """A dossier never starts, because short letters keep coming.
+def test_long_request_does_not_starve() -> None:
+    """A long prompt never starts, because short requests keep arriving.
 
-    Each short request that comes later has a worse rank than the one before, until
-    one comes that the long prompt is ahead of.
+    Each later short request has a worse rank than the one before, until one ranks
+    behind the long prompt.
     """
     with policy_kernel(AGEING, [engine_entry("e1")]) as bench:
         for _ in range(10):
@@ -45,7 +45,7 @@
         assert 5 <= passed_s <= 30, passed_s
 
 
-def test_long_share_sets_how_long_it_is_passed() -> None:
+def test_long_share_sets_how_long_short_requests_overtake() -> None:
     weights = []
     for share in (0.3, 0.5, 0.7):
         settings = configuration(FleetPolicy(long_share=share))
@@ -55,10 +55,10 @@
 
 
 def test_waiting_long_prompts_do_not_hold_up_short_ones() -> None:
-    """Clerks wait beside idle engines.
+    """Short requests wait although an engine has capacity for them.
 
-    Ten dossiers wait for room for long prompts and have aged to the head of the
-    queue. A letter that comes after them has room.
+    Ten long prompts wait for memory and have aged to the head of the queue. A short
+    request that arrives after them is dispatched.
     """
     with policy_kernel(BOUNDED, [engine_entry("e1")]) as bench:
         for number in range(10):
@@ -73,10 +73,10 @@
 
 
 def test_instances_with_different_clocks_give_comparable_priorities() -> None:
-    """An instance that was started a moment ago has all its requests served last.
+    """A newly started instance has all its requests served last.
 
-    Its monotonic clock began at another instant, and it has seen three reports of
-    the engine where the other has seen four hundred.
+    Its monotonic clock started at another instant, and it has seen three reports of
+    the engine while the other instance has seen four hundred.
     """
     priorities = []
     for head_start_s, reports_seen in ((0, 400), (86_400, 3)):
@@ -92,7 +92,7 @@
     assert spread_ticks < 10, priorities
 
 
-def test_engine_clock_goes_on_without_reports_for_a_while_only() -> None:
+def test_engine_clock_stops_when_reports_are_missing() -> None:
     load = EngineLoad(engine_entry("e1").incarnation)
     soon = load.clock_ticks(timedelta(seconds=1))
     much_later = load.clock_ticks(timedelta(hours=1))
--- a/tests/unit/policies/test_reporting.py
+++ b/tests/unit/policies/test_reporting.py
@@ -1,4 +1,4 @@
-"""What the kernel reports of requests and of its surroundings."""
+"""Reports of the kernel about requests, endpoints and peers."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -97,7 +97,7 @@
     assert report.first_token_after is None
 
 
-def test_fleet_is_reported_at_its_pace_with_the_strictest_word() -> None:
+def test_fleet_is_reported_periodically_with_the_worst_condition() -> None:
     with reporting_kernel() as kernel:
         kernel.handle(Tick())
         kernel.handle(ProbeFailed(EndpointId("e1")))
--- a/tests/unit/policies/test_routing.py
+++ b/tests/unit/policies/test_routing.py
@@ -1,4 +1,4 @@
-"""Requests go where their first token is expected soonest."""
+"""Routing by predicted time to first token."""
 
 from collections import Counter
 from datetime import timedelta
@@ -36,8 +36,8 @@
 def test_requests_between_two_reports_spread() -> None:
     """One engine gets every request of half a second, and the others none.
 
-    All engines have reported that they are idle, and no report comes while forty
-    requests arrive. Each dispatch has to count at once.
+    All engines have reported that they are idle, and no report arrives during forty
+    requests. Each dispatch has to be added to the estimate at once.
     """
     with policy_kernel(FIRST_COME, THREE) as bench:
         for number in range(42):
@@ -50,9 +50,9 @@
 
 
 def test_instances_with_the_same_old_report_do_not_herd() -> None:
-    """A sawtooth of first tokens: every instance picks the engine that looked idle.
+    """All instances pick the engine that looked idle, and first-token times oscillate.
 
-    Forty instances hold the same reports, in which one engine is barely better than
+    Forty instances have the same reports, in which one engine is barely better than
     two others. Each sends one request.
     """
     used: Counter[str] = Counter()
@@ -66,7 +66,7 @@
     assert len(used) == 3, used
 
 
-def test_own_availability_zone_goes_first_until_it_is_behind() -> None:
+def test_own_availability_zone_is_preferred_unless_it_is_slower() -> None:
     near = [engine_entry("near", "az-1"), engine_entry("far", "az-2")]
     with policy_kernel(FIRST_COME, near) as bench:
         bench.report("near", waiting_prefill_tokens=0)
@@ -77,7 +77,7 @@
         assert only_dispatch(bench, "r2").endpoint == "far"
 
 
-def test_prompt_goes_where_its_beginning_is_cached() -> None:
+def test_prompt_goes_where_its_prefix_is_cached() -> None:
     marks = (PrefixMark(Digest("aa"), 1_024), PrefixMark(Digest("bb"), 32_768))
     with policy_kernel(FIRST_COME, THREE) as bench:
         bench.submit(model_request("r1", 60_000, prefix_marks=marks))
@@ -102,9 +102,9 @@
 
 
 def test_slow_endpoint_is_learned_from_its_first_tokens() -> None:
-    """One engine takes four times as long, and its reports look like all others.
+    """One engine takes four times as long, but its reports look like all others.
 
-    Nothing but the observed first tokens shows it.
+    Only the observed first tokens show it.
     """
     with policy_kernel(FIRST_COME, THREE) as bench:
         slow = EndpointId("e2")
@@ -143,7 +143,7 @@
         assert prediction.alone_s(untouched, 30_000) < 0.1
 
 
-def test_state_of_ended_requests_is_forgotten() -> None:
+def test_state_of_ended_requests_is_dropped() -> None:
     with policy_kernel(FIRST_COME, THREE) as bench:
         prediction = bench.kernel.plugin(Prediction)
         bench.submit(model_request("done"))
@@ -156,7 +156,7 @@
         assert not any(load.sent for load in prediction.loads.values())
 
 
-def test_large_fleet_is_sampled_and_a_free_endpoint_still_found() -> None:
+def test_large_fleet_is_sampled_and_the_only_usable_endpoint_is_found() -> None:
     many = [engine_entry(f"e{number:03}", f"az-{number % 3}") for number in range(120)]
     with policy_kernel(FIRST_COME, many) as bench:
         bench.submit(model_request("r"))
@@ -179,11 +179,11 @@
         assert used == {"s1": 2, "s2": 2}
 
 
-def test_request_without_any_endpoint_is_refused_after_a_moment() -> None:
-    """A clerk looks at a spinning page until the deadline, and nothing can happen.
+def test_request_without_any_endpoint_is_refused_after_a_timeout() -> None:
+    """A caller waits until the deadline although no endpoint serves the model.
 
-    No endpoint serves the model. It may come back in a moment, so the request waits
-    a few seconds, no longer.
+    An endpoint may return within seconds, so the request waits that long and no
+    longer.
     """
     with policy_kernel(ADMITTED, [engine_entry("e1")]) as bench:
         bench.handle(ProbeFailed(EndpointId("e1")))
--- a/tests/unit/retry/test_retry_decisions.py
+++ b/tests/unit/retry/test_retry_decisions.py
@@ -1,4 +1,4 @@
-"""What follows one failed attempt."""
+"""Retry decisions after one failed attempt."""
 
 from datetime import timedelta
 
@@ -18,7 +18,7 @@
 
 
 class Trial:
-    """One kernel whose effects are looked at one by one."""
+    """One kernel whose effects are checked one by one."""
 
     def __init__(self, *plugins: Plugin) -> None:
         self.fleet = StormFleet(
@@ -45,7 +45,7 @@
         refusal: str | None = None,
         kind: FailureKind = FailureKind.BROKEN,
     ) -> WakeAt | Conclude:
-        """Fail an attempt; return the pause or the final answer."""
+        """Fail an attempt; return the scheduled retry or the conclusion."""
         exposure = Exposure.POSSIBLE
         if refusal is not None:
             kind, exposure = FailureKind.REFUSED, Exposure.REFUSED
@@ -60,7 +60,7 @@
 
 
 def test_no_attempt_begins_after_the_deadline() -> None:
-    """A pause that ends past the deadline would hold the caller for nothing."""
+    """A backoff that ends past the deadline would delay the caller in vain."""
     trial = Trial()
     effect = trial.fail(trial.submit(time_left=timedelta(microseconds=500)))
     assert isinstance(effect, Conclude)
@@ -77,7 +77,7 @@
 
 
 def test_refused_requests_end_as_not_run_when_the_budget_is_spent() -> None:
-    """All endpoints are busy: past the budget, callers are told at once."""
+    """All endpoints are busy: beyond the budget, requests are rejected at once."""
     trial = Trial()
     effects = [
         trial.fail(trial.submit(f"r{number}"), "busy")
@@ -91,10 +91,10 @@
 
 
 def test_redirected_requests_take_nothing_from_the_budget() -> None:
-    """A draining endpoint refuses all that is sent to it before the news is out.
+    """A draining endpoint refuses requests sent before its state has propagated.
 
     Charging these to the budget would fail requests that another endpoint serves
-    at once, in the middle of a planned change.
+    at once, during planned maintenance.
     """
     trial = Trial()
     for number in range(2 * int(RESERVE)):
@@ -102,10 +102,10 @@
         assert isinstance(effect, WakeAt)
 
 
-def test_death_of_a_full_endpoint_lets_nobody_down() -> None:
-    """An endpoint dies with sixty streams; attaching to them finds nobody there.
+def test_requests_of_a_crashed_endpoint_take_nothing_from_the_budget() -> None:
+    """An endpoint crashes with sixty streams; attaching to them is impossible.
 
-    Charged to the budget, the first twenty would be tried again and forty refused.
+    Charged to the budget, the first twenty would be retried and forty refused.
     """
     trial = Trial()
     for number in range(3 * int(RESERVE)):
@@ -113,11 +113,11 @@
         assert isinstance(effect, WakeAt)
 
 
-def test_streams_that_run_on_are_attached_to_without_the_budget() -> None:
+def test_attaching_to_running_streams_takes_nothing_from_the_budget() -> None:
     """A switch is replaced: the connections of all streams break at once.
 
-    The engines run on and the streams can be read on. Charging that to the budget
-    would let down all callers but the first twenty.
+    The engines keep running, so the streams can be resumed. Charging that to the
+    budget would fail all requests but the first twenty.
     """
     trial = Trial(AttachToRun())
     for number in range(3 * int(RESERVE)):
--- a/tests/unit/retry/test_retry_storm.py
+++ b/tests/unit/retry/test_retry_storm.py
@@ -1,4 +1,4 @@
-"""Retries under overload: the fleet recovers when the cause has ended."""
+"""Retries under overload: the fleet recovers once the cause has ended."""
 
 from functools import partial
 from math import inf
@@ -52,9 +52,9 @@
 def test_slow_zone_recovers_within_seconds_of_the_cause() -> None:
     """All endpoints of a zone are ten times slower for 30 s at 85% load.
 
-    Every attempt stalls and would be tried again: three times the work on engines
-    that can't do it once. Without a budget the queue stays longer than the stall
-    timeout after the cause has ended, and clerks see failures for ever.
+    Every attempt stalls and would be retried: three times the work on engines that
+    are already overloaded. Without a budget queue wait stays above the stall timeout
+    after the cause has ended, and requests keep failing.
     """
     fleet = run_storm()
     assert failed_share(fleet, 0.0, CAUSE_BEGINS_S - STALL_TIMEOUT_S) == 0.0
@@ -62,8 +62,8 @@
     assert failed_share(fleet, CAUSE_ENDS_S + RECOVERY_S, RUN_ENDS_S) == 0.0
 
 
-def test_without_a_budget_the_same_storm_outlives_its_cause() -> None:
-    """The check above can fail: with the budget off the storm goes on by itself."""
+def test_without_a_budget_the_same_storm_continues_after_its_cause() -> None:
+    """Verifies the test above: without a budget the retry storm sustains itself."""
     fleet = run_storm(budget_off=True)
     assert failed_share(fleet, CAUSE_ENDS_S + RECOVERY_S, RUN_ENDS_S) > 0.9
 
@@ -71,8 +71,8 @@
 def test_further_attempts_stay_inside_the_budget() -> None:
     """While all endpoints are slow or refuse, retries must not add to their load.
 
-    Each answered request pays in a tenth of a further attempt; a small reserve
-    and a trickle for quiet targets come on top for each kernel.
+    Each answered request deposits a tenth of a retry; each kernel adds a small reserve
+    and a slow refill for targets with few requests.
     """
     cause_s = CAUSE_ENDS_S - CAUSE_BEGINS_S
     for refuse in (False, True):
@@ -84,7 +84,7 @@
 
 
 def test_refusing_zone_recovers_at_once() -> None:
-    """All endpoints refuse for 30 s: callers are told at once and then served."""
+    """All endpoints refuse for 30 s: requests are rejected at once and then served."""
     fleet = run_storm(refuse=True)
     assert failed_share(fleet, CAUSE_BEGINS_S + 1.0, CAUSE_ENDS_S - 1.0) > 0.9
     assert failed_share(fleet, CAUSE_ENDS_S, RUN_ENDS_S) == 0.0
