--- a/src/mimosafork/policies/deadlines.py
+++ b/src/mimosafork/policies/deadlines.py
@@ -122,7 +122,7 @@
         drained = self.drains[lane].rate(context.now.total_seconds())
         return max(least, drained)
 
-    def dispatched(self, record: RequestRecord, context: Context) -> None:
+    def record_dispatch(self, record: RequestRecord, context: Context) -> None:
         """Record that a request was dispatched to an endpoint."""
         if self.discipline is not None:
             drain = self.drains[self.discipline.lane(record)]
--- a/src/mimosafork/policies/ejection.py
+++ b/src/mimosafork/policies/ejection.py
@@ -203,19 +203,19 @@
         self, target: ModelId | ServiceId, group: list[Endpoint], context: Context
     ) -> None:
         """Eject slow endpoints of a target, the slowest first."""
-        seen = {
+        histories = {
             each.endpoint_id: self.histories[each.endpoint_id]
             for each in group
             if each.endpoint_id in self.histories
             and each.accepts_new_requests(context.now)
         }
-        if len(seen) <= MIN_PEERS:
+        if len(histories) <= MIN_PEERS:
             return
         slowness: dict[EndpointId, float] = {}
-        firsts = {name: each.first_tokens for name, each in seen.items()}
-        gaps = {name: each.gaps for name, each in seen.items()}
+        firsts = {name: each.first_tokens for name, each in histories.items()}
+        gaps = {name: each.gaps for name, each in histories.items()}
         for series in (firsts, gaps):
-            for name, times in self._compare(series, seen, context.now):
+            for name, times in self._compare(series, histories, context.now):
                 slowness[name] = max(times, slowness.get(name, 0.0))
         for name in sorted(slowness, key=lambda each: slowness[each], reverse=True):
             endpoint = context.state.fleet.endpoints[name]
@@ -249,9 +249,9 @@
         for name, own in medians.items():
             peers = list(ordered)
             peers.remove(own)
-            usual = median(peers)
-            if usual > 0:
-                yield name, quartiles[name] / usual
+            peer_median = median(peers)
+            if peer_median > 0:
+                yield name, quartiles[name] / peer_median
 
     def _eject(self, endpoint: Endpoint, context: Context) -> None:
         history = self._history_of(endpoint)
--- a/src/mimosafork/policies/engine_load.py
+++ b/src/mimosafork/policies/engine_load.py
@@ -122,8 +122,8 @@
         seen_s = (reported_at_s - self.reported_at_s) / steps
         # A restarted engine counts from one again: one such step would distort the
         # estimate for minutes.
-        usual = self.tick_s / 4 < seen_s < self.tick_s * 4
-        if seen_s > 0 and (usual or self.ticks_seen < UNFILTERED_TICKS):
+        plausible = self.tick_s / 4 < seen_s < self.tick_s * 4
+        if seen_s > 0 and (plausible or self.ticks_seen < UNFILTERED_TICKS):
             self.ticks_seen += 1
             weight = max(TICK_EWMA_WEIGHT, 1 / self.ticks_seen)
             self.tick_s += weight * (seen_s - self.tick_s)
--- a/src/mimosafork/policies/gangs/allowance.py
+++ b/src/mimosafork/policies/gangs/allowance.py
@@ -7,7 +7,7 @@
 from ...kernel.records import RequestRecord
 from ..engine_load import EngineLoad
 from ..prediction import fleet_policy
-from .plan import split, whole_room
+from .plan import split, total_room
 
 YIELD_BACKLOG_S = 0.5
 """Queued work of long prompts, over all engines, above which a gang waits."""
@@ -16,7 +16,7 @@
 """Maximum part of the time to its deadline that a gang waits for other prompts."""
 
 
-def long_part(
+def gang_memory_share(
     record: RequestRecord,
     pairs: list[tuple[Endpoint, EngineLoad]],
     context: Context,
@@ -28,7 +28,7 @@
     """
     request = record.request
     for share in (fleet_policy(context).long_share, 1.0):
-        rooms = whole_room(pairs, share)
+        rooms = total_room(pairs, share)
         if split(request.prompt_tokens, request.max_tokens, rooms) is not None:
             return share
     return None
--- a/src/mimosafork/policies/gangs/placer.py
+++ b/src/mimosafork/policies/gangs/placer.py
@@ -50,7 +50,7 @@
 from ..engine_load import DEFAULT_PREFILL_RATE, SentRequest
 from ..prediction import Prediction
 from ..priorities import AgeingPriorities
-from .allowance import long_part, refuse_oversized_prompt, should_yield
+from .allowance import gang_memory_share, refuse_oversized_prompt, should_yield
 from .gang import Gang, Member, Step, make_gang
 from .plan import free_room, split
 
@@ -97,7 +97,7 @@
             (endpoint, self.prediction.load_of(endpoint))
             for endpoint in context.state.fleet.serving(request.target)
         ]
-        share = long_part(record, pairs, context)
+        share = gang_memory_share(record, pairs, context)
         if share is None:
             return refuse_oversized_prompt(record)
         late = self.deadlines and self.deadlines.late(record, 0.0, context)
--- a/src/mimosafork/policies/gangs/plan.py
+++ b/src/mimosafork/policies/gangs/plan.py
@@ -54,7 +54,7 @@
     return sorted((room for room in rooms if room.tokens > 0), key=_by_room)
 
 
-def whole_room(
+def total_room(
     pairs: Iterable[tuple[Endpoint, EngineLoad]], long_share: float
 ) -> list[Room]:
     """Return each engine's memory for long prompts when idle, largest first."""
--- a/src/mimosafork/policies/limits/bucket.py
+++ b/src/mimosafork/policies/limits/bucket.py
@@ -37,8 +37,8 @@
 
     def refill(self, now_s: float) -> None:
         """Add the tokens earned at the current rate since the last refill."""
-        came = (now_s - self.at_s) * self.rate
-        self.level = min(self.size, self.level + came)
+        earned = (now_s - self.at_s) * self.rate
+        self.level = min(self.size, self.level + earned)
         self.at_s = now_s
 
     def resize(self, size: float, rate: float, now_s: float) -> None:
@@ -84,5 +84,5 @@
 
     def rate(self, now_s: float) -> float:
         """Return the tokens per second."""
-        faded = exp((self.at_s - now_s) / DEMAND_WINDOW_S)
-        return self.sum * faded / DEMAND_WINDOW_S
+        decayed = exp((self.at_s - now_s) / DEMAND_WINDOW_S)
+        return self.sum * decayed / DEMAND_WINDOW_S
--- a/src/mimosafork/policies/limits/demand_publisher.py
+++ b/src/mimosafork/policies/limits/demand_publisher.py
@@ -62,12 +62,12 @@
         count = max(1, self.shares.listed.total())
         least = MIN_PUBLISHED_PART * EVEN_SHARE / count
         parts = [(each.demand / each.limit, each) for each in wanted]
-        worth = [pair for pair in parts if pair[0] > least]
-        worth.sort(key=lambda pair: pair[0], reverse=True)
-        first = [each for _, each in worth[:MAX_ACCOUNTS]]
+        eligible = [pair for pair in parts if pair[0] > least]
+        eligible.sort(key=lambda pair: pair[0], reverse=True)
+        selected = [each for _, each in eligible[:MAX_ACCOUNTS]]
         demand = AccountDemand(
-            tuple(each.account for each in first),
-            tuple(max(1, round(min(each.demand, each.limit))) for each in first),
+            tuple(each.account for each in selected),
+            tuple(max(1, round(min(each.demand, each.limit))) for each in selected),
         )
         if demand == self.own == NO_DEMAND:
             return
--- a/src/mimosafork/policies/prediction.py
+++ b/src/mimosafork/policies/prediction.py
@@ -211,7 +211,7 @@
             found = factors[max(shorter)] if shorter else 0.0
         return found
 
-    def sent(
+    def record_sent(
         self, request: Request, endpoint: Endpoint, cached: int, now: timedelta
     ) -> None:
         """Record a dispatch and its prediction."""
--- a/src/mimosafork/policies/routing.py
+++ b/src/mimosafork/policies/routing.py
@@ -93,8 +93,8 @@
         if self.priorities is not None:
             priority = self.priorities.engine_priority(record, endpoint, context.now)
         if self.deadlines is not None:
-            self.deadlines.dispatched(record, context)
-        self.scores.prediction.sent(
+            self.deadlines.record_dispatch(record, context)
+        self.scores.prediction.record_sent(
             record.request, endpoint, chosen.cached, context.now
         )
         return PlaceOn(
--- a/tests/unit/policies/test_gangs.py
+++ b/tests/unit/policies/test_gangs.py
@@ -42,7 +42,7 @@
         yield bench, GangEngines(bench)
 
 
-def nothing_left(bench: Bench, engines: GangEngines) -> None:
+def check_all_released(bench: Bench, engines: GangEngines) -> None:
     """Check that no engine and no plug-in holds anything for a gang."""
     assert not engines.held, engines.held
     assert not bench.kernel.plugin(GangPlacer).gangs
@@ -50,7 +50,7 @@
     assert not any(load.sent for load in loads)
 
 
-def again(bench: Bench, engines: GangEngines, seconds: float = 2.0) -> None:
+def retry_gang(bench: Bench, engines: GangEngines, seconds: float = 2.0) -> None:
     """Advance past the pause of a failed gang, with new reports."""
     bench.clock.advance(timedelta(seconds=seconds))
     for name in NAMES:
@@ -76,7 +76,7 @@
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.COMPLETED
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
 def test_members_are_reserved_in_the_order_of_their_ids() -> None:
@@ -113,7 +113,7 @@
         assert bench.emitted(FreeOwnHolding)
         assert set(engines.held) == {"somebody's"}
         engines.by_engine["e4"].clear()
-        again(bench, engines)
+        retry_gang(bench, engines)
         assert len(bench.dispatches("r")) == 1
 
 
@@ -134,7 +134,7 @@
         placed = [name for name in ("r1", "r2") if bench.dispatches(name)]
         assert len(placed) <= 1
         for _ in range(10):
-            again(bench, engines)
+            retry_gang(bench, engines)
             for name in ("r1", "r2"):
                 if bench.dispatches(name) and bench.conclusion(name) is None:
                     done = AttemptFinished(RequestId(name), AttemptNumber(1))
@@ -143,7 +143,7 @@
             conclusion = bench.conclusion(name)
             assert conclusion is not None, name
             assert conclusion.outcome is Outcome.COMPLETED
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
 def test_member_that_restarts_between_reserve_and_prefill() -> None:
@@ -166,7 +166,7 @@
         bench.handle(InstancesListed(tuple(entries), ()))
         engines.held_back.clear()
         engines.serve(bench.handle(Tick()))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
         assert bench.conclusion("r") is None
         assert bench.kernel.state.requests[RequestId("r")].state.value == "waiting"
 
@@ -190,9 +190,9 @@
             Exposure.REFUSED,
         )
         engines.serve(bench.handle(refused))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
         engines.holding_back.clear()
-        again(bench, engines)
+        retry_gang(bench, engines)
         assert len(bench.dispatches("r")) == 1
 
 
@@ -216,10 +216,10 @@
             with gang_fleet() as (bench, engines):
                 engines.failing[kind] = failure
                 engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
-                nothing_left(bench, engines)
+                check_all_released(bench, engines)
                 for _ in range(MAX_GANG_FAILURES):
-                    again(bench, engines)
-                nothing_left(bench, engines)
+                    retry_gang(bench, engines)
+                check_all_released(bench, engines)
                 conclusion = bench.conclusion("r")
                 if failure is GangStepFailure.NO_MEMORY:
                     assert conclusion is None
@@ -256,7 +256,7 @@
                 else:
                     engines.serve(bench.handle_after(HOUR, Tick()))
                 assert bench.conclusion("r") is not None
-                nothing_left(bench, engines)
+                check_all_released(bench, engines)
 
 
 def test_exports_of_late_answers_are_freed() -> None:
@@ -278,7 +278,7 @@
         ]
         for message in late:
             engines.serve(bench.handle(message))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
 def test_failed_last_attempt_frees_the_exports_and_begins_anew() -> None:
@@ -286,12 +286,12 @@
         engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
         assert engines.held
         engines.serve(bench.handle(attempt_failure("r")))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
         engines.serve(bench.handle(RetryDue(RequestId("r"))))
-        again(bench, engines)
+        retry_gang(bench, engines)
         assert len(bench.dispatches("r")) == 2
         engines.serve(bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(2))))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
 def test_long_share_bounds_what_a_gang_takes_of_each_engine() -> None:
--- a/tests/unit/policies/test_limits.py
+++ b/tests/unit/policies/test_limits.py
@@ -45,11 +45,11 @@
     It sends twelve times its limit evenly to nine instances, each of which knows
     only the requests that it accepts itself.
     """
-    world = LimitSimulation(POLICY, ZONES)
-    granted = world.run(120, dict.fromkeys(world.zone_of, 4.0))
-    most = BURST + RATE * 120 + len(world.zone_of) * REQUEST_TOKENS
+    simulation = LimitSimulation(POLICY, ZONES)
+    granted = simulation.run(120, dict.fromkeys(simulation.zone_of, 4.0))
+    most = BURST + RATE * 120 + len(simulation.zone_of) * REQUEST_TOKENS
     assert 0.8 * RATE * 120 <= granted <= most, granted
-    assert world.largest_sum <= ROUNDING, world.largest_sum
+    assert simulation.largest_sum <= ROUNDING, simulation.largest_sum
 
 
 def test_demand_moves_the_shares() -> None:
@@ -59,15 +59,15 @@
     another zone. Messages take up to 4 s, and the instances together never grant more
     than the limit.
     """
-    world = LimitSimulation(POLICY, ZONES)
+    simulation = LimitSimulation(POLICY, ZONES)
     for place in ("az-1-0", "az-3-2"):
-        world.run(60, {place: 12.0})
-        granted = world.run(60, {place: 12.0})
+        simulation.run(60, {place: 12.0})
+        granted = simulation.run(60, {place: 12.0})
         assert granted >= 0.8 * RATE * 60, (place, granted)
     for number in range(30):
-        names = world.random.sample(list(world.zone_of), 1 + number % 4)
-        world.run(7, dict.fromkeys(names, 6.0))
-    assert world.largest_sum <= ROUNDING, world.largest_sum
+        names = simulation.random.sample(list(simulation.zone_of), 1 + number % 4)
+        simulation.run(7, dict.fromkeys(names, 6.0))
+    assert simulation.largest_sum <= ROUNDING, simulation.largest_sum
 
 
 def test_partitioned_zones_each_grant_at_most_the_limit() -> None:
@@ -77,29 +77,29 @@
     three times the limit in total. After the partition, the sum of the shares is within
     the limit as soon as messages have arrived.
     """
-    world = LimitSimulation(POLICY, ZONES)
-    demand = dict.fromkeys(world.zone_of, 4.0)
-    world.run(60, demand)
-    world.partition(partitioned=True)
-    granted = world.run(180, demand)
+    simulation = LimitSimulation(POLICY, ZONES)
+    demand = dict.fromkeys(simulation.zone_of, 4.0)
+    simulation.run(60, demand)
+    simulation.partition(partitioned=True)
+    granted = simulation.run(180, demand)
     assert RATE * 180 * 2 < granted <= BURST + 3 * RATE * 180 + 9 * REQUEST_TOKENS
-    assert world.largest_sum <= 3 * ROUNDING
-    world.partition()
-    world.run(20, demand)
-    world.largest_sum = 0.0
-    granted = world.run(60, demand)
-    assert world.largest_sum <= ROUNDING, world.largest_sum
+    assert simulation.largest_sum <= 3 * ROUNDING
+    simulation.partition()
+    simulation.run(20, demand)
+    simulation.largest_sum = 0.0
+    granted = simulation.run(60, demand)
+    assert simulation.largest_sum <= ROUNDING, simulation.largest_sum
 
 
 def test_isolated_instance_keeps_its_last_share() -> None:
     """A failed switch makes one instance grant the whole limit of all accounts."""
-    world = LimitSimulation(POLICY, ZONES)
-    demand = dict.fromkeys(world.zone_of, 4.0)
-    world.run(60, demand)
-    world.partition(isolated="az-1-1")
-    before = world.granted["az-1-1"]
-    world.run(120, {**demand, "az-1-1": 40.0})
-    taken = world.granted["az-1-1"] - before
+    simulation = LimitSimulation(POLICY, ZONES)
+    demand = dict.fromkeys(simulation.zone_of, 4.0)
+    simulation.run(60, demand)
+    simulation.partition(isolated="az-1-1")
+    before = simulation.granted["az-1-1"]
+    simulation.run(120, {**demand, "az-1-1": 40.0})
+    taken = simulation.granted["az-1-1"] - before
     assert 0.5 * RATE * 120 / 9 <= taken <= 2 * RATE * 120 / 9, taken
 
 
@@ -109,18 +109,18 @@
     It is accepted when the bucket is full. The next request is refused with the time
     until the debt is paid, and is accepted then and not before.
     """
-    world = LimitSimulation(POLICY, {"az-1": 1})
-    assert world.ask("az-1-0", 100_000) is None
-    refused = world.ask("az-1-0", 1_000)
+    simulation = LimitSimulation(POLICY, {"az-1": 1})
+    assert simulation.ask("az-1-0", 100_000) is None
+    refused = simulation.ask("az-1-0", 1_000)
     assert refused is not None and refused.problem is not None
     assert refused.outcome is Outcome.NOT_RUN
     wait = refused.problem.retry_after
     assert wait is not None
     assert abs(wait.total_seconds() - 92_000 / RATE) < 0.2, wait
-    world.clock.advance(wait - timedelta(seconds=1))
-    assert world.ask("az-1-0", 1_000) is not None
-    world.clock.advance(timedelta(seconds=1.1))
-    assert world.ask("az-1-0", 1_000) is None
+    simulation.clock.advance(wait - timedelta(seconds=1))
+    assert simulation.ask("az-1-0", 1_000) is not None
+    simulation.clock.advance(timedelta(seconds=1.1))
+    assert simulation.ask("az-1-0", 1_000) is None
 
 
 def test_charge_is_corrected_by_the_usage() -> None:
