--- a/src/mimosafork/policies/affinity.py
+++ b/src/mimosafork/policies/affinity.py
@@ -1,8 +1,8 @@
-"""Which endpoints probably have the beginning of a prompt in their cache.
+"""Estimates which endpoints have a prefix of a prompt in their KV cache.
 
-What this instance has sent itself is known at once; what others have sent comes
-from the cache index, late and with gaps. Being wrong costs time, never a wrong
-answer, so nothing is asked and nothing is waited for.
+This instance's own dispatches are known at once; those of other instances come
+from the cache index, late and with gaps. A wrong estimate costs time but never
+gives a wrong answer, so no endpoint is queried and nothing waits for an update.
 """
 
 from collections import OrderedDict
@@ -19,11 +19,11 @@
 from ..kernel.registry import register
 from .cache_index import CacheIndex
 
-MOST_MARKS = 8192
-"""Prefix marks that are kept; the oldest go first. About 200 bytes each."""
+MAX_PREFIX_MARKS = 8192
+"""Prefix marks that are kept; the oldest are evicted first. About 200 bytes each."""
 
-KEPT_FOR = timedelta(minutes=3)
-"""A cache under pressure has lost a prefix that nobody used for so long."""
+PREFIX_TTL = timedelta(minutes=3)
+"""A cache under memory pressure has evicted a prefix that was unused for this time."""
 
 
 @register("prefix-affinity")
@@ -35,28 +35,28 @@
         self.index: CacheIndex | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-in that hears of what others have sent."""
+        """Look up the index of prefixes that other instances have sent."""
         self.index = find(CacheIndex)
 
     def holders(self, request: Request, now: timedelta) -> dict[EndpointId, int]:
-        """Return the endpoints that may have a beginning, with its length."""
+        """Return the endpoints that may have cached a prefix, with its length."""
         found: dict[EndpointId, int] = {}
         if self.index is not None and request.prefix_marks:
             found = self.index.holders(request.prefix_marks)
         for mark in reversed(request.prefix_marks):
             for endpoint, seen_at in self.places.get(mark.digest, {}).items():
-                if now - seen_at <= KEPT_FOR:
+                if now - seen_at <= PREFIX_TTL:
                     found[endpoint] = max(mark.tokens, found.get(endpoint, 0))
         return found
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Drop what was known of an endpoint that has begun a new life."""
+        """Drop the prefixes of an endpoint that has restarted."""
         for places in self.places.values():
             places.pop(endpoint.endpoint_id, None)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Learn from what happens."""
+        """Record where prompts were prefilled."""
 
     @handle.register
     def _(self, message: FirstToken, context: Context) -> None:
@@ -69,5 +69,5 @@
             places = self.places.setdefault(mark.digest, {})
             places[record.current.endpoint] = context.now
             self.places.move_to_end(mark.digest)
-        while len(self.places) > MOST_MARKS:
+        while len(self.places) > MAX_PREFIX_MARKS:
             self.places.popitem(last=False)
--- a/src/mimosafork/policies/gangs/placer.py
+++ b/src/mimosafork/policies/gangs/placer.py
@@ -1,10 +1,10 @@
 """Places prompts beyond one engine's memory on a gang of engines.
 
-All members are reserved before anything is prefilled, one after the other in the
-order of their ids, each for a limited time. A refusal frees what was reserved and
-the request waits again. So no gang ever waits while it holds something: two gangs
-can't block each other, and of two that want the same engines the one that got the
-first of these is not stopped by the other.
+Memory of all members is reserved before anything is prefilled, one member after the
+other in order of engine id, each for a limited time. A refusal frees all reservations
+and the request is queued again. A gang never waits while it holds memory, so two gangs
+can't deadlock, and of two gangs that compete for the same engines the one that reserved
+the first of these is not blocked by the other.
 """
 
 from datetime import timedelta
@@ -47,27 +47,27 @@
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ..deadlines import DeadlineCheck
-from ..engine_load import FIRST_RATE, Sent
+from ..engine_load import DEFAULT_PREFILL_RATE, SentRequest
 from ..prediction import Prediction
 from ..priorities import AgeingPriorities
-from .allowance import beyond_the_fleet, long_part, should_yield
+from .allowance import gang_memory_share, refuse_oversized_prompt, should_yield
 from .gang import Gang, Member, Step, make_gang
 from .plan import free_room, split
 
-MOST_FAILURES = 3
-"""Gangs of one request that may fail for other reasons than memory."""
+MAX_GANG_FAILURES = 3
+"""Gangs of one request that may fail for reasons other than lack of memory."""
 
-PAUSE_S = 1.0
-"""Mean pause before a gang that found no memory is tried again."""
+MEAN_PAUSE_S = 1.0
+"""Mean pause before a failed gang is retried."""
 
-RESERVED_FOR = timedelta(seconds=10)
-"""Least time for which memory is reserved, on top of the predicted time until its
-part is prefilled. An engine frees the reservations of a dead instance then."""
+MIN_RESERVATION_TTL = timedelta(seconds=10)
+"""Minimum time to live of a reservation, on top of the predicted time until its segment
+is prefilled. After it an engine frees the reservations of a crashed instance."""
 
 
 @register("gangs")
 class GangPlacer(Placer):
-    """Reserves, prefills and passes on, part by part."""
+    """Reserves memory, then prefills and transfers the KV cache segment by segment."""
 
     order = 70
 
@@ -76,30 +76,30 @@
         self.priorities: AgeingPriorities | None = None
         self.deadlines: DeadlineCheck | None = None
         self.gangs: dict[RequestId, Gang] = {}
-        self.made: dict[RequestId, int] = {}
+        self.gang_counts: dict[RequestId, int] = {}
         self.failures: dict[RequestId, int] = {}
         self.not_before: dict[RequestId, timedelta] = {}
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that gang placement queries."""
         self.prediction = find(Prediction) or self.prediction
         self.priorities = find(AgeingPriorities)
         self.deadlines = find(DeadlineCheck)
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Begin a gang, wait for memory, or refuse what the fleet can't hold."""
+        """Start a gang, wait for memory, or refuse a prompt beyond the fleet."""
         request = record.request
         if request.kind is RequestKind.SERVICE:
             return NotApplicable()
-        if not self.prediction.is_beyond_one(request):
+        if not self.prediction.exceeds_one_engine(request):
             return NotApplicable()
         pairs = [
             (endpoint, self.prediction.load_of(endpoint))
             for endpoint in context.state.fleet.serving(request.target)
         ]
-        share = long_part(record, pairs, context)
+        share = gang_memory_share(record, pairs, context)
         if share is None:
-            return beyond_the_fleet(record)
+            return refuse_oversized_prompt(record)
         late = self.deadlines and self.deadlines.late(record, 0.0, context)
         if late:
             return late
@@ -112,8 +112,8 @@
         segments = split(request.prompt_tokens, request.max_tokens, rooms)
         if segments is None:
             return Wait("gang-room")
-        number = self.made.get(request.request_id, 0) + 1
-        self.made[request.request_id] = number
+        number = self.gang_counts.get(request.request_id, 0) + 1
+        self.gang_counts[request.request_id] = number
         gang = make_gang(request.request_id, number, segments)
         self.gangs[request.request_id] = gang
         self._reserve_next(gang, record, context)
@@ -122,12 +122,12 @@
     def _reserve_next(
         self, gang: Gang, record: RequestRecord, context: Context
     ) -> None:
-        """Ask for the next reservation, or begin to prefill after the last."""
-        if gang.reserve_at >= 2 * len(gang.members):
+        """Request the next reservation, or start prefilling after the last one."""
+        if gang.next_reservation >= 2 * len(gang.members):
             self._prefill(gang, record, context)
             return
-        index, is_placeholder = divmod(gang.reserve_at, 2)
-        gang.reserve_at += 1
+        index, is_placeholder = divmod(gang.next_reservation, 2)
+        gang.next_reservation += 1
         member = gang.members[index]
         segment = member.segment
         if is_placeholder and segment.import_tokens == 0:
@@ -155,20 +155,20 @@
         self, member: Member, name: str, tokens: int, context: Context
     ) -> None:
         load = self.prediction.load_of(member.segment.endpoint)
-        sent = Sent(context.now.total_seconds(), 0, tokens, is_long=True)
+        sent = SentRequest(context.now.total_seconds(), 0, tokens, is_long=True)
         load.send(RequestId(name), sent)
 
     def _time_to_live(
         self, record: RequestRecord, first: int, context: Context
     ) -> timedelta:
-        """Return how long memory is kept for the part that begins at a token."""
-        whole_s = self.prediction.alone_s(record.request, FIRST_RATE)
+        """Return the reservation time for a segment that begins at a token."""
+        whole_s = self.prediction.alone_s(record.request, DEFAULT_PREFILL_RATE)
         before_s = whole_s * first / max(1, record.request.prompt_tokens)
-        kept = RESERVED_FOR + timedelta(seconds=2 * before_s)
+        kept = MIN_RESERVATION_TTL + timedelta(seconds=2 * before_s)
         return min(kept, record.request.deadline - context.now)
 
     def _prefill(self, gang: Gang, record: RequestRecord, context: Context) -> None:
-        """Prefill the current part, or dispatch the request with the last one."""
+        """Prefill the current segment, or dispatch the request with the last one."""
         member = gang.current
         segment = member.segment
         imports = (gang.import_id,) if gang.import_id is not None else ()
@@ -192,7 +192,7 @@
             context.post(Placed(gang.request_id, place))
             return
         gang.step = Step.PREFILLING
-        gang.stream_id = StreamId(gang.name("s", gang.segment_at))
+        gang.stream_id = StreamId(gang.name("s", gang.current_index))
         gang.hold(member, HoldingKind.STREAM, gang.stream_id)
         record.prefill_may_have_run = True
         context.emit(
@@ -214,12 +214,12 @@
     def _import(
         self, gang: Gang, record: RequestRecord, handle: str, context: Context
     ) -> None:
-        """Have the next engine pull the KV of all parts so far."""
+        """Let the next engine import the KV cache of all segments so far."""
         source = gang.current
-        gang.segment_at += 1
+        gang.current_index += 1
         member = gang.current
         gang.step = Step.IMPORTING
-        gang.import_id = ReservationId(gang.name("i", gang.segment_at))
+        gang.import_id = ReservationId(gang.name("i", gang.current_index))
         self._free(gang, member.placeholder, context)
         gang.hold(member, HoldingKind.RESERVATION, gang.import_id)
         tokens = member.segment.import_tokens
@@ -232,46 +232,50 @@
                 address=member.address,
                 source=source.address,
                 handle=handle,
-                time_to_live=min(RESERVED_FOR, record.request.deadline - context.now),
+                time_to_live=min(
+                    MIN_RESERVATION_TTL, record.request.deadline - context.now
+                ),
             )
         )
 
     def _free(self, gang: Gang, holding_id: str, context: Context) -> None:
-        part = gang.parts.pop(holding_id, None)
-        if part is None:
+        holding = gang.holdings.pop(holding_id, None)
+        if holding is None:
             return
-        context.emit(FreeOwnHolding(part.endpoint, part.address, part.kind, holding_id))
-        load = self.prediction.loads.get(part.endpoint)
+        context.emit(
+            FreeOwnHolding(holding.endpoint, holding.address, holding.kind, holding_id)
+        )
+        load = self.prediction.loads.get(holding.endpoint)
         if load is not None:
             load.finish(RequestId(holding_id))
 
-    def _dissolve(self, request_id: RequestId, context: Context) -> Gang | None:
-        """Free all that the gang of a request may hold, in the order it was asked."""
+    def _release_gang(self, request_id: RequestId, context: Context) -> Gang | None:
+        """Free all holdings of a request's gang, in the order of their requests."""
         gang = self.gangs.pop(request_id, None)
         if gang is not None:
-            for holding_id in list(gang.parts):
+            for holding_id in list(gang.holdings):
                 self._free(gang, holding_id, context)
         return gang
 
     def _fail(self, gang: Gang, failure: GangStepFailure, context: Context) -> None:
-        """Free everything and give the request back to the queue, or give up."""
+        """Free all holdings and requeue the request, or refuse it."""
         request_id = gang.request_id
-        self._dissolve(request_id, context)
-        pause_s = PAUSE_S * (0.5 + context.random.random())
+        self._release_gang(request_id, context)
+        pause_s = MEAN_PAUSE_S * (0.5 + context.random.random())
         self.not_before[request_id] = context.now + timedelta(seconds=pause_s)
         if failure is not GangStepFailure.NO_MEMORY:
             self.failures[request_id] = self.failures.get(request_id, 0) + 1
         refuse = None
-        if self.failures.get(request_id, 0) >= MOST_FAILURES:
-            detail = f"{MOST_FAILURES} gangs of engines failed: {failure.value}"
+        if self.failures.get(request_id, 0) >= MAX_GANG_FAILURES:
+            detail = f"{MAX_GANG_FAILURES} gangs of engines failed: {failure.value}"
             problem = Problem(ProblemCode.ENDPOINT_FAILED, detail)
             refuse = Refuse(problem, Outcome.FAILED)
         context.post(PlacementFailed(request_id, refuse))
 
-    def _found(
+    def _gang_at_step(
         self, request_id: RequestId, step: Step, context: Context
     ) -> tuple[Gang, RequestRecord] | None:
-        """Return a gang that waits for this step; late answers find none."""
+        """Return the request's gang if it is in this step; None for late answers."""
         gang = self.gangs.get(request_id)
         record = context.state.requests.get(request_id)
         if gang is None or record is None or gang.step is not step:
@@ -280,26 +284,26 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Take the next step."""
+        """Advance a gang, or release its holdings."""
 
     @handle.register
     def _(self, message: MemoryReserved, context: Context) -> None:
-        found = self._found(message.request_id, Step.RESERVING, context)
-        if found is not None and message.reservation in found[0].parts:
+        found = self._gang_at_step(message.request_id, Step.RESERVING, context)
+        if found is not None and message.reservation in found[0].holdings:
             self._reserve_next(*found, context)
 
     @handle.register
     def _(self, message: ReservationFailed, context: Context) -> None:
-        found = self._found(message.request_id, Step.RESERVING, context)
-        if found is not None and message.reservation in found[0].parts:
+        found = self._gang_at_step(message.request_id, Step.RESERVING, context)
+        if found is not None and message.reservation in found[0].holdings:
             self._fail(found[0], message.failure, context)
 
     @handle.register
     def _(self, message: SegmentPrefilled, context: Context) -> None:
-        found = self._found(message.request_id, Step.PREFILLING, context)
+        found = self._gang_at_step(message.request_id, Step.PREFILLING, context)
         if found is None or found[0].stream_id != message.stream_id:
-            # The gang was given up while this answer was on its way: its export
-            # would be held until the deadline if nobody freed it.
+            # The gang was given up while this answer was in transit. Without this
+            # the export would be held until the deadline.
             kind = HoldingKind.EXPORT
             context.emit(
                 FreeOwnHolding(message.endpoint, message.address, kind, message.handle)
@@ -310,59 +314,59 @@
         self._import(gang, record, message.handle, context)
 
     def _note_prefilled(self, gang: Gang, handle: str, context: Context) -> None:
-        """Take the export for what the engine holds now.
+        """Replace the holdings of a prefilled segment by its export.
 
-        The stream has taken over its reservation and import, and ended.
+        The stream has consumed its reservation and import, and has ended.
         """
         member = gang.current
         for name in (gang.stream_id, member.reservation, gang.import_id):
-            if name is not None and gang.parts.pop(name, None) is not None:
+            if name is not None and gang.holdings.pop(name, None) is not None:
                 self.prediction.load_of(member.segment.endpoint).finish(RequestId(name))
         gang.hold(member, HoldingKind.EXPORT, handle)
         self._count_memory(member, handle, member.segment.tokens, context)
 
     @handle.register
     def _(self, message: SegmentFailed, context: Context) -> None:
-        found = self._found(message.request_id, Step.PREFILLING, context)
+        found = self._gang_at_step(message.request_id, Step.PREFILLING, context)
         if found is not None and found[0].stream_id == message.stream_id:
             self._fail(found[0], message.failure, context)
 
     @handle.register
     def _(self, message: KvImported, context: Context) -> None:
-        found = self._found(message.request_id, Step.IMPORTING, context)
+        found = self._gang_at_step(message.request_id, Step.IMPORTING, context)
         if found is not None and found[0].import_id == message.import_id:
             self._prefill(*found, context)
 
     @handle.register
     def _(self, message: ImportFailed, context: Context) -> None:
-        found = self._found(message.request_id, Step.IMPORTING, context)
+        found = self._gang_at_step(message.request_id, Step.IMPORTING, context)
         if found is not None and found[0].import_id == message.import_id:
             self._fail(found[0], message.failure, context)
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
-        self._dissolve(message.request_id, context)
+        self._release_gang(message.request_id, context)
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
         request_id = message.record.request_id
-        self._dissolve(request_id, context)
-        self.made.pop(request_id, None)
+        self._release_gang(request_id, context)
+        self.gang_counts.pop(request_id, None)
         self.failures.pop(request_id, None)
         self.not_before.pop(request_id, None)
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
         for gang in list(self.gangs.values()):
-            if gang.step is not Step.RUNNING and _has_lost_one(gang, context):
+            if gang.step is not Step.RUNNING and _has_lost_member(gang, context):
                 self._fail(gang, GangStepFailure.FAILED, context)
 
 
-def _has_lost_one(gang: Gang, context: Context) -> bool:
-    """Return whether an engine has died since the gang began.
+def _has_lost_member(gang: Gang, context: Context) -> bool:
+    """Return whether an engine has crashed or restarted since the gang began.
 
-    Its part of the KV is gone. A chain that went on would end with an answer to a
-    prompt with a hole, or wait for an engine that knows nothing of it.
+    Its segment of the KV cache is lost. Without a restart of the gang the answer would
+    miss a part of the prompt, or the gang would wait for an engine that lost its state.
     """
     endpoints = context.state.fleet.endpoints
     for member, incarnation in zip(gang.members, gang.incarnations, strict=True):
--- a/src/mimosafork/policies/prediction.py
+++ b/src/mimosafork/policies/prediction.py
@@ -1,10 +1,10 @@
-"""Predicted first token and finish, learned from what is observed.
+"""Predicts times to first token and answer times, corrected by observations.
 
-A prediction is made of the work ahead at the endpoint and the request's own
+A prediction is computed from the work ahead at the endpoint and the request's own
 prefill. Observed first tokens correct it: by a factor for each model and prompt
-length, which takes in what the plain sum leaves out (context cost, steps shared
-with decoding, the network), and by a factor for each endpoint, which shows one
-that is slow but alive.
+length, which covers what the plain sum leaves out (context cost, steps shared with
+decoding, the network), and by a factor for each endpoint, which detects one that is
+slow but alive.
 """
 
 from dataclasses import dataclass, field
@@ -22,46 +22,46 @@
 from ..kernel.messages.requests import Request
 from ..kernel.plugins import Plugin, RequestConcluded
 from ..kernel.registry import register
-from .engine_load import EngineLoad, Sent
+from .engine_load import EngineLoad, SentRequest
 
-LENGTH_MEMORY = 0.05
-ENDPOINT_MEMORY = 0.1
-"""Weights of a new observation, in logarithms."""
+LENGTH_EWMA_WEIGHT = 0.05
+ENDPOINT_EWMA_WEIGHT = 0.1
+"""Weights of a new observation in moving averages of logarithms."""
 
-LARGEST_RATIO = 20.0
-"""Observations beyond it, either way, count as this much."""
+MAX_RATIO = 20.0
+"""Observed ratios are clamped to this factor in both directions."""
 
-SHORTEST_S = 0.02
-"""Least predicted time to first token: the network and one step of the engine."""
+MIN_FIRST_TOKEN_S = 0.02
+"""Minimum predicted time to first token: the network and one engine step."""
 
-TOKEN_S = 0.01
-"""Time of an answer over the most tokens that its caller asked for, before any was
-observed: 40 ms a token, and a quarter of what may be asked for."""
+DEFAULT_TOKEN_S = 0.01
+"""Initial value of answer time over `max_tokens`: 40 ms per token, with a quarter of
+`max_tokens` generated."""
 
-ANSWER_S = 5.0
-"""Mean time of an answer before any was observed."""
+DEFAULT_ANSWER_S = 5.0
+"""Initial value of the mean answer time."""
 
-LONGEST_ANSWER = 2.0
-"""Answers are not expected to take longer than this many mean ones: callers ask for
-thousands of tokens to be on the safe side and get a hundred."""
+MAX_ANSWER_RATIO = 2.0
+"""Predicted answer times are capped at this multiple of the mean: callers set
+`max_tokens` to thousands as a precaution and get a hundred tokens."""
 
-FIRST_BLOCKING = 0.3
-"""Part of a long prefill that a short prompt is first thought to wait for."""
+DEFAULT_BLOCKING = 0.3
+"""Initial estimate of the part of a long prefill that a short prompt waits for."""
 
-SEEN_LONG_S = 0.5
-"""Long work ahead from which an observation tells how much of it blocks."""
+MIN_LONG_AHEAD_S = 0.5
+"""Long work ahead from which an observation updates the blocking estimate."""
 
 
 @dataclass(slots=True)
-class Expected:
-    """What was predicted for an attempt when it was sent.
+class AttemptPrediction:
+    """The prediction that was made when an attempt was sent.
 
     Attributes
     ----------
     plain_s : float
-        Before the learned factors.
+        Predicted time to first token without the learned factors.
     long_ahead_s : float
-        Work of long prompts that was ahead of a short one.
+        Work of long prompts ahead of a short one.
     """
 
     endpoint: EndpointId
@@ -72,38 +72,38 @@
 
 
 @dataclass(slots=True)
-class Learned:
-    """What has been learned of one model.
+class ModelEstimates:
+    """Learned estimates of one model.
 
     Attributes
     ----------
     factors : dict of int to float
-        Logarithm of observed over plain prediction, by `band_of`.
+        Logarithm of observed over plainly predicted time, by `band_of`.
     blocking : float
         Part of the long work ahead that a short prompt waits for: near 0 for
         engines that interrupt a prefill, near 1 for others.
     token_s : float
-        Time of an answer over the most tokens that its caller asked for.
+        Answer time over the `max_tokens` of the request.
     answer_s : float
-        Mean time of an answer.
+        Mean answer time.
     """
 
     factors: dict[int, float] = field(default_factory=dict)
-    blocking: float = FIRST_BLOCKING
-    token_s: float = TOKEN_S
-    answer_s: float = ANSWER_S
+    blocking: float = DEFAULT_BLOCKING
+    token_s: float = DEFAULT_TOKEN_S
+    answer_s: float = DEFAULT_ANSWER_S
 
 
 @dataclass(frozen=True, slots=True)
 class Quote:
-    """A request's own part of a prediction, the same at all endpoints.
+    """The part of a request's prediction that is the same at all endpoints.
 
     Attributes
     ----------
     long_part : float
         Part of the long work ahead that it waits for.
     factor : float
-        Learned for its model and length.
+        Learned correction for its model and length.
     """
 
     prompt_tokens: int
@@ -112,14 +112,14 @@
     now_s: float
 
     def plain_s(self, load: EngineLoad, cached: int) -> float:
-        """Return the first token's time by work ahead and prefill alone."""
+        """Return the time to first token from work ahead and prefill alone."""
         short, long = load.levels(self.now_s)
         work = short + long * self.long_part + self.prompt_tokens - cached
-        return SHORTEST_S + work / load.rate
+        return MIN_FIRST_TOKEN_S + work / load.rate
 
 
 def band_of(prompt_tokens: int) -> int:
-    """Return the power of two below a prompt's length."""
+    """Return the power-of-two band of a prompt's length."""
     return max(1, prompt_tokens).bit_length()
 
 
@@ -136,16 +136,16 @@
     def __init__(self) -> None:
         self.loads: dict[EndpointId, EngineLoad] = {}
         self.slowness: dict[EndpointId, float] = {}
-        """Observed over predicted time, against the other endpoints; 1 is usual."""
-        self.models: dict[ModelId | ServiceId, Learned] = {}
-        self.expected: dict[RequestId, Expected] = {}
+        """Observed over predicted time, relative to other endpoints; 1 is normal."""
+        self.models: dict[ModelId | ServiceId, ModelEstimates] = {}
+        self.expected: dict[RequestId, AttemptPrediction] = {}
         self.long_prompt_tokens = FleetPolicy().long_prompt_tokens
         self.largest: dict[ModelId | ServiceId, int] = {}
         """Memory of the largest engine that serves each model, in tokens."""
         self.shapes: dict[EndpointId, tuple[int, tuple[ModelId, ...]]] = {}
 
     def load_of(self, endpoint: Endpoint) -> EngineLoad:
-        """Return the load of an endpoint's present life."""
+        """Return the load of an endpoint's current incarnation."""
         load = self.loads.get(endpoint.entry.endpoint)
         incarnation = endpoint.entry.incarnation
         if load is None or load.incarnation != incarnation:
@@ -155,24 +155,24 @@
             self.slowness.pop(endpoint.entry.endpoint, None)
         return load
 
-    def learned(self, target: ModelId | ServiceId) -> Learned:
-        """Return what is known of a model."""
+    def learned(self, target: ModelId | ServiceId) -> ModelEstimates:
+        """Return the learned estimates of a model."""
         known = self.models.get(target)
         if known is None:
-            known = self.models[target] = Learned()
+            known = self.models[target] = ModelEstimates()
         return known
 
     def is_long(self, request: Request) -> bool:
         """Return whether a request counts as long."""
         return request.prompt_tokens >= self.long_prompt_tokens
 
-    def is_beyond_one(self, request: Request) -> bool:
-        """Return whether no single engine has the memory for a request."""
+    def exceeds_one_engine(self, request: Request) -> bool:
+        """Return whether a request needs more memory than any single engine has."""
         needed = request.prompt_tokens + request.max_tokens
         return needed > self.largest.get(request.target, needed)
 
     def quote(self, request: Request, now_s: float) -> "Quote":
-        """Return what predicts the request's first token at any endpoint."""
+        """Return the endpoint-independent part of a request's prediction."""
         return Quote(
             prompt_tokens=request.prompt_tokens,
             long_part=1.0 if self.is_long(request) else self.blocking(request),
@@ -185,20 +185,20 @@
         return self.learned(request.target).blocking
 
     def first_token_s(self, quote: "Quote", endpoint: Endpoint, cached: int) -> float:
-        """Return the time until the first token if it were sent there now."""
+        """Return the predicted time to first token at an endpoint."""
         slowness = self.slowness.get(endpoint.entry.endpoint, 1.0)
         plain_s = quote.plain_s(self.load_of(endpoint), cached)
         return plain_s * quote.factor * slowness
 
     def alone_s(self, request: Request, rate: float) -> float:
-        """Return the first token's time on an idle endpoint."""
-        plain_s = SHORTEST_S + request.prompt_tokens / rate
+        """Return the predicted time to first token on an idle endpoint."""
+        plain_s = MIN_FIRST_TOKEN_S + request.prompt_tokens / rate
         return plain_s * exp(self._factor(request))
 
     def answer_s(self, request: Request) -> float:
         """Return the expected time from the first token to the last."""
         known = self.learned(request.target)
-        most_s = LONGEST_ANSWER * known.answer_s
+        most_s = MAX_ANSWER_RATIO * known.answer_s
         return min(most_s, request.max_tokens * known.token_s)
 
     def _factor(self, request: Request) -> float:
@@ -211,15 +211,15 @@
             found = factors[max(shorter)] if shorter else 0.0
         return found
 
-    def sent(
+    def record_sent(
         self, request: Request, endpoint: Endpoint, cached: int, now: timedelta
     ) -> None:
-        """Note a dispatch and what is expected of it."""
+        """Record a dispatch and its prediction."""
         now_s = now.total_seconds()
         load = self.load_of(endpoint)
         is_long = self.is_long(request)
         long_ahead_s = 0.0 if is_long else load.levels(now_s)[1] / load.rate
-        self.expected[request.request_id] = Expected(
+        self.expected[request.request_id] = AttemptPrediction(
             endpoint=endpoint.entry.endpoint,
             at_s=now_s,
             plain_s=self.quote(request, now_s).plain_s(load, cached),
@@ -228,11 +228,11 @@
         )
         memory = request.prompt_tokens + request.max_tokens
         work = request.prompt_tokens - cached
-        load.send(request.request_id, Sent(now_s, work, memory, is_long))
+        load.send(request.request_id, SentRequest(now_s, work, memory, is_long))
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Learn from what happens."""
+        """Update loads and estimates."""
 
     @handle.register
     def _(self, message: InstancesListed, context: Context) -> None:
@@ -244,7 +244,7 @@
         self._note_sizes(context)
 
     def _note_sizes(self, context: Context) -> None:
-        """Find the largest engine of each model; only when one has changed."""
+        """Find the largest engine of each model; called only when one has changed."""
         self.largest.clear()
         for endpoint in context.state.fleet.endpoints.values():
             report = endpoint.report
@@ -258,8 +258,7 @@
     def _(self, message: LoadReported, context: Context) -> None:
         self.long_prompt_tokens = fleet_policy(context).long_prompt_tokens
         endpoint = context.state.fleet.endpoints.get(message.report.endpoint)
-        # A report that came late was not taken over; replaying it would count
-        # requests twice.
+        # An outdated report was not stored; replaying it would count requests twice.
         if endpoint is None or endpoint.report is not message.report:
             return
         if endpoint.entry.kind is EndpointKind.MODEL_ENGINE:
@@ -298,22 +297,26 @@
             self.loads[expected.endpoint].finish(request_id)
 
     def _learn(
-        self, request: Request, expected: Expected, observed_s: float, rate: float
+        self,
+        request: Request,
+        expected: AttemptPrediction,
+        observed_s: float,
+        rate: float,
     ) -> None:
         known = self.learned(request.target)
-        ratio = observed_s / max(expected.plain_s, SHORTEST_S)
-        seen = log(min(LARGEST_RATIO, max(1 / LARGEST_RATIO, ratio)))
+        ratio = observed_s / max(expected.plain_s, MIN_FIRST_TOKEN_S)
+        seen = log(min(MAX_RATIO, max(1 / MAX_RATIO, ratio)))
         factor = known.factors.get(expected.band, seen)
         surprise = seen - factor
-        known.factors[expected.band] = factor + LENGTH_MEMORY * surprise
+        known.factors[expected.band] = factor + LENGTH_EWMA_WEIGHT * surprise
         slowness = log(self.slowness.get(expected.endpoint, 1.0))
-        slowness += ENDPOINT_MEMORY * (surprise - slowness)
+        slowness += ENDPOINT_EWMA_WEIGHT * (surprise - slowness)
         self.slowness[expected.endpoint] = exp(slowness)
-        if expected.long_ahead_s > SEEN_LONG_S:
-            alone_s = SHORTEST_S + request.prompt_tokens / rate
+        if expected.long_ahead_s > MIN_LONG_AHEAD_S:
+            alone_s = MIN_FIRST_TOKEN_S + request.prompt_tokens / rate
             seen_part = (observed_s - alone_s) / expected.long_ahead_s
             part = min(1.0, max(0.0, seen_part))
-            known.blocking += ENDPOINT_MEMORY * (part - known.blocking)
+            known.blocking += ENDPOINT_EWMA_WEIGHT * (part - known.blocking)
 
     def _learn_answer(self, message: RequestConcluded, context: Context) -> None:
         current = message.record.current
@@ -325,5 +328,5 @@
         known = self.learned(request.target)
         taken_s = (context.now - current.first_token_at).total_seconds()
         wanted = max(1, request.max_tokens)
-        known.token_s += LENGTH_MEMORY * (taken_s / wanted - known.token_s)
-        known.answer_s += LENGTH_MEMORY * (taken_s - known.answer_s)
+        known.token_s += LENGTH_EWMA_WEIGHT * (taken_s / wanted - known.token_s)
+        known.answer_s += LENGTH_EWMA_WEIGHT * (taken_s - known.answer_s)
--- a/src/mimosafork/policies/scoring.py
+++ b/src/mimosafork/policies/scoring.py
@@ -1,4 +1,4 @@
-"""Predicted first token at the endpoints that might take a request."""
+"""Scores candidate endpoints by predicted time to first token."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -13,20 +13,20 @@
 from .candidates import Candidates
 from .prediction import Prediction
 
-OTHER_ZONE_S = 0.005
-"""Predicted gain that is worth leaving the own availability zone."""
+CROSS_ZONE_PENALTY_S = 0.005
+"""Penalty for endpoints outside this instance's availability zone."""
 
-RATE_KEPT_FOR = timedelta(milliseconds=500)
+FLEET_RATE_TTL = timedelta(milliseconds=500)
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint that might take a request.
+    """An endpoint that a request may be sent to.
 
     Attributes
     ----------
     cached : int
-        Prompt tokens that it has probably cached.
+        Prompt tokens that are probably in its cache.
     """
 
     endpoint: Endpoint
@@ -40,7 +40,7 @@
     Attributes
     ----------
     cached : int
-        Prompt tokens that it has probably cached.
+        Prompt tokens that are probably in its cache.
     """
 
     endpoint: Endpoint
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetRate:
-    """Prompt tokens a second of all endpoints that serve a target."""
+    """Prompt tokens per second of all endpoints that serve a target."""
 
     tokens_per_s: float
     endpoints: int
@@ -68,17 +68,17 @@
         self.rates: dict[ModelId | ServiceId, FleetRate] = {}
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the plug-ins that are asked."""
+        """Look up the plug-ins that scoring queries."""
         self.prediction = find(Prediction) or self.prediction
         self.affinity = find(PrefixAffinity)
 
     def find(self, record: RequestRecord, context: Context) -> list[Candidate]:
-        """Return endpoints that take new work and have not failed the request."""
+        """Return available endpoints, if possible none that failed the request."""
         request = record.request
         holders: dict[EndpointId, int] = {}
         if self.affinity is not None:
             holders = self.affinity.holders(request, context.now)
-        found = self.candidates.of(request.target, holders, context)
+        found = self.candidates.select(request.target, holders, context)
         fresh = [each for each in found if each.entry.endpoint not in record.avoid]
         return [
             Candidate(endpoint, holders.get(endpoint.entry.endpoint, 0))
@@ -88,7 +88,7 @@
     def score(
         self, record: RequestRecord, candidates: list[Candidate], context: Context
     ) -> list[Scored]:
-        """Return candidates with their scores, the soonest first token first."""
+        """Return candidates with their scores, the earliest first token first."""
         prediction = self.prediction
         quote = prediction.quote(record.request, context.now.total_seconds())
         own_zone = context.state.identity.availability_zone
@@ -97,15 +97,15 @@
             endpoint = candidate.endpoint
             score_s = prediction.first_token_s(quote, endpoint, candidate.cached)
             if endpoint.entry.availability_zone != own_zone:
-                score_s += OTHER_ZONE_S
+                score_s += CROSS_ZONE_PENALTY_S
             scored.append(Scored(endpoint, score_s, candidate.cached))
         scored.sort(key=score_of)
         return scored
 
     def fleet_rate(self, target: ModelId | ServiceId, context: Context) -> FleetRate:
-        """Return the speed of all endpoints together, as of a moment ago."""
+        """Return the total prefill rate of a target's endpoints, cached briefly."""
         known = self.rates.get(target)
-        if known is None or context.now - known.at > RATE_KEPT_FOR:
+        if known is None or context.now - known.at > FLEET_RATE_TTL:
             serving = list(context.state.fleet.serving(target))
             rate = sum(self.prediction.load_of(each).rate for each in serving)
             known = FleetRate(max(1.0, rate), max(1, len(serving)), context.now)
--- a/src/mimosafork/policies/services.py
+++ b/src/mimosafork/policies/services.py
@@ -1,4 +1,4 @@
-"""Choice of a plain service's replica."""
+"""Routes calls of plain services to replicas."""
 
 from ..kernel.context import Context
 from ..kernel.fleet import Endpoint
@@ -16,16 +16,16 @@
 from .candidates import Candidates
 from .deadlines import DeadlineCheck
 
-DRAWN = 2
+SAMPLE_SIZE = 2
 
 
 @register("service-routing")
 class ServiceRouting(Placer):
-    """Sends a call to the better of two replicas drawn at random.
+    """Sends a call to the less loaded of two replicas sampled at random.
 
-    The one with fewer calls of this instance wins, then the one with fewer reported
-    ones, then one of the own availability zone. Calls are short, so that what is
-    under way here says more than a report half a second old.
+    Fewer in-flight calls of this instance win, then fewer reported calls, then this
+    instance's availability zone. Calls are short, so this instance's in-flight calls
+    are more accurate than a report half a second old.
     """
 
     order = 80
@@ -35,21 +35,21 @@
         self.deadlines = DeadlineCheck()
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the check of deadlines."""
+        """Look up the deadline check."""
         self.deadlines = find(DeadlineCheck) or self.deadlines
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return the replica, or wait if there is none."""
+        """Return the replica, or wait if none is available."""
         if record.request.kind is not RequestKind.SERVICE:
             return NotApplicable()
-        found = self.candidates.of(record.request.target, (), context)
+        found = self.candidates.select(record.request.target, (), context)
         fresh = [each for each in found if each.entry.endpoint not in record.avoid]
         usable = fresh or found
         if not usable:
             return self.deadlines.without_endpoint(record, context) or Wait(
                 "no-endpoint"
             )
-        drawn = context.random.sample(usable, min(DRAWN, len(usable)))
+        drawn = context.random.sample(usable, min(SAMPLE_SIZE, len(usable)))
         own_zone = context.state.identity.availability_zone
 
         def load_of(endpoint: Endpoint) -> tuple[int, int, bool]:
