--- a/src/mimosafork/audit/trail.py
+++ b/src/mimosafork/audit/trail.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..storage.errors import PlatformError
-from ..storage.table import Row, Table, Write, all_rows
+from ..storage.table import Table, TableRow, Write, all_rows
 from .errors import TrailUnavailableError
 
 TABLE = "audit"
@@ -81,7 +81,7 @@
         yield _entry_of(row)
 
 
-def _entry_of(row: Row) -> AuditEntry:
+def _entry_of(row: TableRow) -> AuditEntry:
     """Return a row's entry; one that can't be read is shown, never left out."""
     try:
         return msgspec.convert(row.value, AuditEntry)
--- a/src/mimosafork/claims/sweeper.py
+++ b/src/mimosafork/claims/sweeper.py
@@ -8,7 +8,7 @@
 from ..runtime.task import Task
 from ..storage.errors import PlatformError
 from ..storage.objects import ObjectClient
-from ..storage.table import Condition, Row, Table, Write
+from ..storage.table import Condition, Table, TableRow, Write
 from ..telemetry.catalogue.claims import CLAIMS_NOT_SWEPT
 from ..telemetry.logs import log_event
 from .errors import BadClaimRowError
@@ -80,7 +80,7 @@
         self.table.transact(tuple(conditions), tuple(writes))
         return len(old)
 
-    def _expired(self, row: Row) -> ClaimRow | None:
+    def _expired(self, row: TableRow) -> ClaimRow | None:
         """Return a row's claim if it has expired."""
         try:
             claim = decoded(row.value)
--- a/src/mimosafork/configuration/rows.py
+++ b/src/mimosafork/configuration/rows.py
@@ -14,7 +14,7 @@
 
 from ..ids import ApplyId, Digest, Revision
 from ..manifest.changes import Change
-from ..storage.table import Row, RowValue
+from ..storage.table import RowValue, TableRow
 from .errors import ConfigurationUnreadableError
 
 CURRENT_TABLE = "configuration"
@@ -73,7 +73,7 @@
     return value
 
 
-def read_row(row: Row, kind: type[S]) -> S:
+def read_row(row: TableRow, kind: type[S]) -> S:
     """Return a typed row.
 
     Raises
--- a/src/mimosafork/directory/table_book.py
+++ b/src/mimosafork/directory/current_table.py
@@ -6,7 +6,7 @@
 from .sources import ConfigurationSource
 
 
-class TableBook:
+class CurrentTable:
     """Keeps the newest configuration that was told.
 
     Parameters
@@ -20,7 +20,7 @@
         self.table: RoutingTable | None = None
         self.row: Row | None = None
 
-    def take(self, row: Row, origin: UpdateOrigin) -> TableChanged | None:
+    def apply(self, row: Row, origin: UpdateOrigin) -> TableChanged | None:
         """Take a row if its configuration is newer than the one in force.
 
         Guard: a stale read or a slow peer tells an older configuration after a
--- a/src/mimosafork/directory/directory.py
+++ b/src/mimosafork/directory/directory.py
@@ -22,10 +22,11 @@
     TABLE_TAKEN,
 )
 from ..telemetry.logs import log_event
-from .endpoint_book import EndpointBook
-from .errors import UnreadableError
-from .follower import MILLISECOND, Follower, Sleep, sleep
-from .health import Horizon, StoreHealth
+from .current_table import CurrentTable
+from .endpoint_registry import EndpointRegistry
+from .errors import UnreadableRowError
+from .follower import MILLISECOND, Sleep, TableFollower, sleep
+from .health import StoreHealth, VersionWatermark
 from .messages import (
     DirectoryChange,
     DirectoryEntry,
@@ -39,11 +40,10 @@
 from .rows import Row, RowPage
 from .settings import DirectorySettings
 from .sources import ConfigurationSource, EndpointSource
-from .table_book import TableBook
 
 logger = logging.getLogger(__name__)
 
-UNFOUND = 0.001
+MISSED_DETECTION_PROBABILITY = 0.001
 """Share of the cases in which no instance finds all connections silent soon."""
 LONGEST_WAIT = timedelta(seconds=10)
 """Half of the time for which the store keeps its history."""
@@ -51,19 +51,19 @@
 LATEST = sys.maxsize
 """Version of an update that is not older than anything known."""
 
-LONGEST_FIELD = 300
+MAX_FIELD_CHARS = 300
 """Characters of a field of a line that another's row fills."""
 
 HELD = "held"
 """Of an endpoint that stays in use though its row vanished."""
 
 
-def nobody() -> int:
+def no_peers() -> int:
     """Return that no peer is heard."""
     return 0
 
 
-def wait_among(usual: timedelta, peers: int) -> timedelta:
+def long_poll_wait(usual: timedelta, peers: int) -> timedelta:
     """Return how long a call about the configuration may wait among some peers.
 
     A connection that has fallen silent is found when its wait is over. Where that
@@ -79,7 +79,7 @@
     """
     if peers == 0:
         return usual
-    found_by_one = 1.0 - UNFOUND ** (1.0 / (peers + 1))
+    found_by_one = 1.0 - MISSED_DETECTION_PROBABILITY ** (1.0 / (peers + 1))
     return min(usual / found_by_one, max(usual, LONGEST_WAIT))
 
 
@@ -120,59 +120,61 @@
     ) -> None:
         chosen = settings or DirectorySettings()
         self.pause = pause
-        self.horizon = Horizon()
-        grace, least = chosen.return_grace, chosen.least_outage
+        self.watermark = VersionWatermark()
+        grace, least = chosen.return_grace, chosen.min_outage
         self.health = StoreHealth(clock, grace, least)
-        self.tables = TableBook(configurations)
-        self.book = EndpointBook(endpoints, self.health, clock, chosen.gone_kept)
-        self.peers: Callable[[], int] = nobody
+        self.current_table = CurrentTable(configurations)
+        self.endpoint_registry = EndpointRegistry(
+            endpoints, self.health, clock, chosen.removal_retention
+        )
+        self.peer_count: Callable[[], int] = no_peers
         """Returns how many instances would tell of a newer configuration."""
         self.peer_feed = PeerFeed(boot_clock or clock)
-        self.unreadable_table = 0
+        self.unreadable_table_version = 0
         """Version of the newest configuration that could not be read."""
         self.listeners: list[Listener] = []
         self.tasks: list[asyncio.Task[None]] = []
-        self.configuration_follower = Follower(
+        self.configuration_follower = TableFollower(
             "configuration",
             configurations,
-            ConfigurationTaker(self),
+            ConfigurationConsumer(self),
             chosen.configuration,
             clock,
             random,
             StoreHealth(clock, grace, least),
-            self.horizon,
+            self.watermark,
         )
-        self.endpoint_follower = Follower(
+        self.endpoint_follower = TableFollower(
             "endpoints",
             endpoints,
-            EndpointTaker(self),
+            EndpointConsumer(self),
             chosen.endpoints,
             clock,
             random,
             self.health,
-            self.horizon,
+            self.watermark,
             self.peer_feed,
         )
 
     @property
     def table(self) -> RoutingTable | None:
         """The configuration in force, or None before the first."""
-        return self.tables.table
+        return self.current_table.table
 
     @property
     def endpoints(self) -> dict[EndpointId, DirectoryEntry]:
         """Ready and draining endpoints; not to be changed by others."""
-        return self.book.entries
+        return self.endpoint_registry.entries
 
     @property
     def raw_configuration(self) -> Row | None:
         """The row of the configuration in force, to hand to peers."""
-        return self.tables.row
+        return self.current_table.row
 
     @property
     def raw_endpoints(self) -> tuple[Row, ...]:
         """The rows of all endpoints, removals included, to hand to peers."""
-        return self.book.raw_rows()
+        return self.endpoint_registry.raw_rows()
 
     @property
     def table_age(self) -> timedelta | None:
@@ -190,7 +192,7 @@
         listed = bool(self.endpoints) or self.listing_age is not None
         return self.table is not None and listed
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Tell a listener each change from now on."""
         self.listeners.append(listener)
 
@@ -209,68 +211,70 @@
 
     def offer_configuration(self, row: Row) -> None:
         """Take the configuration that a peer knows, if it is newer."""
-        self.horizon.see(row.version)
-        self.take_configuration(row, UpdateOrigin.PEER)
+        self.watermark.observe(row.version)
+        self.apply_configuration(row, UpdateOrigin.PEER)
 
     def offer_endpoint(self, row: Row) -> None:
         """Take a peer's update about an endpoint."""
-        self.horizon.see(row.version)
-        self.take_endpoint(row, UpdateOrigin.PEER)
+        self.watermark.observe(row.version)
+        self.apply_endpoint(row, UpdateOrigin.PEER)
 
-    def offer_gone(self, endpoint: EndpointId, version: int) -> None:
+    def offer_removal(self, endpoint: EndpointId, version: int) -> None:
         """Take a peer's update that an endpoint's row is no longer there."""
-        known = self.book.entries.get(endpoint)
+        known = self.endpoint_registry.entries.get(endpoint)
         if known is not None:
             row = replace(known.row, value=b"", version=version, removed=True)
-            self.take_endpoint(row, UpdateOrigin.PEER)
+            self.apply_endpoint(row, UpdateOrigin.PEER)
 
     def offer_draining(self, endpoint: EndpointId, version: int = LATEST) -> None:
         """Take a peer's update, of some version, that an endpoint leaves."""
-        changed = self.book.drain_known(endpoint, UpdateOrigin.PEER, version)
+        changed = self.endpoint_registry.mark_draining(
+            endpoint, UpdateOrigin.PEER, version
+        )
         if changed is not None:
             self.publish_endpoint(changed)
 
-    def take_configuration(self, row: Row, origin: UpdateOrigin) -> None:
+    def apply_configuration(self, row: Row, origin: UpdateOrigin) -> None:
         """Take a configuration's row and tell what changed."""
         try:
-            changed = self.tables.take(row, origin)
-        except UnreadableError as error:
+            changed = self.current_table.apply(row, origin)
+        except UnreadableRowError as error:
             # Each peer hands over what the store holds, again and again.
-            if row.version > self.unreadable_table:
-                self.unreadable_table = row.version
+            if row.version > self.unreadable_table_version:
+                self.unreadable_table_version = row.version
                 log_unreadable(row, origin, error)
             return
         if changed is not None:
             self.publish_table(changed)
 
-    def take_endpoint(self, row: Row, origin: UpdateOrigin) -> None:
+    def apply_endpoint(self, row: Row, origin: UpdateOrigin) -> None:
         """Take an endpoint's row and tell what changed."""
         try:
-            changed = self.book.take(row, origin)
-        except UnreadableError as error:
-            self.take_unreadable(row, origin, error)
+            changed = self.endpoint_registry.apply(row, origin)
+        except UnreadableRowError as error:
+            self.apply_unreadable(row, origin, error)
             return
         if changed is not None:
             self.publish_endpoint(changed)
 
-    def take_unreadable(
-        self, row: Row, origin: UpdateOrigin, error: UnreadableError
+    def apply_unreadable(
+        self, row: Row, origin: UpdateOrigin, error: UnreadableRowError
     ) -> None:
         """Take an endpoint's row that cannot be read; one line tells it."""
-        if self.book.note_unreadable(row):
+        if self.endpoint_registry.record_unreadable(row):
             log_unreadable(row, origin, error)
-        resting = self.book.rest(row, origin)
+        resting = self.endpoint_registry.suspend(row, origin)
         if resting is not None:
             self.notify(resting)
 
-    def settle(self) -> None:
+    def resolve_missing(self) -> None:
         """Tell what is still missing after an outage."""
-        for changed in self.book.settle(UpdateOrigin.STORE):
+        for changed in self.endpoint_registry.resolve_missing(UpdateOrigin.STORE):
             self.publish_endpoint(changed)
 
     def publish_table(self, changed: TableChanged) -> None:
         """Log a configuration and tell the listeners."""
-        silence = self.configuration_follower.health.silence
+        silence = self.configuration_follower.health.time_since_answer
         before = changed.before
         log_event(
             logger,
@@ -294,7 +298,7 @@
             listener(change)
 
 
-class ConfigurationTaker:
+class ConfigurationConsumer:
     """Hands the configuration's rows to the directory.
 
     Parameters
@@ -306,27 +310,27 @@
     def __init__(self, directory: Directory) -> None:
         self.directory = directory
 
-    def contradicted_by(self, page: RowPage) -> bool:
+    def is_newer_than(self, page: RowPage) -> bool:
         """Whether a row is older than that of the configuration in force."""
         known = self.directory.raw_configuration
         if known is None:
             return False
         return any(row.version < known.version for row in page.rows)
 
-    def take_whole(self, page: RowPage) -> None:
+    def apply_snapshot(self, page: RowPage) -> None:
         """Take the configuration; one that is missing stays in force."""
-        self.take_changes(page)
+        self.apply_changes(page)
 
-    def take_changes(self, page: RowPage) -> None:
+    def apply_changes(self, page: RowPage) -> None:
         """Take the configuration."""
         for row in page.rows:
-            self.directory.take_configuration(row, UpdateOrigin.STORE)
+            self.directory.apply_configuration(row, UpdateOrigin.STORE)
 
     def longest_wait(self, usual: timedelta) -> timedelta:
         """Return a longer wait the more peers there are that would tell."""
-        return wait_among(usual, self.directory.peers())
+        return long_poll_wait(usual, self.directory.peer_count())
 
-    def take_nothing_new(self, version: int) -> None:
+    def apply_no_change(self, version: int) -> None:
         """Do nothing: no peer's update stands for an answer about the configuration."""
 
     @property
@@ -335,7 +339,7 @@
         return False
 
 
-class EndpointTaker:
+class EndpointConsumer:
     """Hands the endpoints' rows to the directory.
 
     Parameters
@@ -347,20 +351,20 @@
     def __init__(self, directory: Directory) -> None:
         self.directory = directory
 
-    def contradicted_by(self, page: RowPage) -> bool:
+    def is_newer_than(self, page: RowPage) -> bool:
         """Whether a row is older than what is known of its endpoint."""
-        return self.directory.book.contradicted_by(page.rows)
+        return self.directory.endpoint_registry.is_newer_than(page.rows)
 
-    def take_whole(self, page: RowPage) -> None:
+    def apply_snapshot(self, page: RowPage) -> None:
         """Take all rows and what is missing among them."""
-        book = self.directory.book
-        self.take(page.rows + book.missing_from(page.rows, page.version))
-        book.note_followed(page.version)
+        book = self.directory.endpoint_registry
+        self.apply_rows(page.rows + book.missing_from(page.rows, page.version))
+        book.record_followed(page.version)
 
-    def take_changes(self, page: RowPage) -> None:
+    def apply_changes(self, page: RowPage) -> None:
         """Take changed rows."""
-        self.take(page.rows)
-        self.directory.book.note_followed(page.version)
+        self.apply_rows(page.rows)
+        self.directory.endpoint_registry.record_followed(page.version)
 
     def longest_wait(self, usual: timedelta) -> timedelta:
         """Return the usual wait, or what is left of a doubt.
@@ -369,26 +373,26 @@
         call that waits on past the end of the doubt puts the judgement off by its
         whole wait, and endpoints that left get calls seconds after they said so.
         """
-        if not self.directory.book.holds_missing:
+        if not self.directory.endpoint_registry.has_missing:
             return usual
-        return min(usual, self.directory.health.uncertain_for)
+        return min(usual, self.directory.health.uncertainty_left)
 
-    def take_nothing_new(self, version: int) -> None:
+    def apply_no_change(self, version: int) -> None:
         """Note up to where all is known, and drop updates that are long over."""
-        self.directory.book.note_followed(version)
-        self.directory.settle()
+        self.directory.endpoint_registry.record_followed(version)
+        self.directory.resolve_missing()
 
     @property
     def is_uncertain(self) -> bool:
         """Whether something vanished or came back that time has yet to judge."""
-        book = self.directory.book
-        return book.holds_missing or bool(book.reappeared) or book.health.is_uncertain
+        book = self.directory.endpoint_registry
+        return book.has_missing or bool(book.reappeared) or book.health.is_uncertain
 
-    def take(self, rows: tuple[Row, ...]) -> None:
+    def apply_rows(self, rows: tuple[Row, ...]) -> None:
         """Take rows, then settle what was in doubt."""
         for row in rows:
-            self.directory.take_endpoint(row, UpdateOrigin.STORE)
-        self.directory.settle()
+            self.directory.apply_endpoint(row, UpdateOrigin.STORE)
+        self.directory.resolve_missing()
 
 
 def log_endpoint(changed: EndpointChanged) -> None:
@@ -419,18 +423,18 @@
     return HELD if entry.missing_version is not None else entry.state.value
 
 
-def log_unreadable(row: Row, origin: UpdateOrigin, error: UnreadableError) -> None:
+def log_unreadable(row: Row, origin: UpdateOrigin, error: UnreadableRowError) -> None:
     """Log a row that cannot be read."""
     log_event(
         logger,
         ENTRY_UNREADABLE,
         version=row.version,
-        row=clipped(row.key),
+        row=truncate_field(row.key),
         source=origin.value,
-        why=clipped(str(error)),
+        why=truncate_field(str(error)),
     )
 
 
-def clipped(text: str) -> str:
+def truncate_field(text: str) -> str:
     """Return as much of a text as a line holds."""
-    return text if len(text) <= LONGEST_FIELD else f"{text[:LONGEST_FIELD]}..."
+    return text if len(text) <= MAX_FIELD_CHARS else f"{text[:MAX_FIELD_CHARS]}..."
--- a/src/mimosafork/directory/endpoint_book.py
+++ b/src/mimosafork/directory/endpoint_registry.py
@@ -14,7 +14,11 @@
 from .rows import Row
 from .sources import EndpointSource
 
-UNTOLD = {"sequence": 0, "cold_remaining": timedelta(0), "state": ListedState.READY}
+UNREPORTED_FIELDS = {
+    "sequence": 0,
+    "cold_remaining": timedelta(0),
+    "state": ListedState.READY,
+}
 """Fields of a listing whose change alone is not told, set to values that are equal."""
 
 ROW_EXPIRY = timedelta(milliseconds=3900)
@@ -38,9 +42,9 @@
     """
 
     row: Row
-    sure: bool
-    since: timedelta
-    born_ms: int | None = None
+    confirmed: bool
+    learned_at: timedelta
+    started_ms: int | None = None
 
 
 class Reappearance(msgspec.Struct, frozen=True):
@@ -48,10 +52,10 @@
 
     row: Row
     listed: ListedEndpoint
-    since: timedelta
+    seen_at: timedelta
 
 
-class EndpointBook:
+class EndpointRegistry:
     """Decides what each row says about its endpoint.
 
     The strictest update counts: gone before draining before ready. An update's version
@@ -74,14 +78,14 @@
         source: EndpointSource,
         health: StoreHealth,
         clock: Clock,
-        gone_kept: timedelta,
+        removal_retention: timedelta,
     ) -> None:
         self.source = source
         self.health = health
         self.clock = clock
-        self.gone_kept = gone_kept
+        self.removal_retention = removal_retention
         self.entries: dict[EndpointId, DirectoryEntry] = {}
-        self.gone: dict[EndpointId, Removal] = {}
+        self.removals: dict[EndpointId, Removal] = {}
         self.reappeared: dict[EndpointId, Reappearance] = {}
         self.unreadable: dict[EndpointId, Row] = {}
         """The newest rows that cannot be read, without their values."""
@@ -89,11 +93,11 @@
         """Version up to which the store itself has told all changes."""
 
     @property
-    def holds_missing(self) -> bool:
+    def has_missing(self) -> bool:
         """Whether an endpoint is in use whose row has vanished."""
         return any(each.missing_version is not None for each in self.entries.values())
 
-    def take(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
+    def apply(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
         """Take one update.
 
         Returns
@@ -107,11 +111,11 @@
             If the row's value cannot be read.
         """
         if row.removed:
-            return self.remove(row, origin)
+            return self.apply_removal(row, origin)
         endpoint = EndpointId(row.key)
-        if origin is UpdateOrigin.PEER and self.left_before(endpoint, row):
+        if origin is UpdateOrigin.PEER and self.is_stale_peer_row(endpoint, row):
             return None
-        update = self.gone.get(endpoint)
+        update = self.removals.get(endpoint)
         # Guard: a row read late, or a last report that crossed the removal, comes
         # after the endpoint is gone. Taken, calls would go to an address that is
         # another's by then. What vanished around an outage may come back at once,
@@ -121,22 +125,22 @@
         listed = self.source.decode(row)
         # Guard: a late row of a former life says that it leaves, or is ready at an
         # address that is another's by now. It must not act on the present life.
-        born_ms = self.latest_birth(endpoint)
+        born_ms = self.latest_start_ms(endpoint)
         if listed.started_before(born_ms):
             return None
-        self.note_readable(row)
+        self.clear_unreadable(row)
         if listed.started_after(born_ms):
             return self.start_incarnation(row, listed, origin)
-        if update is not None and update.sure:
-            self.note_again(row, listed)
+        if update is not None and update.confirmed:
+            self.record_reappearance(row, listed)
             return None
         if listed.state is ListedState.DRAINING:
-            return self.drain(row, listed, origin)
+            return self.apply_draining(row, listed, origin)
         if endpoint in self.unreadable:
             return None
-        return self.ready(row, listed, origin)
+        return self.apply_ready(row, listed, origin)
 
-    def note_readable(self, row: Row) -> None:
+    def clear_unreadable(self, row: Row) -> None:
         """Forget an unreadable row that a newer one of its endpoint replaces.
 
         The same row may have come mangled from a peer, and be read from the store.
@@ -145,7 +149,7 @@
         if unreadable is not None and row.version >= unreadable.version:
             del self.unreadable[EndpointId(row.key)]
 
-    def note_unreadable(self, row: Row) -> bool:
+    def record_unreadable(self, row: Row) -> bool:
         """Take note of a row that cannot be read; return whether that is news.
 
         Guard: a row that is written over each second, read whole again or handed over
@@ -159,7 +163,7 @@
             self.unreadable[endpoint] = replace(row, value=b"")
         return before is None
 
-    def rest(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
+    def suspend(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
         """Let an endpoint rest whose row has been replaced by one that can't be read.
 
         Guard: what was said before says nothing of now: whether it drains, or whose
@@ -188,12 +192,12 @@
             return None
         return EndpointChanged(entry, origin, known)
 
-    def latest_birth(self, endpoint: EndpointId) -> int | None:
+    def latest_start_ms(self, endpoint: EndpointId) -> int | None:
         """Return when the latest life began that was heard of under an id."""
-        known, update = self.entries.get(endpoint), self.gone.get(endpoint)
+        known, update = self.entries.get(endpoint), self.removals.get(endpoint)
         if known is not None:
             return known.listed.started_ms
-        return None if update is None else update.born_ms
+        return None if update is None else update.started_ms
 
     def start_incarnation(
         self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
@@ -204,15 +208,15 @@
         never be used, as an id that leaves takes no work again.
         """
         former = self.entries.get(listed.endpoint)
-        self.gone.pop(listed.endpoint, None)
+        self.removals.pop(listed.endpoint, None)
         self.reappeared.pop(listed.endpoint, None)
         drains = listed.state is ListedState.DRAINING
         state = EndpointState.DRAINING if drains else EndpointState.READY
-        entry = DirectoryEntry(listed, row, state, began_version=row.version)
+        entry = DirectoryEntry(listed, row, state, started_version=row.version)
         self.entries[listed.endpoint] = entry
         return EndpointChanged(entry, origin, former)
 
-    def left_before(self, endpoint: EndpointId, row: Row) -> bool:
+    def is_stale_peer_row(self, endpoint: EndpointId, row: Row) -> bool:
         """Return whether a row is of an endpoint that the store no longer lists.
 
         Guard: a peer that is behind hands over the row of an endpoint that left before
@@ -221,11 +225,11 @@
         """
         return endpoint not in self.entries and row.version <= self.followed_up_to
 
-    def note_followed(self, version: int) -> None:
+    def record_followed(self, version: int) -> None:
         """Note up to which version the store has told all changes."""
         self.followed_up_to = max(self.followed_up_to, version)
 
-    def note_again(self, row: Row, listed: ListedEndpoint) -> None:
+    def record_reappearance(self, row: Row, listed: ListedEndpoint) -> None:
         """Note that a gone endpoint's row is there again.
 
         An endpoint that was cut off from the store, and not from its callers, is
@@ -236,28 +240,30 @@
         """
         if listed.state is not ListedState.READY:
             self.reappeared.pop(listed.endpoint, None)
-            self.remember(row, sure=True)
+            self.record_removal(row, confirmed=True)
             return
         if listed.endpoint not in self.reappeared:
             now = self.clock.monotonic()
             self.reappeared[listed.endpoint] = Reappearance(row, listed, now)
 
-    def revive(self, origin: UpdateOrigin) -> list[EndpointChanged]:
+    def restore_reappeared(self, origin: UpdateOrigin) -> list[EndpointChanged]:
         """Use endpoints again whose rows have not expired since they are back."""
         now = self.clock.monotonic()
         lasting = [
-            each for each in self.reappeared.values() if now - each.since >= ROW_EXPIRY
+            each
+            for each in self.reappeared.values()
+            if now - each.seen_at >= ROW_EXPIRY
         ]
         revived = []
         for each in lasting:
             del self.reappeared[each.listed.endpoint]
-            self.gone.pop(each.listed.endpoint, None)
-            changed = self.ready(each.row, each.listed, origin)
+            self.removals.pop(each.listed.endpoint, None)
+            changed = self.apply_ready(each.row, each.listed, origin)
             if changed is not None:
                 revived.append(changed)
         return revived
 
-    def drain_known(
+    def mark_draining(
         self, endpoint: EndpointId, origin: UpdateOrigin, version: int
     ) -> EndpointChanged | None:
         """Take an update without a row, of some version, that an endpoint leaves."""
@@ -265,21 +271,21 @@
         if known is None or known.state is EndpointState.DRAINING:
             return None
         # Guard: a late update about the former life would drain the present one.
-        if version < known.began_version:
+        if version < known.started_version:
             return None
         entry = replace(known, state=EndpointState.DRAINING)
         self.entries[endpoint] = entry
         return EndpointChanged(entry, origin)
 
-    def ready(
+    def apply_ready(
         self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
     ) -> EndpointChanged | None:
         """Take the update that an endpoint takes work."""
         known = self.entries.get(listed.endpoint)
-        began = 0 if known is None else known.began_version
-        entry = DirectoryEntry(listed, row, EndpointState.READY, began_version=began)
+        began = 0 if known is None else known.started_version
+        entry = DirectoryEntry(listed, row, EndpointState.READY, started_version=began)
         if known is None:
-            self.gone.pop(listed.endpoint, None)
+            self.removals.pop(listed.endpoint, None)
             self.entries[listed.endpoint] = entry
             return EndpointChanged(entry, origin)
         # Guard: a ready update written before the draining one is heard after it.
@@ -294,26 +300,30 @@
         if row.version <= max(known.row.version, known.missing_version or 0):
             return None
         self.entries[listed.endpoint] = entry
-        if known.missing_version is None and same_to_others(known.listed, listed):
+        if known.missing_version is None and equal_except_unreported(
+            known.listed, listed
+        ):
             return None
         return EndpointChanged(entry, origin)
 
-    def drain(
+    def apply_draining(
         self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
     ) -> EndpointChanged | None:
         """Take the update that an endpoint leaves, whatever its version."""
         known = self.entries.get(listed.endpoint)
-        began = 0 if known is None else known.began_version
-        entry = DirectoryEntry(listed, row, EndpointState.DRAINING, began_version=began)
+        began = 0 if known is None else known.started_version
+        entry = DirectoryEntry(
+            listed, row, EndpointState.DRAINING, started_version=began
+        )
         if known is None or known.state is not EndpointState.DRAINING:
-            self.gone.pop(listed.endpoint, None)
+            self.removals.pop(listed.endpoint, None)
             self.entries[listed.endpoint] = entry
             return EndpointChanged(entry, origin)
         if row.version > known.row.version:
             self.entries[listed.endpoint] = entry
         return None
 
-    def remove(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
+    def apply_removal(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
         """Take the update that a row is no longer there."""
         endpoint = EndpointId(row.key)
         known = self.entries.get(endpoint)
@@ -323,9 +333,9 @@
         back = self.reappeared.get(endpoint)
         if back is not None and row.version >= back.row.version:
             del self.reappeared[endpoint]
-        self.note_readable(row)
+        self.clear_unreadable(row)
         if known is None:
-            self.remember(row, sure=not self.health.is_uncertain)
+            self.record_removal(row, confirmed=not self.health.is_uncertain)
             return None
         if row.version < known.row.version:
             return None
@@ -333,14 +343,14 @@
         # serve. Taken at once, all endpoints would be lost with the store. What
         # was serving stays in use until `settle` sees it still missing.
         if known.takes_new_work and self.health.is_uncertain:
-            return self.hold(known, row, origin)
+            return self.keep_missing(known, row, origin)
         sure = known.missing_version is None
         if known.state is EndpointState.UNREADABLE and self.health.is_uncertain:
             # It got no new work, so there is nothing to hold; it may well be alive.
             sure = False
-        return self.forget(known, row, origin, sure=sure)
+        return self.mark_gone(known, row, origin, confirmed=sure)
 
-    def hold(
+    def keep_missing(
         self, known: DirectoryEntry, row: Row, origin: UpdateOrigin
     ) -> EndpointChanged | None:
         """Keep an endpoint in use whose row vanished around an outage."""
@@ -351,8 +361,8 @@
             return None
         return EndpointChanged(entry, origin)
 
-    def forget(
-        self, known: DirectoryEntry, row: Row, origin: UpdateOrigin, *, sure: bool
+    def mark_gone(
+        self, known: DirectoryEntry, row: Row, origin: UpdateOrigin, *, confirmed: bool
     ) -> EndpointChanged:
         """Treat an endpoint as gone.
 
@@ -360,22 +370,28 @@
         ready row before its draining one, told late, would be believed at once.
         """
         del self.entries[known.listed.endpoint]
-        sure = sure or known.state is EndpointState.DRAINING
-        self.remember(row, sure=sure, born_ms=known.listed.started_ms)
+        confirmed = confirmed or known.state is EndpointState.DRAINING
+        self.record_removal(
+            row, confirmed=confirmed, started_ms=known.listed.started_ms
+        )
         gone = replace(known, state=EndpointState.GONE, missing_version=None)
         return EndpointChanged(gone, origin, known)
 
-    def remember(self, row: Row, *, sure: bool, born_ms: int | None = None) -> None:
+    def record_removal(
+        self, row: Row, *, confirmed: bool, started_ms: int | None = None
+    ) -> None:
         """Remember that an endpoint is gone; a sure update stays sure."""
         endpoint = EndpointId(row.key)
-        update = self.gone.get(endpoint)
+        update = self.removals.get(endpoint)
         if update is not None:
-            sure = sure or update.sure
+            confirmed = confirmed or update.confirmed
             row = max(row, update.row, key=lambda each: each.version)
-            born_ms = update.born_ms if born_ms is None else born_ms
-        self.gone[endpoint] = Removal(row, sure, self.clock.monotonic(), born_ms)
+            started_ms = update.started_ms if started_ms is None else started_ms
+        self.removals[endpoint] = Removal(
+            row, confirmed, self.clock.monotonic(), started_ms
+        )
 
-    def contradicted_by(self, rows: Iterable[Row]) -> bool:
+    def is_newer_than(self, rows: Iterable[Row]) -> bool:
         """Whether one of the rows is older than what is known of its endpoint."""
         for row in rows:
             known = self.entries.get(EndpointId(row.key))
@@ -402,7 +418,7 @@
             if row.key not in present and row.version <= version
         )
 
-    def settle(self, origin: UpdateOrigin) -> tuple[EndpointChanged, ...]:
+    def resolve_missing(self, origin: UpdateOrigin) -> tuple[EndpointChanged, ...]:
         """Treat as gone what is still missing some time after the store's return.
 
         To be called after an answer about the endpoints was taken, so that what
@@ -410,26 +426,26 @@
         """
         if self.health.is_uncertain:
             return ()
-        self.prune()
-        revived = self.revive(origin)
+        self.prune_removals()
+        revived = self.restore_reappeared(origin)
         missing = [
             entry
             for entry in self.entries.values()
             if entry.missing_version is not None
         ]
         forgotten = [
-            self.forget(entry, removal_of(entry), origin, sure=False)
+            self.mark_gone(entry, removal_of(entry), origin, confirmed=False)
             for entry in missing
         ]
         return tuple(forgotten + revived)
 
-    def prune(self) -> None:
+    def prune_removals(self) -> None:
         """Drop updates about endpoints that are long gone."""
-        oldest = self.clock.monotonic() - self.gone_kept
-        self.gone = {
+        oldest = self.clock.monotonic() - self.removal_retention
+        self.removals = {
             endpoint: update
-            for endpoint, update in self.gone.items()
-            if update.since >= oldest
+            for endpoint, update in self.removals.items()
+            if update.learned_at >= oldest
         }
 
     def raw_rows(self) -> tuple[Row, ...]:
@@ -438,13 +454,13 @@
         An unsure removal is left out: a peer could not tell it from a sure one.
         """
         listed = [entry.row for entry in self.entries.values()]
-        gone = [update.row for update in self.gone.values() if update.sure]
+        gone = [update.row for update in self.removals.values() if update.confirmed]
         return tuple(listed + gone)
 
 
-def same_to_others(first: ListedEndpoint, second: ListedEndpoint) -> bool:
+def equal_except_unreported(first: ListedEndpoint, second: ListedEndpoint) -> bool:
     """Whether two listings differ at most in what each report changes."""
-    return replace(first, **UNTOLD) == replace(second, **UNTOLD)
+    return replace(first, **UNREPORTED_FIELDS) == replace(second, **UNREPORTED_FIELDS)
 
 
 def removal_of(entry: DirectoryEntry) -> Row:
--- a/src/mimosafork/directory/errors.py
+++ b/src/mimosafork/directory/errors.py
@@ -19,7 +19,7 @@
     """The table belongs to others, and may not be written."""
 
 
-class HistoryGoneError(RowsError):
+class HistoryExpiredError(RowsError):
     """The changes after the version are no longer told; read the table whole."""
 
 
@@ -31,7 +31,7 @@
     """The write may have taken effect, or may yet do so; only a look can tell."""
 
 
-class UnreadableError(MimosaforkError):
+class UnreadableRowError(MimosaforkError):
     """A row's value cannot be read.
 
     A configuration before it stays in force; an endpoint's update before it does not.
--- a/src/mimosafork/directory/follower.py
+++ b/src/mimosafork/directory/follower.py
@@ -17,11 +17,11 @@
     WHOLE_READ,
 )
 from ..telemetry.logs import log_event
-from .errors import HistoryGoneError, RowsError
+from .call_failures import CallFailures
+from .errors import HistoryExpiredError, RowsError
 from .feed_update import FeedUpdate
-from .health import Horizon, StoreHealth
-from .outage import CallFailures
-from .peer_feed import FRESH, PeerFeed, ReceivedUpdate
+from .health import StoreHealth, VersionWatermark
+from .peer_feed import MAX_UPDATE_AGE, PeerFeed, ReceivedUpdate
 from .rows import RowPage
 from .settings import FollowSettings
 from .sources import RowSource
@@ -30,26 +30,26 @@
 
 Sleep = Callable[[timedelta], Awaitable[None]]
 MILLISECOND = timedelta(milliseconds=1)
-LEAST_JITTER = 0.75
+MIN_JITTER_FACTOR = 0.75
 """Smallest part of a pause that is made."""
-COVERED_PAUSE = timedelta(milliseconds=600)
+PEER_FOLLOW_PAUSE = timedelta(milliseconds=600)
 """Until one who follows by peers' updates looks at them again. Several changes that
 come within it cost one call; peers publish an endpoint's leaving at once all the
 same."""
 
 
-class Taker(Protocol):
+class PageConsumer(Protocol):
     """Takes what a follower reads."""
 
-    def contradicted_by(self, page: RowPage) -> bool:
+    def is_newer_than(self, page: RowPage) -> bool:
         """Whether a whole read is older than what is known."""
         ...
 
-    def take_whole(self, page: RowPage) -> None:
+    def apply_snapshot(self, page: RowPage) -> None:
         """Take all rows; what is not among them is gone."""
         ...
 
-    def take_changes(self, page: RowPage) -> None:
+    def apply_changes(self, page: RowPage) -> None:
         """Take changed rows."""
         ...
 
@@ -57,7 +57,7 @@
         """Return how long the next call may wait for changes."""
         ...
 
-    def take_nothing_new(self, version: int) -> None:
+    def apply_no_change(self, version: int) -> None:
         """Take the update that nothing has changed up to a version."""
         ...
 
@@ -67,7 +67,7 @@
         ...
 
 
-class Follower:
+class TableFollower:
     """Reads a table whole and follows its changes, through outages of the store.
 
     Parameters
@@ -112,30 +112,30 @@
         self,
         name: str,
         source: RowSource,
-        taker: Taker,
+        consumer: PageConsumer,
         settings: FollowSettings,
         clock: Clock,
         random: Random,
         health: StoreHealth,
-        horizon: Horizon,
+        watermark: VersionWatermark,
         peer_feed: PeerFeed | None = None,
     ) -> None:
         self.name = name
         self.source = source
-        self.taker = taker
+        self.consumer = consumer
         self.settings = settings
         self.clock = clock
         self.random = random
         self.health = health
-        self.horizon = horizon
+        self.watermark = watermark
         self.peer_feed = peer_feed
         self.position: int | None = None
-        self.changed_at = 0
+        self.last_change_version = 0
         self.answered_at: timedelta | None = None
-        self.in_step = False
-        self.asked_at = clock.monotonic()
+        self.answered_with_peers = False
+        self.called_at = clock.monotonic()
         self.failures = CallFailures()
-        self.troubles = 0
+        self.consecutive_failures = 0
 
     @property
     def age(self) -> timedelta | None:
@@ -169,7 +169,7 @@
             log_event(
                 logger, FOLLOWER_FAULT, table=self.name, why=repr(error), exc_info=error
             )
-            return self.retry_pause()
+            return self.retry_delay()
 
     async def step(self) -> timedelta:
         """Make one call and take its answer.
@@ -179,19 +179,19 @@
         timedelta
             Pause until the next call.
         """
-        self.asked_at = self.clock.monotonic()
+        self.called_at = self.clock.monotonic()
         try:
             if self.position is None:
                 return await self.read_whole()
             return await self.follow(self.position)
-        except HistoryGoneError:
-            self.note_answer()
+        except HistoryExpiredError:
+            self.record_answer()
             log_event(logger, FEED_CUT, table=self.name, version=self.position)
             self.position = None
         except RowsError as error:
-            self.failures.add(str(error), self.clock.monotonic() - self.asked_at)
-            if self.health.failed():
-                silence = self.health.silence
+            self.failures.add(str(error), self.clock.monotonic() - self.called_at)
+            if self.health.record_failure():
+                silence = self.health.time_since_answer
                 log_event(
                     logger,
                     STORE_LOST,
@@ -199,7 +199,7 @@
                     why=error,
                     age_ms=None if silence is None else silence // MILLISECOND,
                 )
-        return self.retry_pause()
+        return self.retry_delay()
 
     async def read_whole(self) -> timedelta:
         """Read the table whole, unless the answer is older than what is known.
@@ -211,14 +211,14 @@
         it was under way don't count: the feed of the other table raises them all
         the time, and a slow store could never be read.
         """
-        known = self.horizon.version
+        known = self.watermark.version
         page = await self.source.whole()
-        self.note_answer()
-        if page.version < known or self.taker.contradicted_by(page):
+        self.record_answer()
+        if page.version < known or self.consumer.is_newer_than(page):
             log_event(
                 logger, STALE_READ, table=self.name, version=page.version, known=known
             )
-            return self.retry_pause()
+            return self.retry_delay()
         log_event(
             logger,
             WHOLE_READ,
@@ -226,32 +226,32 @@
             version=page.version,
             count=len(page.rows),
         )
-        self.changed_at = page.version
-        self.in_step = True
-        self.taker.take_whole(page)
-        return self.taken(page.version)
+        self.last_change_version = page.version
+        self.answered_with_peers = True
+        self.consumer.apply_snapshot(page)
+        return self.advance(page.version)
 
     async def follow(self, position: int) -> timedelta:
         """Wait for changes and take them, unless peers say that there are none."""
         if self.peer_feed is None:
-            await self.ask(position, self.usual_wait())
+            await self.poll_changes(position, self.poll_wait())
             return self.settings.pause
-        heard = self.covering(position, self.peer_feed)
+        heard = self.covering_update(position, self.peer_feed)
         if heard is not None:
-            left = heard.left(self.peer_feed.clock.monotonic())
-            self.take_peer_update(position, heard.update, FRESH - left)
-            usual = COVERED_PAUSE * self.random.uniform(LEAST_JITTER, 1.0)
+            left = heard.remaining_freshness(self.peer_feed.clock.monotonic())
+            self.apply_peer_update(position, heard.update, MAX_UPDATE_AGE - left)
+            usual = PEER_FOLLOW_PAUSE * self.random.uniform(MIN_JITTER_FACTOR, 1.0)
             return min(usual, left + MILLISECOND)
         asked_at = self.peer_feed.clock.monotonic()
-        wait = self.peer_feed.wait_for_others(self.usual_wait(), self.random)
-        followed = await self.ask(position, wait)
-        if not self.taker.is_uncertain:
+        wait = self.peer_feed.reader_wait(self.poll_wait(), self.random)
+        followed = await self.poll_changes(position, wait)
+        if not self.consumer.is_uncertain:
             self.peer_feed.publish_answer(
-                FeedUpdate(self.changed_at, followed), asked_at, wait
+                FeedUpdate(self.last_change_version, followed), asked_at, wait
             )
         return self.settings.pause
 
-    def usual_wait(self) -> timedelta:
+    def poll_wait(self) -> timedelta:
         """Return how long the next call may wait for changes.
 
         While the store is lost it doesn't: the answer tells that the store is back. A
@@ -262,33 +262,37 @@
         if self.health.lost_at is not None:
             return timedelta(0)
         alone = self.settings.wait
-        among_peers = self.taker.longest_wait(alone)
-        if self.in_step and among_peers > alone:
+        among_peers = self.consumer.longest_wait(alone)
+        if self.answered_with_peers and among_peers > alone:
             return max(among_peers - alone, alone) * self.random.random()
         return among_peers
 
-    async def ask(self, position: int, wait: timedelta) -> int:
+    async def poll_changes(self, position: int, wait: timedelta) -> int:
         """Ask the store for changes and take them; return the new position."""
         page = await self.source.changes(position, wait)
-        self.in_step = bool(page.rows) or self.health.lost_at is not None
-        self.note_answer()
-        self.changed_at = max([self.changed_at, *(row.version for row in page.rows)])
-        self.taker.take_changes(page)
+        self.answered_with_peers = bool(page.rows) or self.health.lost_at is not None
+        self.record_answer()
+        self.last_change_version = max(
+            [self.last_change_version, *(row.version for row in page.rows)]
+        )
+        self.consumer.apply_changes(page)
         followed = max(position, page.version)
-        self.taken(followed)
+        self.advance(followed)
         return followed
 
-    def covering(self, position: int, peer_feed: PeerFeed) -> ReceivedUpdate | None:
+    def covering_update(
+        self, position: int, peer_feed: PeerFeed
+    ) -> ReceivedUpdate | None:
         """Return a peer's fresh update by which nothing has changed, if there is one.
 
         Guard: while something is in doubt the own answers judge it. An instance that
         has lost the store, or holds what vanished around an outage, asks on.
         """
-        if self.health.lost_at is not None or self.taker.is_uncertain:
+        if self.health.lost_at is not None or self.consumer.is_uncertain:
             return None
         return peer_feed.newest_covering(position)
 
-    def take_peer_update(
+    def apply_peer_update(
         self, position: int, update: FeedUpdate, age: timedelta
     ) -> None:
         """Take a peer's update that nothing has changed for an empty answer.
@@ -297,25 +301,25 @@
         of the history that the store keeps, and the table be read whole.
         """
         told_at = self.clock.monotonic() - age
-        self.health.note_peer_answer(told_at)
-        self.taker.take_nothing_new(update.followed)
+        self.health.record_peer_answer(told_at)
+        self.consumer.apply_no_change(update.followed)
         self.position = max(position, update.followed)
-        self.horizon.see(self.position)
+        self.watermark.observe(self.position)
         self.answered_at = told_at
 
-    def taken(self, version: int) -> timedelta:
+    def advance(self, version: int) -> timedelta:
         """Go on from a version; return the pause until the next call."""
         self.position = version
-        self.horizon.see(version)
+        self.watermark.observe(version)
         self.answered_at = self.clock.monotonic()
-        self.troubles = 0
+        self.consecutive_failures = 0
         return self.settings.pause
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Note that the store answers."""
-        lasted = self.health.answered()
+        lasted = self.health.record_answer()
         if lasted is not None:
-            self.troubles = 0
+            self.consecutive_failures = 0
         failures, self.failures = self.failures, CallFailures()
         if lasted is not None:
             log_event(
@@ -323,28 +327,28 @@
                 STORE_REGAINED,
                 table=self.name,
                 duration_ms=lasted // MILLISECOND,
-                answered_in_ms=(self.clock.monotonic() - self.asked_at) // MILLISECOND,
+                answered_in_ms=(self.clock.monotonic() - self.called_at) // MILLISECOND,
                 failed_calls=failures.count,
                 longest_ms=failures.longest // MILLISECOND,
                 why=failures.last_reason,
             )
 
-    def retry_pause(self) -> timedelta:
+    def retry_delay(self) -> timedelta:
         """Return the pause before a call after a trouble.
 
         The time between two calls doubles up to a bound. One that was waited for takes
         its time from the pause: the longer a store keeps silent, the sooner its return
         is to be noticed.
         """
-        pause = self.settings.first_retry
-        for _ in range(self.troubles):
-            pause = min(pause * 2, self.settings.last_retry)
-            if pause == self.settings.last_retry:
+        pause = self.settings.initial_retry_delay
+        for _ in range(self.consecutive_failures):
+            pause = min(pause * 2, self.settings.max_retry_delay)
+            if pause == self.settings.max_retry_delay:
                 break
-        self.troubles += 1
-        waited = self.clock.monotonic() - self.asked_at
-        left = max(pause - waited, self.settings.first_retry)
-        return left * self.random.uniform(LEAST_JITTER, 1.0)
+        self.consecutive_failures += 1
+        waited = self.clock.monotonic() - self.called_at
+        left = max(pause - waited, self.settings.initial_retry_delay)
+        return left * self.random.uniform(MIN_JITTER_FACTOR, 1.0)
 
 
 async def sleep(pause: timedelta) -> None:
--- a/src/mimosafork/directory/health.py
+++ b/src/mimosafork/directory/health.py
@@ -4,7 +4,7 @@
 
 from ..clock import Clock
 
-LONGEST_GAP = timedelta(milliseconds=2700)
+MAX_ANSWER_GAP = timedelta(milliseconds=2700)
 """Longest time between two answers while the store is well: the wait of a call, the
 time in which its connection is found silent, and the pause before it."""
 
@@ -38,18 +38,18 @@
         The last answer was a peer's.
     """
 
-    def __init__(self, clock: Clock, grace: timedelta, least_outage: timedelta) -> None:
+    def __init__(self, clock: Clock, grace: timedelta, min_outage: timedelta) -> None:
         self.clock = clock
         self.grace = grace
-        self.least_outage = least_outage
+        self.min_outage = min_outage
         self.answered_at: timedelta | None = None
-        self.answered_last_by_peer = False
+        self.last_answer_from_peer = False
         self.lost_at: timedelta | None = None
-        self.outage_from: timedelta | None = None
+        self.outage_started_at: timedelta | None = None
         self.returned_at: timedelta | None = None
 
     @property
-    def silence(self) -> timedelta | None:
+    def time_since_answer(self) -> timedelta | None:
         """Time since the last answer; None before the first."""
         if self.answered_at is None:
             return None
@@ -60,13 +60,13 @@
         """Whether an entry may be missing only because of an outage."""
         now = self.clock.monotonic()
         if self.lost_at is not None:
-            return self.lasts_until(now)
+            return self.expires_rows_by(now)
         if self.returned_at is None or now >= self.returned_at + self.grace:
             return False
-        return self.lasts_until(self.returned_at)
+        return self.expires_rows_by(self.returned_at)
 
     @property
-    def uncertain_for(self) -> timedelta:
+    def uncertainty_left(self) -> timedelta:
         """Time until a doubt about missing entries ends; zero without one.
 
         While the store is lost it is zero, too: the answer that brings it back is
@@ -80,13 +80,13 @@
             return timedelta(0)
         return self.returned_at + self.grace - self.clock.monotonic()
 
-    def lasts_until(self, end: timedelta) -> bool:
+    def expires_rows_by(self, end: timedelta) -> bool:
         """Whether the outage, up to an instant, was long enough to expire rows."""
-        if self.outage_from is None:
+        if self.outage_started_at is None:
             return True
-        return end - self.outage_from >= self.least_outage
+        return end - self.outage_started_at >= self.min_outage
 
-    def failed(self) -> bool:
+    def record_failure(self) -> bool:
         """Note a call without an answer; return whether the store is lost by it."""
         if self.lost_at is not None:
             return False
@@ -94,21 +94,21 @@
         # Guard: a store that comes back for a moment, again and again, is no use
         # to endpoints that report seldom: their rows expire though no single
         # outage was long. One that follows soon goes on with the one before.
-        if self.returned_at is None or not self.soon_after_return():
-            self.outage_from = self.answered_at
+        if self.returned_at is None or not self.in_return_grace():
+            self.outage_started_at = self.answered_at
         return True
 
-    def soon_after_return(self) -> bool:
+    def in_return_grace(self) -> bool:
         """Whether the store returned only a short time ago."""
         assert self.returned_at is not None
         return self.clock.monotonic() < self.returned_at + self.grace
 
-    def note_peer_answer(self, told_at: timedelta) -> None:
+    def record_peer_answer(self, told_at: timedelta) -> None:
         """Note that a peer had an answer, while the store is not lost here."""
         self.answered_at = max(told_at, self.answered_at or told_at)
-        self.answered_last_by_peer = True
+        self.last_answer_from_peer = True
 
-    def answered(self) -> timedelta | None:
+    def record_answer(self) -> timedelta | None:
         """Note an answer; return how long the store was lost if it is regained.
 
         Guard: one who follows by peers' updates asks the store only when they grow old.
@@ -117,9 +117,12 @@
         silence that no usual answer takes counts as an outage.
         """
         now = self.clock.monotonic()
-        if self.answered_last_by_peer and now - (self.answered_at or now) > LONGEST_GAP:
-            self.failed()
-        self.answered_last_by_peer = False
+        if (
+            self.last_answer_from_peer
+            and now - (self.answered_at or now) > MAX_ANSWER_GAP
+        ):
+            self.record_failure()
+        self.last_answer_from_peer = False
         self.answered_at = now
         if self.lost_at is None:
             return None
@@ -129,12 +132,12 @@
         return lasted
 
 
-class Horizon:
+class VersionWatermark:
     """The highest version that anyone has told of; all rows share one counter."""
 
     def __init__(self) -> None:
         self.version = 0
 
-    def see(self, version: int) -> None:
+    def observe(self, version: int) -> None:
         """Note a version that was told."""
         self.version = max(self.version, version)
--- a/src/mimosafork/directory/messages.py
+++ b/src/mimosafork/directory/messages.py
@@ -51,7 +51,7 @@
     row: Row
     state: EndpointState
     missing_version: int | None = None
-    began_version: int = 0
+    started_version: int = 0
 
     @property
     def takes_new_work(self) -> bool:
--- a/src/mimosafork/directory/peer_feed.py
+++ b/src/mimosafork/directory/peer_feed.py
@@ -19,22 +19,22 @@
 from .feed_update import FeedUpdate
 
 SUBJECT = "endpoints"
-READERS = 8
+FEED_READERS = 8
 """Instances that follow the feed themselves. Their updates come at any instant, so that
 one comes every 0.25 s and no silence of one of them is noticed by others; 8 of 195 make
 a 24th of the calls at rest. Fleets of up to so many all follow it themselves."""
 
-LEAST_WAIT = 0.5
+MIN_WAIT_FACTOR = 0.5
 """Smallest part of a wait that an instance makes for others. One change ends the waits
 of all who follow the feed at the same instant; with equal waits their updates came
 together from then on, and grew old for the others between two calls."""
 
-FRESH = timedelta(milliseconds=1700)
+MAX_UPDATE_AGE = timedelta(milliseconds=1700)
 """How old an update may be. If all who follow the feed fall silent at once, the others
 ask the store this much later: before the two seconds after which an endpoint that
 leaves may have no new work, and before rows may have expired in an outage."""
 
-LATE_ANSWER = timedelta(milliseconds=300)
+MAX_ANSWER_DELAY = timedelta(milliseconds=300)
 """An answer that comes this much later than its wait was over is not passed on.
 
 Guard: a process that was frozen finds an answer which is as old as its freeze. Told as
@@ -47,9 +47,9 @@
     update: FeedUpdate
     as_of: timedelta
 
-    def left(self, now: timedelta) -> timedelta:
+    def remaining_freshness(self, now: timedelta) -> timedelta:
         """Return how long it will be fresh."""
-        return self.as_of + FRESH - now
+        return self.as_of + MAX_UPDATE_AGE - now
 
 
 class PeerFeed:
@@ -70,17 +70,17 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.reads_itself = True
+        self.is_reader = True
         self.has_followers = False
         self.updates: dict[InstanceId, ReceivedUpdate] = {}
         self.publish: Callable[[FeedUpdate], None] = lambda update: None
         """Tells peers an update of this instance's own."""
 
-    def choose(self, own: InstanceId, peers: Iterable[InstanceId]) -> None:
+    def select_readers(self, own: InstanceId, peers: Iterable[InstanceId]) -> None:
         """Work out whether this instance is one of those that follow the feed."""
         others = set(peers)
-        self.has_followers = len(others) >= READERS
-        self.reads_itself = own in ranked(SUBJECT, {own, *others})[:READERS]
+        self.has_followers = len(others) >= FEED_READERS
+        self.is_reader = own in ranked(SUBJECT, {own, *others})[:FEED_READERS]
         self.updates = {each: self.updates[each] for each in others & set(self.updates)}
 
     def receive(self, peer: InstanceId, update: FeedUpdate, age: timedelta) -> None:
@@ -92,21 +92,22 @@
 
         None if there is none that is fresh, or if this instance is to ask itself.
         """
-        if self.reads_itself:
+        if self.is_reader:
             return None
         now = self.clock.monotonic()
         fitting = [
             each
             for each in self.updates.values()
-            if each.left(now) > timedelta(0) and each.update.covers(position)
+            if each.remaining_freshness(now) > timedelta(0)
+            and each.update.covers(position)
         ]
         return max(fitting, key=lambda each: each.as_of, default=None)
 
-    def wait_for_others(self, usual: timedelta, random: Random) -> timedelta:
+    def reader_wait(self, usual: timedelta, random: Random) -> timedelta:
         """Return how long a call may wait, whose answer peers may be waiting for."""
-        if not self.reads_itself or not self.has_followers:
+        if not self.is_reader or not self.has_followers:
             return usual
-        return usual * random.uniform(LEAST_WAIT, 1.0)
+        return usual * random.uniform(MIN_WAIT_FACTOR, 1.0)
 
     def publish_answer(
         self, update: FeedUpdate, asked_at: timedelta, wait: timedelta
@@ -121,5 +122,5 @@
             How long the call was to wait for a change.
         """
         took = self.clock.monotonic() - asked_at
-        if self.reads_itself and self.has_followers and took <= wait + LATE_ANSWER:
+        if self.is_reader and self.has_followers and took <= wait + MAX_ANSWER_DELAY:
             self.publish(update)
--- a/src/mimosafork/directory/rows.py
+++ b/src/mimosafork/directory/rows.py
@@ -60,7 +60,7 @@
     value: bytes
 
 
-class RowName(msgspec.Struct, frozen=True):
+class RowKey(msgspec.Struct, frozen=True):
     """A row to remove."""
 
     table: str
@@ -107,7 +107,7 @@
     async def write(
         self,
         puts: Sequence[RowPut] = (),
-        removes: Sequence[RowName] = (),
+        removes: Sequence[RowKey] = (),
         conditions: Sequence[RowCondition] = (),
     ) -> int:
         """Write all or nothing, in one part, and return the new version.
--- a/src/mimosafork/directory/settings.py
+++ b/src/mimosafork/directory/settings.py
@@ -27,8 +27,8 @@
 
     pause: timedelta
     wait: timedelta
-    first_retry: timedelta = ms(100)
-    last_retry: timedelta = ms(1000)
+    initial_retry_delay: timedelta = ms(100)
+    max_retry_delay: timedelta = ms(1000)
 
 
 class DirectorySettings(msgspec.Struct, frozen=True):
@@ -64,9 +64,9 @@
     )
     endpoints: FollowSettings = msgspec.field(
         default_factory=lambda: FollowSettings(
-            pause=ms(250), wait=ms(1600), last_retry=ms(700)
+            pause=ms(250), wait=ms(1600), max_retry_delay=ms(700)
         )
     )
     return_grace: timedelta = ms(2000)
-    least_outage: timedelta = ms(2000)
-    gone_kept: timedelta = timedelta(minutes=10)
+    min_outage: timedelta = ms(2000)
+    removal_retention: timedelta = timedelta(minutes=10)
--- a/src/mimosafork/gateway/gossip_adapter.py
+++ b/src/mimosafork/gateway/gossip_adapter.py
@@ -192,8 +192,8 @@
             said = EndpointWord(Word.LEAVING, change.entry.row.version)
             self.gossip.publish_endpoint_word(change.endpoint, said)
             return
-        word = self.directory.book.gone.get(change.endpoint)
-        if word is not None and word.sure:
+        word = self.directory.endpoint_registry.removals.get(change.endpoint)
+        if word is not None and word.confirmed:
             said = EndpointWord(Word.GONE, word.row.version)
             self.gossip.publish_endpoint_word(change.endpoint, said)
 
@@ -263,7 +263,7 @@
         if said.word is Word.LEAVING:
             self.directory.offer_draining(endpoint, said.version)
         else:
-            self.directory.offer_gone(endpoint, said.version)
+            self.directory.offer_removal(endpoint, said.version)
 
     def suspicion_told(self, digest: bytes, known: Suspicion) -> None:
         """Take what all know of a suspected request."""
@@ -279,7 +279,7 @@
             self.current.discard(instance)
             self.post(PeerWorkUnknown(instance))
         self.known_peers = alive
-        self.directory.peer_feed.choose(self.gossip.instance, alive)
+        self.directory.peer_feed.select_readers(self.gossip.instance, alive)
         self.neighbours.update_peers(alive, self.gossip.is_large)
 
     def peer_restarted(self, instance: InstanceId) -> None:
--- a/src/mimosafork/gateway/server.py
+++ b/src/mimosafork/gateway/server.py
@@ -181,9 +181,9 @@
             instance=self.settings.instance.id,
             zone=self.settings.instance.availability_zone,
         )
-        self.directory.listen(self._directory_changed)
-        self.directory.listen(self.gossip_adapter.directory_changed)
-        self.directory.peers = self.gossip_adapter.peers_heard
+        self.directory.add_listener(self._directory_changed)
+        self.directory.add_listener(self.gossip_adapter.directory_changed)
+        self.directory.peer_count = self.gossip_adapter.peers_heard
         self.directory.peer_feed.publish = self.gossip_adapter.feed_told
         self.gossip_adapter.gossip = self._new_gossip()
         self.gateway.zones.silent_zones = self.gossip_adapter.gossip.silent_zones
--- a/src/mimosafork/leases/keeper.py
+++ b/src/mimosafork/leases/keeper.py
@@ -10,7 +10,7 @@
 from ..kernel.context import InstanceIdentity
 from ..kernel.messages.leases import Duty, Lease
 from ..storage.errors import StoreUnavailableError, UnknownResultError
-from ..storage.table import ABSENT, Condition, Conflict, Row, Table, Write
+from ..storage.table import ABSENT, Condition, Conflict, Table, TableRow, Write
 from ..telemetry.catalogue.orders import LEASE_RELEASE_UNKNOWN
 from ..telemetry.logs import log_event
 from .row import NOBODY, OWN_VERSION, TABLE, LeaseRow, key_of, read_row
@@ -134,7 +134,7 @@
             return
         self._consider(row)
 
-    def _consider(self, row: Row) -> None:
+    def _consider(self, row: TableRow) -> None:
         """Take the lease if nobody can hold it any more."""
         seen = self.observation
         if seen is not None and row.version < seen.version:
@@ -169,7 +169,7 @@
         self._remember(row.write_id, self.clock.monotonic())
         conflict = self._write(row)
         if conflict is None:
-            self._hold(read_row(Row(self.key, self.version, row.to_value())))
+            self._hold(read_row(TableRow(self.key, self.version, row.to_value())))
         else:
             self._conflicted(conflict)
 
@@ -189,7 +189,7 @@
             self.lease = None
             self._wait(PAUSE_AFTER_TROUBLE)
             return
-        self._learn(Row(self.key, conflict.version, conflict.value))
+        self._learn(TableRow(self.key, conflict.version, conflict.value))
 
     def _settle(self) -> None:
         """Find out by reading whether an own write took effect."""
@@ -202,7 +202,7 @@
             return
         self._learn(row)
 
-    def _learn(self, row: Row) -> None:
+    def _learn(self, row: TableRow) -> None:
         content = read_row(row)
         if content.write_id in self.sent:
             self.version = row.version
--- a/src/mimosafork/leases/row.py
+++ b/src/mimosafork/leases/row.py
@@ -9,7 +9,7 @@
 from ..ids import AvailabilityZoneId, FencingNumber, Incarnation, InstanceId
 from ..kernel.context import InstanceIdentity
 from ..kernel.messages.leases import Duty
-from ..storage.table import Row
+from ..storage.table import TableRow
 
 TABLE = "leases"
 NOBODY = InstanceId("")
@@ -54,7 +54,7 @@
     return f"{zone}/{duty.value}"
 
 
-def read_row(row: Row) -> LeaseRow:
+def read_row(row: TableRow) -> LeaseRow:
     """Return what a row says.
 
     A row that can't be read, say after a change by hand, counts as held by an
--- a/src/mimosafork/orders/budget.py
+++ b/src/mimosafork/orders/budget.py
@@ -7,7 +7,7 @@
 from ..clock import Clock
 from ..ids import InstanceId
 from ..storage.errors import StoreUnavailableError, UnknownResultError
-from ..storage.table import ABSENT, Condition, Row, Table, Write
+from ..storage.table import ABSENT, Condition, Table, TableRow, Write
 
 TABLE = "budgets"
 KEY = "weight-store"
@@ -118,5 +118,5 @@
         return False
 
 
-def _written_by(row: Row, write_id: str) -> bool:
+def _written_by(row: TableRow, write_id: str) -> bool:
     return row.value.get("write_id") == write_id
--- a/src/mimosafork/platform/errors.py
+++ b/src/mimosafork/platform/errors.py
@@ -1,10 +1,10 @@
 """Errors of reading what the platform wrote."""
 
-from ..directory.errors import UnreadableError
+from ..directory.errors import UnreadableRowError
 from ..network.errors import NoAnswerError
 
 
-class DocumentError(UnreadableError):
+class DocumentError(UnreadableRowError):
     """A document of the platform lacks what is needed, or has another form."""
 
 
--- a/src/mimosafork/platform/store.py
+++ b/src/mimosafork/platform/store.py
@@ -11,13 +11,13 @@
 from ..directory.errors import (
     CallRejectedError,
     ConflictError,
-    HistoryGoneError,
+    HistoryExpiredError,
     NotAllowedError,
     RowsError,
     StoreUnavailableError,
     UnknownResultError,
 )
-from ..directory.rows import Row, RowCondition, RowName, RowPage, RowPut
+from ..directory.rows import Row, RowCondition, RowKey, RowPage, RowPut
 from ..network.errors import NetworkError, NoAnswerError
 from . import names
 from .channel import Answer
@@ -131,7 +131,7 @@
     async def write(
         self,
         puts: Sequence[RowPut] = (),
-        removes: Sequence[RowName] = (),
+        removes: Sequence[RowKey] = (),
         conditions: Sequence[RowCondition] = (),
     ) -> int:
         """Write all or nothing, in one part, and return the new version."""
@@ -242,7 +242,7 @@
     status = answer.status
     why = f"status {status}"
     if status == GONE:
-        return HistoryGoneError(why)
+        return HistoryExpiredError(why)
     if status == PRECONDITION_FAILED:
         return ConflictError(why)
     if status == FORBIDDEN:
@@ -282,7 +282,7 @@
         return b""
 
 
-def name_fields(row: RowName | RowPut | RowCondition) -> dict[str, str | int]:
+def name_fields(row: RowKey | RowPut | RowCondition) -> dict[str, str | int]:
     """Return the fields that name a row."""
     return {names.TABLE: row.table, names.PART: row.part, names.KEY: row.key}
 
--- a/src/mimosafork/quarantine/task.py
+++ b/src/mimosafork/quarantine/task.py
@@ -20,7 +20,7 @@
 )
 from ..runtime.task import Task
 from ..storage.errors import PlatformError
-from ..storage.table import ABSENT, Condition, Row, Table, Write, all_rows
+from ..storage.table import ABSENT, Condition, Table, TableRow, Write, all_rows
 
 logger = getLogger(__name__)
 
@@ -114,7 +114,7 @@
         write = Write(TABLE, message.digest, value)
         return self.table.transact((condition,), (write,)).committed
 
-    def _kept(self, row: Row) -> StoredSuspicion | None:
+    def _kept(self, row: TableRow) -> StoredSuspicion | None:
         """Return the suspicion in a row; None if it has expired or is invalid."""
         try:
             body = msgspec.convert(row.value, _RowBody)
@@ -127,7 +127,7 @@
             self._delete(row)
         return None
 
-    def _delete(self, row: Row) -> None:
+    def _delete(self, row: TableRow) -> None:
         condition = Condition(TABLE, row.key, row.version)
         try:
             self.table.transact((condition,), (Write(TABLE, row.key, None),))
@@ -135,7 +135,7 @@
             logger.debug("cannot delete an expired suspicion: %s", error)
 
 
-def _evidence_of(row: Row) -> tuple[CrashEvidence, ...]:
+def _evidence_of(row: TableRow) -> tuple[CrashEvidence, ...]:
     try:
         return msgspec.convert(row.value, _RowBody).evidence
     except msgspec.ValidationError:
--- a/src/mimosafork/storage/breaker.py
+++ b/src/mimosafork/storage/breaker.py
@@ -22,8 +22,8 @@
 T = TypeVar("T")
 
 FAILURES_TO_OPEN = 3
-FIRST_PAUSE = timedelta(milliseconds=250)
-LONGEST_PAUSE = timedelta(seconds=2)
+INITIAL_PROBE_DELAY = timedelta(milliseconds=250)
+MAX_PROBE_DELAY = timedelta(seconds=2)
 """Short against the time in which an accepted configuration must be in force."""
 
 
@@ -39,7 +39,7 @@
 class CallMeter(Protocol):
     """Is told of each call that was made."""
 
-    def note(
+    def record_call(
         self, service: str, duration: timedelta, error: BaseException | None
     ) -> None:
         """Note a call.
@@ -94,7 +94,7 @@
         self.failures = 0
         self.retry_at = timedelta(0)
         self.down_since = timedelta(0)
-        self.pause = FIRST_PAUSE
+        self.probe_delay = INITIAL_PROBE_DELAY
         self._lock = Lock()
 
     def run(self, call: Callable[[], T]) -> T:
@@ -112,30 +112,30 @@
         PlatformError
             Whatever the call raises.
         """
-        self._enter()
+        self._admit()
         begin = self.clock.monotonic()
         try:
             result = call()
         except CallRejectedError as error:
-            self._note(begin, error)
+            self._record_call(begin, error)
             self._succeeded()
             raise
         except BaseException as error:
-            self._note(begin, error)
+            self._record_call(begin, error)
             # Also after a fault of ours, which says nothing about the service: a
             # probe that never reported back would keep the breaker shut for ever.
             self._failed(error)
             raise
-        self._note(begin, None)
+        self._record_call(begin, None)
         self._succeeded()
         return result
 
-    def _note(self, begin: timedelta, error: BaseException | None) -> None:
+    def _record_call(self, begin: timedelta, error: BaseException | None) -> None:
         if self.meter is not None:
             duration = self.clock.monotonic() - begin
-            self.meter.note(self.service, duration, error)
+            self.meter.record_call(self.service, duration, error)
 
-    def _enter(self) -> None:
+    def _admit(self) -> None:
         with self._lock:
             if self.state is BreakerState.CLOSED:
                 return
@@ -154,7 +154,7 @@
                 )
             self.state = BreakerState.CLOSED
             self.failures = 0
-            self.pause = FIRST_PAUSE
+            self.probe_delay = INITIAL_PROBE_DELAY
 
     def _failed(self, error: BaseException) -> None:
         if isinstance(error, UnknownResultError):
@@ -170,7 +170,7 @@
                     logger, STORE_UNAVAILABLE, service=self.service, why=str(error)
                 )
             if probed:
-                self.pause = min(self.pause * 2, LONGEST_PAUSE)
+                self.probe_delay = min(self.probe_delay * 2, MAX_PROBE_DELAY)
             self.state = BreakerState.OPEN
-            jittered = self.pause * (0.5 + 0.5 * self.random.random())
+            jittered = self.probe_delay * (0.5 + 0.5 * self.random.random())
             self.retry_at = self.clock.monotonic() + jittered
--- a/src/mimosafork/storage/instances.py
+++ b/src/mimosafork/storage/instances.py
@@ -41,9 +41,9 @@
 FIRST_ERROR = 400
 AGE_HEADER = "X-As-Of-S"
 
-BYTES_PER_S = 8 * 1024
+LIST_BYTES_PER_S = 8 * 1024
 """What whole lists may cost in the long run; a node has 27 KB/s for all control."""
-BURST_BYTES = 1024 * 1024
+LIST_BURST_BYTES = 1024 * 1024
 """What they may cost at once: some reads of the largest list, one after another."""
 
 
@@ -99,9 +99,9 @@
         ------
         StoreUnavailableError
         """
-        return self.read_after(None).listed
+        return self.read_if_changed(None).listed
 
-    def read_after(self, last: ListReading | None) -> ListReading:
+    def read_if_changed(self, last: ListReading | None) -> ListReading:
         """Return the list, without sending it again if `last` is still the newest.
 
         At the design size a whole list is 168 KB; read every second it would be
@@ -183,7 +183,7 @@
     age = _seconds(listed.get("as_of_s"))
     tag = answer.headers.get("ETag")
     return ListReading(
-        structs.replace(listed_of(entries), age=age), tag, len(answer.body)
+        structs.replace(convert_entries(entries), age=age), tag, len(answer.body)
     )
 
 
@@ -195,7 +195,7 @@
         return timedelta(0)
 
 
-def listed_of(entries: list[Any]) -> InstancesListed:
+def convert_entries(entries: list[Any]) -> InstancesListed:
     """Convert the wire's entries; those that can't be read are left out.
 
     One entry with a kind or state of a newer platform must not hide all others.
@@ -274,8 +274,8 @@
         self.last_read = clock.monotonic()
         self.reachable = True
         self.last: ListReading | None = None
-        self.allowance = float(BURST_BYTES)
-        self.counted_at = clock.monotonic()
+        self.byte_budget = float(LIST_BURST_BYTES)
+        self.budget_updated_at = clock.monotonic()
 
     def wait_time(self) -> timedelta:
         """Return the time until the next read."""
@@ -286,7 +286,7 @@
         spread = 1 + JITTER * (2 * self.random.random() - 1)
         self.next_read = self.clock.monotonic() + self.period * spread
         try:
-            self.last = self.client.read_after(self.last)
+            self.last = self.client.read_if_changed(self.last)
         except PlatformError:
             if self.reachable:
                 age = self.clock.monotonic() - self.last_read
@@ -296,9 +296,9 @@
         self.reachable = True
         self.last_read = self.clock.monotonic()
         self.post(self.last.listed)
-        self._pay_for(self.last.size)
+        self._charge_bytes(self.last.size)
 
-    def _pay_for(self, size: int) -> None:
+    def _charge_bytes(self, size: int) -> None:
         """Put the next read off if whole lists have come too fast.
 
         A platform that gives no tags, or a list that changes every second while a
@@ -306,11 +306,11 @@
         say so themselves meanwhile; the list only brings new ones later.
         """
         now = self.clock.monotonic()
-        gained = (now - self.counted_at).total_seconds() * BYTES_PER_S
-        self.allowance = min(BURST_BYTES, self.allowance + gained) - size
-        self.counted_at = now
-        if self.allowance < 0:
-            debt = timedelta(seconds=-self.allowance / BYTES_PER_S)
+        gained = (now - self.budget_updated_at).total_seconds() * LIST_BYTES_PER_S
+        self.byte_budget = min(LIST_BURST_BYTES, self.byte_budget + gained) - size
+        self.budget_updated_at = now
+        if self.byte_budget < 0:
+            debt = timedelta(seconds=-self.byte_budget / LIST_BYTES_PER_S)
             self.next_read = max(self.next_read, now + debt)
 
     def receive(self, message: None) -> None:
--- a/src/mimosafork/storage/meter.py
+++ b/src/mimosafork/storage/meter.py
@@ -24,7 +24,7 @@
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
 
-    def note(
+    def record_call(
         self, service: str, duration: timedelta, error: BaseException | None
     ) -> None:
         """Note a call."""
--- a/src/mimosafork/storage/table.py
+++ b/src/mimosafork/storage/table.py
@@ -21,7 +21,7 @@
 ABSENT = 0
 """Version in a condition on a row that must not exist."""
 
-PAGE = 500
+PAGE_ROWS = 500
 OK = 200
 CONFLICT = 409
 NOT_FOUND = 404
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class TableRow:
     """A row as it was read; the read may be stale."""
 
     key: str
@@ -112,7 +112,7 @@
 class Table(Protocol):
     """Port of the table service; `TableClient` and the tests' fakes fill it."""
 
-    def get(self, table: str, key: str) -> Row | None:
+    def get(self, table: str, key: str) -> TableRow | None:
         """Return a row, or None; possibly stale.
 
         Raises
@@ -122,8 +122,8 @@
         ...
 
     def page(
-        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE
-    ) -> tuple[Row, ...]:
+        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE_ROWS
+    ) -> tuple[TableRow, ...]:
         """Return up to `limit` rows after a key, in key order; possibly stale.
 
         Raises
@@ -147,7 +147,7 @@
         ...
 
 
-def all_rows(store: Table, table: str, prefix: str = "") -> Iterator[Row]:
+def all_rows(store: Table, table: str, prefix: str = "") -> Iterator[TableRow]:
     """Read the rows of a table page by page, in key order.
 
     Raises
@@ -156,9 +156,9 @@
     """
     after = ""
     while True:
-        rows = store.page(table, prefix, after, PAGE)
+        rows = store.page(table, prefix, after, PAGE_ROWS)
         yield from rows
-        if len(rows) < PAGE:
+        if len(rows) < PAGE_ROWS:
             return
         after = rows[-1].key
 
@@ -181,7 +181,7 @@
         self.address = address
         self.breaker = breaker
 
-    def get(self, table: str, key: str) -> Row | None:
+    def get(self, table: str, key: str) -> TableRow | None:
         """Return a row, or None; possibly stale.
 
         Raises
@@ -192,11 +192,11 @@
         answer = self.breaker.run(lambda: self._read(path))
         if answer.status == NOT_FOUND:
             return None
-        return _decoded(answer, Row)
+        return _decoded(answer, TableRow)
 
     def page(
-        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE
-    ) -> tuple[Row, ...]:
+        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE_ROWS
+    ) -> tuple[TableRow, ...]:
         """Return up to `limit` rows after a key, in key order; possibly stale.
 
         Raises
@@ -232,7 +232,7 @@
             raise StoreUnavailableError(f"the row was not read: {error}") from error
         if answer.status in {OK, NOT_FOUND}:
             return answer
-        raise _refusal(answer)
+        raise _error_for_status(answer)
 
     def _write(self, body: "_Transaction") -> TransactionResult:
         try:
@@ -244,7 +244,7 @@
             # do it yet. Calling this a failure would let the caller write again.
             raise UnknownResultError(f"perhaps written: {error}") from error
         if answer.status not in {OK, CONFLICT}:
-            raise _refusal(answer, writing=True)
+            raise _error_for_status(answer, writing=True)
         try:
             return msgspec.json.decode(answer.body, type=TransactionResult)
         except msgspec.MsgspecError as error:
@@ -264,10 +264,10 @@
 class _Page:
     """Answer to a listing."""
 
-    rows: tuple[Row, ...] = field(default_factory=tuple)
+    rows: tuple[TableRow, ...] = field(default_factory=tuple)
 
 
-def _refusal(
+def _error_for_status(
     answer: Answer, writing: bool = False
 ) -> StoreUnavailableError | UnknownResultError:
     """Return the error for a status that is no answer to the call."""
--- a/src/mimosafork/watch/calls.py
+++ b/src/mimosafork/watch/calls.py
@@ -12,7 +12,7 @@
 from ..network.errors import NetworkError, NeverSentError
 from ..network.http import HttpClient
 from .documents import cache_events, cache_snapshot, load_report
-from .errors import UnansweredError, UnreachedError
+from .errors import EndpointUnreachableError, NoValidAnswerError
 
 LOAD_PATH = "/v1/load"
 EVENTS_PATH = "/v1/cache-events"
@@ -70,9 +70,9 @@
         try:
             answer = self.http.call("GET", address, path, timeout=self.timeout)
         except NeverSentError as error:
-            raise UnreachedError(str(error)) from error
+            raise EndpointUnreachableError(str(error)) from error
         except NetworkError as error:
-            raise UnansweredError(str(error)) from error
+            raise NoValidAnswerError(str(error)) from error
         if answer.status != HTTPStatus.OK:
-            raise UnansweredError(f"status {answer.status}")
+            raise NoValidAnswerError(f"status {answer.status}")
         return answer.body
--- a/src/mimosafork/watch/documents.py
+++ b/src/mimosafork/watch/documents.py
@@ -15,7 +15,7 @@
     LoadReport,
 )
 from ..kernel.messages.requests import PrefixMark
-from .errors import UnansweredError
+from .errors import NoValidAnswerError
 
 T = TypeVar("T")
 
@@ -82,14 +82,14 @@
 
     Raises
     ------
-    UnansweredError
+    NoValidAnswerError
         If it is none, or comes from another endpoint: an address is given to a new
         one while the list still has the old one there, and its load and models
         must not be taken for the old one's.
     """
     document = _decoded(body, LoadDocument)
     if document.endpoint != endpoint:
-        raise UnansweredError(f"{document.endpoint!r} answers at its address")
+        raise NoValidAnswerError(f"{document.endpoint!r} answers at its address")
     checked = document.fencing == FencingMode.CHECKED.value
     return LoadReport(
         endpoint=endpoint,
@@ -114,7 +114,7 @@
 
     Raises
     ------
-    UnansweredError
+    NoValidAnswerError
         If it is no such answer.
     """
     document = _decoded(body, EventsDocument)
@@ -135,7 +135,7 @@
 
     Raises
     ------
-    UnansweredError
+    NoValidAnswerError
         If it is no such answer.
     """
     document = _decoded(body, SnapshotDocument)
@@ -151,4 +151,4 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError as error:
-        raise UnansweredError(f"not the protocol's answer: {error}") from error
+        raise NoValidAnswerError(f"not the protocol's answer: {error}") from error
--- a/src/mimosafork/watch/errors.py
+++ b/src/mimosafork/watch/errors.py
@@ -7,9 +7,9 @@
     """Base of failed probes."""
 
 
-class UnreachedError(WatchError):
+class EndpointUnreachableError(WatchError):
     """No connection to the endpoint could be made."""
 
 
-class UnansweredError(WatchError):
+class NoValidAnswerError(WatchError):
     """The endpoint gave no usable answer in time."""
--- a/src/mimosafork/watch/messages.py
+++ b/src/mimosafork/watch/messages.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class ProbeState:
     """How the probing of one endpoint stands.
 
     Attributes
@@ -31,9 +31,9 @@
     target: WatchedEndpoint
     due: timedelta
     events_due: timedelta
-    busy: bool = False
-    reading_cache: bool = False
-    misses: int = 0
+    probe_in_flight: bool = False
+    cache_read_in_flight: bool = False
+    consecutive_failures: int = 0
     incarnation: Incarnation = field(default=Incarnation(0))
     events_after: int = 0
     wants_snapshot: bool = False
@@ -43,7 +43,7 @@
 class ProbeEnded:
     """A load probe has ended, with a report or an error."""
 
-    watch: Watch
+    watch: ProbeState
     result: LoadReport | WatchError
 
 
@@ -51,7 +51,7 @@
 class CacheRead:
     """A read of cache events or of a snapshot has ended."""
 
-    watch: Watch
+    watch: ProbeState
     result: CacheEventsReported | CacheSnapshotReported | WatchError
 
 
--- a/src/mimosafork/watch/task.py
+++ b/src/mimosafork/watch/task.py
@@ -23,8 +23,8 @@
 from ..runtime.task import Task
 from ..telemetry.catalogue.lifecycle import TASK_FAILED
 from ..telemetry.logs import log_event
-from .errors import UnansweredError, UnreachedError, WatchError
-from .messages import CacheRead, ProbeEnded, Reader, Watch, WatchInput
+from .errors import EndpointUnreachableError, NoValidAnswerError, WatchError
+from .messages import CacheRead, ProbeEnded, ProbeState, Reader, WatchInput
 
 logger = getLogger(__name__)
 
@@ -32,17 +32,17 @@
 
 Post = Callable[[Message], None]
 
-STEADY_THREADS = 4
-DOUBTFUL_THREADS = 2
+HEALTHY_POOL_THREADS = 4
+FAILING_POOL_THREADS = 2
 """Probes of endpoints whose last probe failed have threads of their own. A frozen
 endpoint holds a thread for the whole timeout each time; on shared threads a few of
 them would delay the probes of all others, and those would look frozen too."""
 
-MISSES_ALLOWED = 1
+TOLERATED_TIMEOUTS = 1
 """An endpoint may let this many probes pass unanswered before it is told as failed;
 a long prefill may hold up one answer. A refused connection is told at once."""
 
-SHARE_OF_PERIOD = timedelta(milliseconds=250)
+MIN_PROBE_SPACING = timedelta(milliseconds=250)
 """Least time between two probes of one instance, on average: with many endpoints to
 watch each is asked less often, so that probing stays within its budget."""
 
@@ -74,7 +74,7 @@
         random: Random,
         post: Post,
         period: timedelta,
-        share_of_period: timedelta = SHARE_OF_PERIOD,
+        min_probe_spacing: timedelta = MIN_PROBE_SPACING,
     ) -> None:
         super().__init__("watch")
         self.reader = reader
@@ -82,25 +82,27 @@
         self.random = random
         self.post = post
         self.period = period
-        self.share_of_period = share_of_period
-        self.watches: dict[EndpointId, Watch] = {}
-        self.steady = ThreadPoolExecutor(STEADY_THREADS, "watch-steady")
-        self.doubtful = ThreadPoolExecutor(DOUBTFUL_THREADS, "watch-doubtful")
+        self.min_probe_spacing = min_probe_spacing
+        self.watches: dict[EndpointId, ProbeState] = {}
+        self.healthy_pool = ThreadPoolExecutor(HEALTHY_POOL_THREADS, "watch-steady")
+        self.failing_pool = ThreadPoolExecutor(FAILING_POOL_THREADS, "watch-doubtful")
 
     def stop(self, timeout: timedelta = timedelta(seconds=5)) -> None:
         """Stop the thread; calls under way end by their own timeout."""
         super().stop(timeout)
-        self.steady.shutdown(wait=False, cancel_futures=True)
-        self.doubtful.shutdown(wait=False, cancel_futures=True)
+        self.healthy_pool.shutdown(wait=False, cancel_futures=True)
+        self.failing_pool.shutdown(wait=False, cancel_futures=True)
 
     def wait_time(self) -> timedelta:
         """Return the time until the next call is due."""
         now = self.clock.monotonic()
-        due = [watch.due for watch in self.watches.values() if not watch.busy]
+        due = [
+            watch.due for watch in self.watches.values() if not watch.probe_in_flight
+        ]
         due += [
             watch.events_due
             for watch in self.watches.values()
-            if _reads_cache(watch) and not watch.reading_cache
+            if _reads_cache(watch) and not watch.cache_read_in_flight
         ]
         return min(min(due, default=now + LONGEST_IDLE) - now, LONGEST_IDLE)
 
@@ -108,11 +110,11 @@
         """Start the calls that are due."""
         now = self.clock.monotonic()
         for watch in self.watches.values():
-            if not watch.busy and watch.due <= now:
+            if not watch.probe_in_flight and watch.due <= now:
                 self._probe(watch, now)
             if (
                 _reads_cache(watch)
-                and not watch.reading_cache
+                and not watch.cache_read_in_flight
                 and watch.events_due <= now
             ):
                 self._read_cache(watch, now)
@@ -137,7 +139,7 @@
         for name, target in wanted.items():
             known = self.watches.get(name)
             if known is None or known.target.address != target.address:
-                self.watches[name] = Watch(target, now, now)
+                self.watches[name] = ProbeState(target, now, now)
             else:
                 known.target = target
 
@@ -151,23 +153,23 @@
     @handle.register
     def _(self, message: ProbeEnded) -> None:
         watch = message.watch
-        watch.busy = False
+        watch.probe_in_flight = False
         if self.watches.get(watch.target.endpoint) is not watch:
             return
         if isinstance(message.result, LoadReport):
-            watch.misses = 0
+            watch.consecutive_failures = 0
             self.post(LoadReported(message.result))
             return
-        watch.misses += 1
-        refused = isinstance(message.result, UnreachedError)
-        if refused or watch.misses > MISSES_ALLOWED:
+        watch.consecutive_failures += 1
+        refused = isinstance(message.result, EndpointUnreachableError)
+        if refused or watch.consecutive_failures > TOLERATED_TIMEOUTS:
             logger.debug("%s: %s", watch.target.endpoint, message.result)
             self.post(ProbeFailed(watch.target.endpoint))
 
     @handle.register
     def _(self, message: CacheRead) -> None:
         watch = message.watch
-        watch.reading_cache = False
+        watch.cache_read_in_flight = False
         if self.watches.get(watch.target.endpoint) is not watch:
             return
         result = message.result
@@ -176,9 +178,9 @@
             watch.events_after = result.sequence
             self.post(result)
         elif isinstance(result, CacheEventsReported):
-            self._take_events(watch, result)
+            self._apply_events(watch, result)
 
-    def _take_events(self, watch: Watch, result: CacheEventsReported) -> None:
+    def _apply_events(self, watch: ProbeState, result: CacheEventsReported) -> None:
         """Pass on events, or read the cache anew if the engine has been restarted.
 
         A restarted engine numbers its events from one and its cache is empty, so
@@ -192,21 +194,21 @@
         watch.events_after = max(watch.events_after, result.newest)
         self.post(result)
 
-    def _probe(self, watch: Watch, now: timedelta) -> None:
-        period = max(self.period, self.share_of_period * len(self.watches))
+    def _probe(self, watch: ProbeState, now: timedelta) -> None:
+        period = max(self.period, self.min_probe_spacing * len(self.watches))
         watch.due = now + period * self.random.uniform(1 - JITTER, 1 + JITTER)
-        watch.busy = True
+        watch.probe_in_flight = True
         target = watch.target
         call = partial(self.reader.load, target.endpoint, target.address)
-        pool = self.doubtful if watch.misses else self.steady
+        pool = self.failing_pool if watch.consecutive_failures else self.healthy_pool
         pool.submit(self._run_probe, watch, call)
 
-    def _run_probe(self, watch: Watch, call: Callable[[], LoadReport]) -> None:
+    def _run_probe(self, watch: ProbeState, call: Callable[[], LoadReport]) -> None:
         self.send(ProbeEnded(watch, _result_of(call)))
 
-    def _read_cache(self, watch: Watch, now: timedelta) -> None:
+    def _read_cache(self, watch: ProbeState, now: timedelta) -> None:
         watch.events_due = now + EVENTS_PERIOD
-        watch.reading_cache = True
+        watch.cache_read_in_flight = True
         target = watch.target
         call: Callable[[], CacheEventsReported | CacheSnapshotReported]
         if watch.wants_snapshot:
@@ -215,12 +217,12 @@
         else:
             after = watch.events_after
             call = partial(self.reader.events, target.endpoint, target.address, after)
-        pool = self.doubtful if watch.misses else self.steady
+        pool = self.failing_pool if watch.consecutive_failures else self.healthy_pool
         pool.submit(self._run_cache_read, watch, call)
 
     def _run_cache_read(
         self,
-        watch: Watch,
+        watch: ProbeState,
         call: Callable[[], CacheEventsReported | CacheSnapshotReported],
     ) -> None:
         self.send(CacheRead(watch, _result_of(call)))
@@ -238,10 +240,10 @@
         return error
     except Exception as error:
         log_event(logger, TASK_FAILED, exc_info=error, task="watch")
-        return UnansweredError(str(error))
+        return NoValidAnswerError(str(error))
 
 
-def _reads_cache(watch: Watch) -> bool:
+def _reads_cache(watch: ProbeState) -> bool:
     """Return whether this instance reads an endpoint's cache events."""
     target = watch.target
     return target.is_primary and target.kind is EndpointKind.MODEL_ENGINE
--- a/tests/functional/test_gateway_fleet.py
+++ b/tests/functional/test_gateway_fleet.py
@@ -16,7 +16,7 @@
 from ..support.functions import function_tests
 from ..support.gateway_processes import GatewayProcess, gateway_process
 from ..support.prepared import API_KEY, DESKS, HOST, USUAL_CONFIG, deployment
-from ..support.store_paths import StorePath, store_path
+from ..support.store_proxies import StoreProxy, store_proxy
 from ..support.waiting import eventually
 
 case = TestCase()
@@ -39,14 +39,14 @@
     platform: Deployment
     first: GatewayProcess
     second: GatewayProcess
-    second_path: StorePath
+    second_path: StoreProxy
 
 
 @contextmanager
 def pair() -> Iterator[Pair]:
     """Run two instances that have found each other."""
     with deployment() as platform, ExitStack() as stack:
-        path = stack.enter_context(store_path(platform.store.address))
+        path = stack.enter_context(store_proxy(platform.store.address))
         first = stack.enter_context(gateway_process(platform, bounds=BOUNDS))
         second = stack.enter_context(
             gateway_process(platform, "entry-2", path.address, BOUNDS)
--- a/tests/support/directories.py
+++ b/tests/support/directories.py
@@ -9,8 +9,8 @@
 
 from mimosafork.clock import ManualClock
 from mimosafork.directory.directory import Directory
-from mimosafork.directory.errors import StoreUnavailableError, UnreadableError
-from mimosafork.directory.follower import Follower
+from mimosafork.directory.errors import StoreUnavailableError, UnreadableRowError
+from mimosafork.directory.follower import TableFollower
 from mimosafork.directory.messages import (
     DirectoryChange,
     EndpointChanged,
@@ -68,7 +68,7 @@
         try:
             version = Revision(int(row.value))
         except ValueError as error:
-            raise UnreadableError(str(error)) from error
+            raise UnreadableRowError(str(error)) from error
         return RoutingTable(version, (), {}, ClientLimits(), ())
 
 
@@ -82,7 +82,7 @@
         try:
             state = ListedState(word)
         except ValueError as error:
-            raise UnreadableError(str(error)) from error
+            raise UnreadableRowError(str(error)) from error
         return ListedEndpoint(
             endpoint=EndpointId(row.key),
             service=ServiceId("s"),
@@ -102,11 +102,11 @@
         self.clock = ManualClock(timedelta(hours=1))
         self.configurations = ScriptedConfigurations()
         self.listing = ScriptedEndpoints()
-        self.told: list[DirectoryChange] = []
+        self.published: list[DirectoryChange] = []
         self.directory = Directory(
             self.configurations, self.listing, self.clock, Random(1)
         )
-        self.directory.listen(self.told.append)
+        self.directory.add_listener(self.published.append)
 
     def endpoints(self, *replies: Reply) -> timedelta:
         """Let the endpoints' follower meet replies; return its last pause."""
@@ -137,13 +137,13 @@
         table = self.directory.table
         return None if table is None else table.version
 
-    def words(self) -> list[str]:
+    def summaries(self) -> list[str]:
         """Return what was told, each in short."""
-        return [word_of(change) for change in self.told]
+        return [summary_of(change) for change in self.published]
 
 
 def run_steps(
-    follower: Follower, source: ScriptedSource, replies: tuple[Reply, ...]
+    follower: TableFollower, source: ScriptedSource, replies: tuple[Reply, ...]
 ) -> timedelta:
     """Make a step for each reply."""
     source.replies += replies
@@ -158,7 +158,7 @@
     return pause
 
 
-def word_of(change: DirectoryChange) -> str:
+def summary_of(change: DirectoryChange) -> str:
     """Return a change in short."""
     if isinstance(change, TableChanged):
         return f"table {change.table.version}"
@@ -167,9 +167,9 @@
     return f"{change.endpoint} {change.entry.state.value}{held}"
 
 
-def listed(key: str, version: int, word: str = "ready") -> Row:
+def listed(key: str, version: int, state: str = "ready") -> Row:
     """Return an endpoint's row."""
-    return Row("endpoints", "", key, word.encode(), version)
+    return Row("endpoints", "", key, state.encode(), version)
 
 
 def removed(key: str, version: int) -> Row:
--- a/tests/support/fake_table.py
+++ b/tests/support/fake_table.py
@@ -6,11 +6,11 @@
 from mimosafork.storage.errors import StoreUnavailableError, UnknownResultError
 from mimosafork.storage.table import (
     ABSENT,
-    PAGE,
+    PAGE_ROWS,
     Condition,
     Conflict,
-    Row,
     RowValue,
+    TableRow,
     TransactionResult,
     Write,
 )
@@ -54,9 +54,9 @@
     """
 
     def __init__(self) -> None:
-        self.rows: dict[Place, Row] = {}
+        self.rows: dict[Place, TableRow] = {}
         self.versions: dict[Place, int] = {}
-        self.frozen: dict[Place, Row] | None = None
+        self.frozen: dict[Place, TableRow] | None = None
         self.down = False
         self.faults: list[Fault] = []
         self.delayed: list[Transaction] = []
@@ -77,15 +77,15 @@
         for each in delayed:
             self._do(each)
 
-    def get(self, table: str, key: str) -> Row | None:
+    def get(self, table: str, key: str) -> TableRow | None:
         """Return a row, or None."""
         self._refuse_if_down()
         self.reads += 1
         return self._seen().get((table, key))
 
     def page(
-        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE
-    ) -> tuple[Row, ...]:
+        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE_ROWS
+    ) -> tuple[TableRow, ...]:
         """Return up to `limit` rows after a key, in key order."""
         self._refuse_if_down()
         self.reads += 1
@@ -116,7 +116,7 @@
         if self.down:
             raise StoreUnavailableError("the store is down")
 
-    def _seen(self) -> dict[Place, Row]:
+    def _seen(self) -> dict[Place, TableRow]:
         return self.rows if self.frozen is None else self.frozen
 
     def _do(self, called: Transaction) -> TransactionResult:
@@ -149,5 +149,5 @@
         if value is None:
             self.rows.pop(place, None)
         else:
-            self.rows[place] = Row(key, version, value)
+            self.rows[place] = TableRow(key, version, value)
         return version
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -67,8 +67,8 @@
 QUICK = FollowSettings(
     pause=timedelta(milliseconds=5),
     wait=timedelta(milliseconds=500),
-    first_retry=timedelta(milliseconds=5),
-    last_retry=timedelta(milliseconds=20),
+    initial_retry_delay=timedelta(milliseconds=5),
+    max_retry_delay=timedelta(milliseconds=20),
 )
 FOLLOWING = DirectorySettings(configuration=QUICK, endpoints=QUICK)
 """Changes are followed without the usual delays, so that tests run quickly."""
--- a/tests/support/gateway_tables.py
+++ b/tests/support/gateway_tables.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from mimosafork.directory.errors import UnreadableError
+from mimosafork.directory.errors import UnreadableRowError
 from mimosafork.directory.rows import Row, RowPage
 from mimosafork.gateway.dialect import CallMetadata
 from mimosafork.gateway.heads import parse_request_head
@@ -85,7 +85,7 @@
             state, service, address, zone, slots = row.value.decode().split()
             listed_state = ListedState(state)
         except ValueError as error:
-            raise UnreadableError(str(error)) from error
+            raise UnreadableRowError(str(error)) from error
         service_id = PLAIN_SERVICE if service == PLAIN_SERVICE else POOL
         return ListedEndpoint(
             EndpointId(row.key),
--- a/tests/support/gossip_instances.py
+++ b/tests/support/gossip_instances.py
@@ -13,7 +13,7 @@
     ABSENT,
     Row,
     RowCondition,
-    RowName,
+    RowKey,
     RowPage,
     RowPut,
 )
@@ -56,7 +56,7 @@
     async def write(
         self,
         puts: Sequence[RowPut] = (),
-        removes: Sequence[RowName] = (),
+        removes: Sequence[RowKey] = (),
         conditions: Sequence[RowCondition] = (),
     ) -> int:
         self.check()
--- a/tests/support/model_store.py
+++ b/tests/support/model_store.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from mimosafork.directory.errors import HistoryGoneError, StoreUnavailableError
+from mimosafork.directory.errors import HistoryExpiredError, StoreUnavailableError
 from mimosafork.directory.rows import Row, RowPage
 
 EXPIRY = timedelta(seconds=3)
@@ -166,7 +166,7 @@
     def changes(self, table: StoredTable, after: int) -> RowPage:
         """Return what changed after a version; raises `HistoryGoneError`."""
         if after < table.kept_from:
-            raise HistoryGoneError("forgotten")
+            raise HistoryExpiredError("forgotten")
         rows = tuple(row for row in table.log if row.version > after)
         return RowPage(rows, self.version)
 
--- a/tests/support/scripted_rows.py
+++ b/tests/support/scripted_rows.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from datetime import timedelta
 
-from mimosafork.directory.rows import Row, RowCondition, RowName, RowPage, RowPut
+from mimosafork.directory.rows import Row, RowCondition, RowKey, RowPage, RowPut
 from mimosafork.directory.sources import RowSource
 
 
@@ -38,7 +38,7 @@
     async def write(
         self,
         puts: Sequence[RowPut] = (),
-        removes: Sequence[RowName] = (),
+        removes: Sequence[RowKey] = (),
         conditions: Sequence[RowCondition] = (),
     ) -> int:
         """Not called."""
--- a/tests/support/simulated_gateway.py
+++ b/tests/support/simulated_gateway.py
@@ -170,7 +170,7 @@
         self.directory = Directory(
             self.tables, FakeEndpointRows(), self.clock, Random(seed)
         )
-        self.directory.listen(self.directory_changed)
+        self.directory.add_listener(self.directory_changed)
         self.random = Random(seed)
         self.share = SlackShare(INSTANCES)
         self.peer = BudgetedRetry()
--- a/tests/support/store_paths.py
+++ b/tests/support/store_proxies.py
@@ -9,7 +9,7 @@
 HOST = "127.0.0.1"
 
 
-class StorePath:
+class StoreProxy:
     """Passes bytes on both ways between a process and the store.
 
     While it is silent nothing is passed on, and nothing is closed or refused: as
@@ -61,9 +61,9 @@
 
 
 @contextmanager
-def store_path(store: str) -> Iterator[StorePath]:
+def store_proxy(store: str) -> Iterator[StoreProxy]:
     """Run a way to the store for the length of a test."""
-    path = StorePath(store)
+    path = StoreProxy(store)
     try:
         yield path
     finally:
--- a/tests/unit/configuration/test_interleavings.py
+++ b/tests/unit/configuration/test_interleavings.py
@@ -21,7 +21,7 @@
 from mimosafork.configuration.rows import HISTORY_TABLE, HistoryRow, read_row
 from mimosafork.configuration.store import ConfigurationStore
 from mimosafork.ids import ApplyId
-from mimosafork.storage.table import Row
+from mimosafork.storage.table import TableRow
 
 from ...support.fake_table import FakeTable, Fault, Place
 from ...support.followers import FollowingInstance
@@ -56,7 +56,7 @@
         self.accepted: dict[ApplyId, int] = {}
         self.refused: set[ApplyId] = set()
         self.applies = 0
-        self.past: list[dict[Place, Row]] = []
+        self.past: list[dict[Place, TableRow]] = []
         self._begin()
 
     @rule(
--- a/tests/unit/directory/test_directory_machine.py
+++ b/tests/unit/directory/test_directory_machine.py
@@ -14,7 +14,7 @@
 
 from mimosafork.clock import ManualClock
 from mimosafork.directory.directory import Directory
-from mimosafork.directory.follower import Follower
+from mimosafork.directory.follower import TableFollower
 from mimosafork.directory.messages import DirectoryChange, EndpointState, TableChanged
 from mimosafork.directory.rows import Row
 from mimosafork.ids import EndpointId
@@ -109,7 +109,7 @@
         self.directory = Directory(
             self.configurations, self.listing, self.clock, Random(1)
         )
-        self.directory.listen(self.heard)
+        self.directory.add_listener(self.heard)
         self.in_force = 0
         self.draining: set[EndpointId] = set()
         self.usable: dict[EndpointId, ListedEndpoint] = {}
@@ -236,7 +236,7 @@
             row = log[which % len(log)]
             listed = row.key in self.store.endpoints.rows
             if row.removed:
-                self.directory.offer_gone(EndpointId(row.key), row.version)
+                self.directory.offer_removal(EndpointId(row.key), row.version)
                 self.directory.offer_endpoint(row)
             elif listed or self.late_peers:
                 self.directory.offer_endpoint(row)
@@ -271,7 +271,7 @@
             self.what_is_used_is_there()
             self.the_newest_configuration_is_in_force()
 
-    def step(self, follower: Follower) -> None:
+    def step(self, follower: TableFollower) -> None:
         """Make one call of a follower; an answer of an older state is no calm one."""
         before = self.store.late_reads
         asyncio.run(follower.step())
--- a/tests/unit/directory/test_endpoints.py
+++ b/tests/unit/directory/test_endpoints.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.directory.errors import HistoryGoneError, StoreUnavailableError
+from mimosafork.directory.errors import HistoryExpiredError, StoreUnavailableError
 from mimosafork.directory.messages import EndpointState
 from mimosafork.ids import EndpointId
 
@@ -13,7 +13,7 @@
 case = TestCase()
 
 DOWN = StoreUnavailableError("down")
-CUT = HistoryGoneError("cut")
+CUT = HistoryExpiredError("cut")
 READY = EndpointState.READY
 DRAINING = EndpointState.DRAINING
 
@@ -22,17 +22,17 @@
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, listed("b", 11)), page(15))
         case.assertEqual([None, 9, 12], world.listing.asked)
-        case.assertEqual(["a ready", "b ready"], world.words())
+        case.assertEqual(["a ready", "b ready"], world.summaries())
 
 
 def test_reports_that_change_nothing_for_others_are_not_told() -> None:
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, listed("a", 12)))
-        case.assertEqual(["a ready"], world.words())
+        case.assertEqual(["a ready"], world.summaries())
         entry = world.directory.endpoints[EndpointId("a")]
         case.assertEqual(12, entry.listed.sequence)
         world.endpoints(page(13, listed("a", 13, "ready 10.0.0.2:80")))
-        case.assertEqual(["a ready", "a ready"], world.words())
+        case.assertEqual(["a ready", "a ready"], world.summaries())
 
 
 def test_draining_and_removal_take_effect_at_once() -> None:
@@ -42,7 +42,7 @@
         case.assertEqual(DRAINING, world.state("a"))
         case.assertFalse(world.directory.endpoints[EndpointId("a")].takes_new_work)
         case.assertIsNone(world.state("b"))
-        case.assertEqual(["a draining", "b gone"], world.words()[2:])
+        case.assertEqual(["a draining", "b gone"], world.summaries()[2:])
 
 
 def test_a_draining_word_is_never_taken_back() -> None:
@@ -101,7 +101,7 @@
         world.pass_time(4)
         world.endpoints(page(25))
         case.assertEqual(READY, world.state("a"))
-        case.assertEqual("a ready", world.words()[-1])
+        case.assertEqual("a ready", world.summaries()[-1])
 
 
 def test_an_endpoint_that_is_back_and_then_leaves_is_not_used_again() -> None:
@@ -128,7 +128,7 @@
     """
     with directory_world() as world:
         world.endpoints(page(1, listed("a", 1)), page(2, removed("a", 2)))
-        world.endpoints(page(3, listed("a", 3)), HistoryGoneError("cut"), page(4))
+        world.endpoints(page(3, listed("a", 3)), HistoryExpiredError("cut"), page(4))
         world.pass_time(4)
         world.endpoints(page(4))
         case.assertIsNone(world.state("a"))
@@ -160,10 +160,10 @@
         world.outage()
         world.directory.offer_endpoint(removed("a", 12))
         world.directory.offer_draining(EndpointId("a"))
-        told = len(world.told)
+        told = len(world.published)
         rows = (removed("a", 12), listed("a", 13), listed("a", 14, "draining"))
         world.endpoints(page(14, *rows))
-        case.assertNotIn("a ready", world.words()[told:])
+        case.assertNotIn("a ready", world.summaries()[told:])
         case.assertNotEqual(READY, world.state("a"))
 
 
@@ -187,8 +187,8 @@
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4), listed("b", 5)))
         world.directory.offer_draining(EndpointId("a"))
-        world.directory.offer_gone(EndpointId("b"), 7)
-        case.assertEqual(["a draining", "b gone"], world.words()[2:])
+        world.directory.offer_removal(EndpointId("b"), 7)
+        case.assertEqual(["a draining", "b gone"], world.summaries()[2:])
 
 
 def test_an_old_removal_does_not_end_a_newer_life_of_the_row() -> None:
@@ -214,7 +214,7 @@
         world.pass_time(1)
         world.endpoints(page(15))
         case.assertEqual(READY, world.state("a"))
-        case.assertEqual(["a ready", "a ready held", "a ready"], world.words())
+        case.assertEqual(["a ready", "a ready held", "a ready"], world.summaries())
 
 
 def test_what_is_still_missing_two_seconds_after_the_return_is_gone() -> None:
@@ -233,7 +233,7 @@
         world.pass_time(0.1)
         world.endpoints(page(14))
         case.assertIsNone(world.state("a"))
-        case.assertEqual("a gone", world.words()[-1])
+        case.assertEqual("a gone", world.summaries()[-1])
         case.assertEqual((), world.directory.raw_endpoints)
         world.directory.offer_endpoint(listed("a", 11))
         case.assertIsNone(world.state("a"))
@@ -395,7 +395,7 @@
         world.endpoints(page(9, listed("a", 4), listed("b", 5)), CUT)
         world.endpoints(page(30, listed("b", 28), listed("c", 29)))
         case.assertEqual([None, 9, None], world.listing.asked)
-        case.assertEqual(["a gone", "c ready"], sorted(world.words()[2:]))
+        case.assertEqual(["a gone", "c ready"], sorted(world.summaries()[2:]))
 
 
 def test_a_stale_whole_read_after_a_cut_changes_nothing() -> None:
@@ -442,7 +442,7 @@
     with directory_world() as world:
         world.endpoints(page(9))
         world.directory.offer_endpoint(listed("a", 20))
-        missing = world.directory.book.missing_from((), 12)
+        missing = world.directory.endpoint_registry.missing_from((), 12)
         case.assertEqual((), missing)
 
 
@@ -480,10 +480,10 @@
 def test_words_about_endpoints_long_gone_are_dropped() -> None:
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, removed("a", 12)))
-        case.assertEqual(1, len(world.directory.book.gone))
+        case.assertEqual(1, len(world.directory.endpoint_registry.removals))
         world.pass_time(601)
         world.endpoints(page(13))
-        case.assertEqual({}, world.directory.book.gone)
+        case.assertEqual({}, world.directory.endpoint_registry.removals)
 
 
 def born(ms: int, state: str = "ready", address: str = "10.0.0.1:80") -> str:
--- a/tests/unit/directory/test_following.py
+++ b/tests/unit/directory/test_following.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from unittest import TestCase
 
-from mimosafork.directory.errors import HistoryGoneError, StoreUnavailableError
+from mimosafork.directory.errors import HistoryExpiredError, StoreUnavailableError
 from mimosafork.directory.messages import DirectoryChange
 
 from ...support.directories import configured, directory_world, listed, page
@@ -13,14 +13,14 @@
 case = TestCase()
 
 DOWN = StoreUnavailableError("down")
-CUT = HistoryGoneError("cut")
+CUT = HistoryExpiredError("cut")
 SECOND = timedelta(seconds=1)
 
 
 def test_a_newer_configuration_is_in_force_with_the_answer() -> None:
     with directory_world() as world:
         world.configuration(page(9, configured(3, 4)), page(12, configured(8, 12)))
-        case.assertEqual(["table 3", "table 8"], world.words())
+        case.assertEqual(["table 3", "table 8"], world.summaries())
         case.assertEqual(12, world.directory.raw_configuration.version)  # type: ignore[union-attr]
 
 
@@ -36,7 +36,7 @@
         world.configuration(page(21, configured(7, 21)), CUT)
         world.configuration(page(21, configured(3, 4)))
         case.assertEqual(8, world.version())
-        case.assertEqual(["table 8"], world.words())
+        case.assertEqual(["table 8"], world.summaries())
 
 
 def test_a_peers_newer_configuration_is_taken_while_the_store_is_down() -> None:
@@ -120,7 +120,7 @@
             if faults:
                 raise faults.pop()
 
-        world.directory.listen(listener)
+        world.directory.add_listener(listener)
         rows = (listed("a", 4), listed("b", 5))
         world.endpoints(page(9, *rows), page(9, *rows))
         case.assertEqual([None, None], world.listing.asked)
@@ -164,9 +164,9 @@
     usual = SECOND * 1.6
     with directory_world() as world:
         world.configuration(page(9), page(10))
-        world.directory.peers = lambda: 6
+        world.directory.peer_count = lambda: 6
         world.configuration(page(11))
-        world.directory.peers = lambda: 63
+        world.directory.peer_count = lambda: 63
         world.configuration(page(12))
     alone, seven, many = world.configurations.waits
     case.assertLessEqual(abs(alone - usual), SECOND / 100)
@@ -183,9 +183,9 @@
     Rows that expired in it would be taken for endpoints that have left.
     """
     with directory_world() as world:
-        world.directory.peers = lambda: 63
+        world.directory.peer_count = lambda: 63
         world.endpoints(page(9), page(10))
-        case.assertLess(world.listing.waits[-1], world.directory.health.least_outage)
+        case.assertLess(world.listing.waits[-1], world.directory.health.min_outage)
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/directory/test_lines.py
+++ b/tests/unit/directory/test_lines.py
@@ -89,7 +89,7 @@
         world.endpoints(page(9, listed("a", 4)))
         world.outage()
         world.endpoints(page(12, removed("a", 12)))
-        assert world.words() == ["a ready", "a ready held"]
+        assert world.summaries() == ["a ready", "a ready held"]
         world.pass_time(60)
         world.endpoints(page(14))
     assert caught.one(ENDPOINT_GONE)["before"] == "held"
--- a/tests/unit/directory/test_over_store.py
+++ b/tests/unit/directory/test_over_store.py
@@ -32,14 +32,14 @@
 QUICK = FollowSettings(
     pause=timedelta(milliseconds=5),
     wait=timedelta(milliseconds=100),
-    first_retry=timedelta(milliseconds=5),
-    last_retry=timedelta(milliseconds=20),
+    initial_retry_delay=timedelta(milliseconds=5),
+    max_retry_delay=timedelta(milliseconds=20),
 )
 SETTINGS = DirectorySettings(
     configuration=QUICK,
     endpoints=QUICK,
     return_grace=timedelta(seconds=1),
-    least_outage=timedelta(0),
+    min_outage=timedelta(0),
 )
 TIMEOUTS = StoreTimeouts(
     call=timedelta(milliseconds=300), resend_after=timedelta(milliseconds=200)
@@ -59,7 +59,7 @@
             SETTINGS,
         )
         self.changed = asyncio.Event()
-        self.directory.listen(self.wake)
+        self.directory.add_listener(self.wake)
 
     def wake(self, _: DirectoryChange) -> None:
         """Let those who wait look again."""
@@ -220,7 +220,7 @@
             running.delist(alive)
             running.delist(dead)
             seen: list[EndpointState | None] = []
-            own.directory.listen(lambda _: seen.append(own.state(alive.id)))
+            own.directory.add_listener(lambda _: seen.append(own.state(alive.id)))
             running.store.set_faults(NO_FAULTS)
             running.beat(alive)
             await own.until(lambda: own.state(dead.id) is None)
--- a/tests/unit/directory/test_peer_feed.py
+++ b/tests/unit/directory/test_peer_feed.py
@@ -8,7 +8,7 @@
 from mimosafork.clock import ManualClock
 from mimosafork.directory.errors import StoreUnavailableError
 from mimosafork.directory.feed_update import FeedUpdate
-from mimosafork.directory.peer_feed import FRESH, READERS, PeerFeed
+from mimosafork.directory.peer_feed import FEED_READERS, MAX_UPDATE_AGE, PeerFeed
 from mimosafork.directory.rows import RowPage
 from mimosafork.ids import InstanceId
 
@@ -34,7 +34,7 @@
 def hearing_world() -> Iterator[DirectoryWorld]:
     """Give a directory that has read up to version 9 and goes by peers' words."""
     with directory_world() as world:
-        world.directory.peer_feed.reads_itself = False
+        world.directory.peer_feed.is_reader = False
         world.endpoints(page(9, listed("a", 4)))
         yield world
 
@@ -70,10 +70,10 @@
     readers = []
     for own in FLEET:
         feed = PeerFeed(ManualClock())
-        feed.choose(own, [each for each in FLEET if each != own])
+        feed.select_readers(own, [each for each in FLEET if each != own])
         case.assertTrue(feed.has_followers)
-        readers += [own] if feed.reads_itself else []
-    case.assertEqual(READERS, len(readers))
+        readers += [own] if feed.is_reader else []
+    case.assertEqual(FEED_READERS, len(readers))
 
 
 def test_another_takes_the_place_of_a_reader_that_is_silent() -> None:
@@ -81,23 +81,23 @@
         found = set()
         for own in fleet:
             feed = PeerFeed(ManualClock())
-            feed.choose(own, [each for each in fleet if each != own])
-            found |= {own} if feed.reads_itself else set()
+            feed.select_readers(own, [each for each in fleet if each != own])
+            found |= {own} if feed.is_reader else set()
         return found
 
     before = readers_among(FLEET)
     silent = min(before)
     after = readers_among([each for each in FLEET if each != silent])
     case.assertEqual(before - {silent}, before & after)
-    case.assertEqual(READERS, len(after))
+    case.assertEqual(FEED_READERS, len(after))
 
 
 def test_all_of_a_small_fleet_read_and_tell_nobody() -> None:
     told: list[FeedUpdate] = []
     feed = PeerFeed(ManualClock())
     feed.publish = told.append
-    feed.choose(FLEET[0], FLEET[1:READERS])
-    case.assertTrue(feed.reads_itself)
+    feed.select_readers(FLEET[0], FLEET[1:FEED_READERS])
+    case.assertTrue(feed.is_reader)
     feed.publish_answer(FeedUpdate(4, 9), feed.clock.monotonic(), SECOND)
     case.assertEqual([], told)
 
@@ -127,7 +127,7 @@
     """
     with hearing_world() as world:
         hear(world, 4, 9)
-        world.pass_time((FRESH - SECOND / 10).total_seconds())
+        world.pass_time((MAX_UPDATE_AGE - SECOND / 10).total_seconds())
         pause = world.endpoints(page(0))
         case.assertLessEqual(pause, SECOND / 9)
         world.listing.replies.clear()
@@ -210,14 +210,14 @@
     with hearing_world() as world:
         hear(world, 4, 9)
         covered_steps(world)
-        world.pass_time(FRESH.total_seconds())
+        world.pass_time(MAX_UPDATE_AGE.total_seconds())
         stand_still_in_a_call(world, 2)
         world.endpoints(page(11, removed("a", 10)))
-        case.assertEqual(["a ready", "a ready held"], world.words())
+        case.assertEqual(["a ready", "a ready held"], world.summaries())
         world.endpoints(page(13, listed("a", 12)))
         world.pass_time(3)
         world.endpoints(page(13))
-        case.assertEqual("a ready", world.words()[-1])
+        case.assertEqual("a ready", world.summaries()[-1])
 
 
 load_tests = function_tests(__name__)
--- a/tests/unit/directory/test_reader_machine.py
+++ b/tests/unit/directory/test_reader_machine.py
@@ -12,7 +12,7 @@
 from mimosafork.directory.directory import Directory
 from mimosafork.directory.errors import StoreUnavailableError
 from mimosafork.directory.feed_update import FeedUpdate
-from mimosafork.directory.follower import Follower
+from mimosafork.directory.follower import TableFollower
 from mimosafork.directory.messages import DirectoryChange, EndpointState, TableChanged
 from mimosafork.directory.rows import RowPage
 from mimosafork.ids import EndpointId, InstanceId
@@ -91,7 +91,7 @@
         feed = self.directory.peer_feed
         feed.has_followers = True
         feed.publish = partial(machine.feed_told, self)
-        self.directory.listen(partial(machine.endpoint_told, self))
+        self.directory.add_listener(partial(machine.endpoint_told, self))
 
     def run(self) -> None:
         """Go on as far as the process may."""
@@ -121,7 +121,7 @@
         """Start the instance anew, and its peers with it."""
         super().boot()
         self.words_lost = False
-        self.directory.peer_feed.reads_itself = False
+        self.directory.peer_feed.is_reader = False
         self.readers = [Reader(self, number) for number in range(READERS)]
 
     def feed_told(self, reader: Reader, word: FeedUpdate) -> None:
@@ -136,11 +136,11 @@
         endpoint = EndpointId(change.endpoint)
         if change.entry.state is EndpointState.DRAINING:
             self.directory.offer_draining(endpoint, change.entry.row.version)
-        gone = reader.directory.book.gone.get(endpoint)
-        if gone is not None and gone.sure:
-            self.directory.offer_gone(endpoint, gone.row.version)
+        gone = reader.directory.endpoint_registry.removals.get(endpoint)
+        if gone is not None and gone.confirmed:
+            self.directory.offer_removal(endpoint, gone.row.version)
 
-    def step(self, follower: Follower) -> None:
+    def step(self, follower: TableFollower) -> None:
         """Let the readers run before this instance does."""
         if follower is self.directory.endpoint_follower:
             for reader in self.readers:
--- a/tests/unit/directory/test_store_return.py
+++ b/tests/unit/directory/test_store_return.py
@@ -179,7 +179,7 @@
     """Return instances of a fleet that hand nothing to each other."""
     fleet = [following_instance(store, clock, seed) for seed in range(INSTANCES)]
     for own in fleet:
-        own.directory.peers = lambda: INSTANCES - 1
+        own.directory.peer_count = lambda: INSTANCES - 1
     store.configure(1)
     return fleet
 
--- a/tests/unit/directory/test_unreadable_rows.py
+++ b/tests/unit/directory/test_unreadable_rows.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mimosafork.directory.errors import HistoryGoneError
+from mimosafork.directory.errors import HistoryExpiredError
 from mimosafork.directory.messages import EndpointChanged, EndpointState
 from mimosafork.directory.rows import Row
 from mimosafork.telemetry.catalogue.directory import (
@@ -28,7 +28,7 @@
 case = TestCase()
 
 EXAMPLES = settings(max_examples=200, deadline=None, derandomize=True, database=None)
-CUT = HistoryGoneError("cut")
+CUT = HistoryExpiredError("cut")
 LONG = "odd" * 5000
 
 
@@ -42,7 +42,7 @@
     """Return which endpoints listeners believe to get new work."""
     last = {
         str(change.endpoint): change.entry.takes_new_work
-        for change in world.told
+        for change in world.published
         if isinstance(change, EndpointChanged)
     }
     return {name for name, takes in last.items() if takes}
--- a/tests/unit/gateway/test_gateway_machine.py
+++ b/tests/unit/gateway/test_gateway_machine.py
@@ -260,7 +260,7 @@
             self.world.end_life(life, crashes)
             if told:
                 version = self.world.next_version()
-                self.world.directory.offer_gone(life.name, version)
+                self.world.directory.offer_removal(life.name, version)
         if again is not None:
             self.start_incarnation(address, again)
 
--- a/tests/unit/platform/test_decoding.py
+++ b/tests/unit/platform/test_decoding.py
@@ -5,7 +5,7 @@
 from typing import Any
 from unittest import TestCase
 
-from mimosafork.directory.errors import UnreadableError
+from mimosafork.directory.errors import UnreadableRowError
 from mimosafork.ids import EndpointId, ServiceId
 from mimosafork.platform.configuration import decode_configuration
 from mimosafork.platform.errors import DocumentError
@@ -159,7 +159,7 @@
     ):
         with case.assertRaises(DocumentError):
             decode_configuration(value)
-    case.assertTrue(issubclass(DocumentError, UnreadableError))
+    case.assertTrue(issubclass(DocumentError, UnreadableRowError))
 
 
 def test_an_endpoints_row_becomes_a_listing() -> None:
--- a/tests/unit/platform/test_store.py
+++ b/tests/unit/platform/test_store.py
@@ -10,13 +10,13 @@
 from mimosafork.directory.errors import (
     CallRejectedError,
     ConflictError,
-    HistoryGoneError,
+    HistoryExpiredError,
     NotAllowedError,
     RowsError,
     StoreUnavailableError,
     UnknownResultError,
 )
-from mimosafork.directory.rows import ABSENT, RowCondition, RowName, RowPut
+from mimosafork.directory.rows import ABSENT, RowCondition, RowKey, RowPut
 from mimosafork.platform.sources import ConfigurationRows, EndpointRows
 from mimosafork.platform.store import PreparedStore, StoreTimeouts
 
@@ -93,7 +93,7 @@
             client = PreparedStore(store.address)
             version = await client.write(
                 [RowPut("t", "p", "k", b"xy")],
-                [RowName("t", "p", "old")],
+                [RowKey("t", "p", "old")],
                 [RowCondition("t", "p", "k", ABSENT)],
             )
             client.close()
@@ -111,7 +111,7 @@
     kinds: dict[int, type[RowsError]] = {
         400: CallRejectedError,
         403: NotAllowedError,
-        410: HistoryGoneError,
+        410: HistoryExpiredError,
         412: ConflictError,
         429: StoreUnavailableError,
         503: StoreUnavailableError,
--- a/tests/unit/standins/test_prepared_contract.py
+++ b/tests/unit/standins/test_prepared_contract.py
@@ -8,12 +8,12 @@
 
 from mimosafork.directory.errors import (
     ConflictError,
-    HistoryGoneError,
+    HistoryExpiredError,
     NotAllowedError,
     StoreUnavailableError,
     UnknownResultError,
 )
-from mimosafork.directory.rows import ABSENT, RowCondition, RowName, RowPut
+from mimosafork.directory.rows import ABSENT, RowCondition, RowKey, RowPut
 from mimosafork.ids import ServiceId
 from mimosafork.platform import names
 from mimosafork.platform.sources import ConfigurationRows, EndpointRows
@@ -126,10 +126,10 @@
                 await client.write([RowPut("op", "", "config", b"x")])
             page = await client.read("t", "p")
             case.assertEqual((b"x", version), (page.rows[0].value, page.version))
-            await client.write(removes=[RowName("t", "p", "k")])
+            await client.write(removes=[RowKey("t", "p", "k")])
             case.assertEqual((), (await client.read("t", "p")).rows)
             running.store.drop_history()
-            with case.assertRaises(HistoryGoneError):
+            with case.assertRaises(HistoryExpiredError):
                 await client.changes("t", version, WAIT)
             client.close()
 
--- a/tests/unit/storage/test_breaker.py
+++ b/tests/unit/storage/test_breaker.py
@@ -5,7 +5,7 @@
 from unittest import TestCase
 
 from mimosafork.clock import ManualClock
-from mimosafork.storage.breaker import LONGEST_PAUSE, BreakerState, CircuitBreaker
+from mimosafork.storage.breaker import MAX_PROBE_DELAY, BreakerState, CircuitBreaker
 from mimosafork.storage.errors import CallRejectedError, StoreUnavailableError
 
 from ...support.functions import function_tests
@@ -45,7 +45,7 @@
 def test_one_probe_closes_it_again() -> None:
     clock = ManualClock()
     breaker = opened(clock)
-    clock.advance(LONGEST_PAUSE)
+    clock.advance(MAX_PROBE_DELAY)
     case.assertEqual("row", breaker.run(up))
     case.assertIs(BreakerState.CLOSED, breaker.state)
 
@@ -53,7 +53,7 @@
 def test_callers_beside_the_probe_fail_at_once() -> None:
     clock = ManualClock()
     breaker = opened(clock)
-    clock.advance(LONGEST_PAUSE)
+    clock.advance(MAX_PROBE_DELAY)
 
     def probe() -> str:
         with case.assertRaisesRegex(StoreUnavailableError, "not called"):
@@ -67,10 +67,10 @@
     clock = ManualClock()
     breaker = opened(clock)
     for _ in range(10):
-        clock.advance(LONGEST_PAUSE)
+        clock.advance(MAX_PROBE_DELAY)
         with case.assertRaisesRegex(StoreUnavailableError, "down"):
             breaker.run(down)
-        case.assertLessEqual(breaker.retry_at - clock.monotonic(), LONGEST_PAUSE)
+        case.assertLessEqual(breaker.retry_at - clock.monotonic(), MAX_PROBE_DELAY)
     case.assertGreater(breaker.retry_at - clock.monotonic(), timedelta(seconds=0.9))
 
 
@@ -82,10 +82,10 @@
     """
     clock = ManualClock()
     breaker = opened(clock)
-    clock.advance(LONGEST_PAUSE)
+    clock.advance(MAX_PROBE_DELAY)
     with case.assertRaises(ZeroDivisionError):
         breaker.run(lambda: 1 // 0)
-    clock.advance(LONGEST_PAUSE)
+    clock.advance(MAX_PROBE_DELAY)
     case.assertEqual("row", breaker.run(up))
 
 
--- a/tests/unit/storage/test_instances.py
+++ b/tests/unit/storage/test_instances.py
@@ -15,8 +15,8 @@
     ListedInstance,
 )
 from mimosafork.storage.instances import (
-    BURST_BYTES,
-    BYTES_PER_S,
+    LIST_BURST_BYTES,
+    LIST_BYTES_PER_S,
     InstanceListClient,
     InstanceListPoller,
     ListReading,
@@ -40,11 +40,11 @@
     standin.instances.put("e1", ENGINE, 0.0)
     with running(standin) as caller:
         client = InstanceListClient(HttpClient(InstanceId("i")), caller.address)
-        first = client.read_after(None)
-        again = client.read_after(first)
+        first = client.read_if_changed(None)
+        again = client.read_if_changed(first)
         leaving = replace(ENGINE, state=InstanceState.LEAVING)
         standin.instances.put("e1", leaving, 0.0)
-        changed = client.read_after(again)
+        changed = client.read_if_changed(again)
     assert first.size > 0
     assert again.size == 0
     assert again.listed.endpoints == first.listed.endpoints
@@ -59,7 +59,7 @@
         self.size = size
         self.reads = 0
 
-    def read_after(self, last: ListReading | None) -> ListReading:
+    def read_if_changed(self, last: ListReading | None) -> ListReading:
         """Return the whole list."""
         self.reads += 1
         return ListReading(InstancesListed((), ()), None, self.size)
@@ -86,7 +86,7 @@
         if poller.wait_time() <= timedelta(0):
             poller.idle()
         clock.advance(second)
-    bound = BURST_BYTES + 600 * BYTES_PER_S + client.size
+    bound = LIST_BURST_BYTES + 600 * LIST_BYTES_PER_S + client.size
     assert client.reads * client.size <= bound
     assert client.reads >= 20
 
--- a/tests/unit/storage/test_table.py
+++ b/tests/unit/storage/test_table.py
@@ -17,8 +17,8 @@
     StoreUnavailableError,
     UnknownResultError,
 )
-from mimosafork.storage.instances import listed_of
-from mimosafork.storage.table import ABSENT, Condition, Row, TableClient, Write
+from mimosafork.storage.instances import convert_entries
+from mimosafork.storage.table import ABSENT, Condition, TableClient, TableRow, Write
 
 from ...support.functions import function_tests
 
@@ -63,7 +63,7 @@
 def test_a_row_and_its_absence() -> None:
     body = b'{"key":"a/b","version":3,"value":{"x":1}}'
     client, http = client_of(answer(200, body))
-    case.assertEqual(Row("a/b", 3, {"x": 1}), client.get("t", "a/b"))
+    case.assertEqual(TableRow("a/b", 3, {"x": 1}), client.get("t", "a/b"))
     case.assertEqual(["/v1/tables/t/rows/a%2Fb"], http.paths)
     absent, _ = client_of(answer(404))
     case.assertIsNone(absent.get("t", "k"))
@@ -120,7 +120,7 @@
 
 
 def test_one_odd_entry_does_not_hide_the_instance_list() -> None:
-    listed = listed_of(
+    listed = convert_entries(
         [
             {"id": "x", "kind": "quantum-engine", "state": "live"},
             {
--- a/tests/unit/telemetry/test_reporting_adapter.py
+++ b/tests/unit/telemetry/test_reporting_adapter.py
@@ -228,7 +228,7 @@
         UnknownResultError("x"),
     ]
     for error in errors:
-        meter.note("table service", timedelta(milliseconds=5), error)
+        meter.record_call("table service", timedelta(milliseconds=5), error)
     for result in ("done", "unavailable", "rejected", "unknown"):
         start = f'mimosafork_store_calls_total{{result="{result}"'
         assert value_of(metrics, start) == 1, result
--- a/tests/unit/tooling/test_gateway_page.py
+++ b/tests/unit/tooling/test_gateway_page.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from pathlib import Path
 
-from mimosafork.directory.endpoint_book import ROW_EXPIRY
+from mimosafork.directory.endpoint_registry import ROW_EXPIRY
 from mimosafork.directory.settings import DirectorySettings
 from mimosafork.gateway import (
     attempt,
@@ -61,13 +61,13 @@
         f"plain calls after {stall_timeouts.CALL_STALL_OBJECTIVES} objectives, "
         f"at least "
         f"{stall_timeouts.MIN_CALL_STALL_TIMEOUT // timedelta(milliseconds=1)} ms",
-        f"tries again after {s(follow.endpoints.first_retry)}, doubled up to "
-        f"{s(follow.endpoints.last_retry)}",
+        f"tries again after {s(follow.endpoints.initial_retry_delay)}, doubled up to "
+        f"{s(follow.endpoints.max_retry_delay)}",
         f"found within {s(StoreTimeouts().resend_after)} after the long poll's wait "
         f"({s(follow.endpoints.wait)} for endpoints, "
         f"{s(follow.configuration.wait)} for the configuration)",
         f"asked again every {s(StoreTimeouts().resend_after)} over a new connection",
-        f"outage of {s(follow.least_outage)} or more | endpoints stay in use until "
+        f"outage of {s(follow.min_outage)} or more | endpoints stay in use until "
         f"{s(follow.return_grace)} after",
         f"peers count as silent after {s(gossip.suspect_after)} "
         f"({s(gossip.relayed_suspect_after)} beyond {gossip.mesh_size} instances)",
--- a/tests/unit/watch/test_watch_task.py
+++ b/tests/unit/watch/test_watch_task.py
@@ -29,7 +29,7 @@
     WatchEndpoints,
 )
 from mimosafork.watch.documents import load_report as decode
-from mimosafork.watch.errors import UnansweredError, UnreachedError
+from mimosafork.watch.errors import EndpointUnreachableError, NoValidAnswerError
 from mimosafork.watch.task import WatchTask
 from tests.support.functions import function_tests
 from tests.support.kernels import load_report
@@ -64,12 +64,12 @@
         """Return a report, or fail as told."""
         if endpoint in self.failing_once:
             self.failing_once.discard(endpoint)
-            raise UnansweredError("once")
+            raise NoValidAnswerError("once")
         if endpoint in self.refusing:
-            raise UnreachedError("refused")
+            raise EndpointUnreachableError("refused")
         if endpoint in self.freezing:
             self.held.wait(FROZEN_FOR_S)
-            raise UnansweredError("timed out")
+            raise NoValidAnswerError("timed out")
         self.sequence += 1
         return load_report(endpoint, self.sequence)
 
@@ -184,7 +184,7 @@
     body = b'{"endpoint":"e9","incarnation":1,"sequence":1}'
     try:
         decode(body, EndpointId("e1"))
-    except UnansweredError:
+    except NoValidAnswerError:
         return
     raise AssertionError("another endpoint's load was taken for e1's")
 
@@ -193,7 +193,7 @@
     for body in (b"", b"[]", b"<html>", b'{"endpoint":"e1","incarnation":"x"}'):
         try:
             decode(body, EndpointId("e1"))
-        except UnansweredError:
+        except NoValidAnswerError:
             continue
         raise AssertionError(body)
 
--- a/tools/slopes/budget.py
+++ b/tools/slopes/budget.py
@@ -11,7 +11,7 @@
 from mimosafork.peers.task import FAN_OUT
 from mimosafork.policies.membership import WATCHERS
 from mimosafork.settings.model import PeersSection, PlatformSection
-from mimosafork.watch.task import EVENTS_PERIOD, SHARE_OF_PERIOD
+from mimosafork.watch.task import EVENTS_PERIOD, MIN_PROBE_SPACING
 
 from .design_size import DesignSize
 from .fit import Slope
@@ -165,7 +165,9 @@
 def _watching(slopes: Mapping[str, Slope], direct: Direct) -> Cost:
     defaults = PeersSection.model_fields["probe_period"].default
     each = WATCHERS * SIZE.endpoints_per_zone / SIZE.nodes_per_zone
-    loads = min(each / defaults.total_seconds(), timedelta(seconds=1) / SHARE_OF_PERIOD)
+    loads = min(
+        each / defaults.total_seconds(), timedelta(seconds=1) / MIN_PROBE_SPACING
+    )
     events = each / WATCHERS / EVENTS_PERIOD.total_seconds()
     rate = loads + events
     time = slopes["load_probe_time"].slope
--- a/tools/slopes/platform_probes.py
+++ b/tools/slopes/platform_probes.py
@@ -97,10 +97,10 @@
 def list_check_time(size: int) -> float:
     """Return the client's time for one read of a list that has not changed."""
     with listing(size) as client:
-        last = client.read_after(None)
+        last = client.read_if_changed(None)
         begun = time.thread_time()
         for _ in range(READS):
-            last = client.read_after(last)
+            last = client.read_if_changed(last)
         return (time.thread_time() - begun) * 1e6 / READS
 
 
