--- a/src/mimosafork/storage/__init__.py
+++ b/src/mimosafork/storage/__init__.py
@@ -1,5 +1,5 @@
 """Clients of the platform: table service, object store and instance list.
 
-docs/PLATFORM.md says what they speak. Nothing here decides; a circuit breaker
-alone keeps callers from waiting for a service that is down.
+docs/PLATFORM.md describes the protocols. The clients contain no policy except a circuit
+breaker, which keeps callers from waiting for a service that is down.
 """
--- a/src/mimosafork/storage/breaker.py
+++ b/src/mimosafork/storage/breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breaker around one outside service."""
+"""Circuit breaker for calls to an external service."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -24,57 +24,57 @@
 FAILURES_TO_OPEN = 3
 INITIAL_PROBE_DELAY = timedelta(milliseconds=250)
 MAX_PROBE_DELAY = timedelta(seconds=2)
-"""Short against the time in which an accepted configuration must be in force."""
+"""Well below the time within which an accepted configuration must be in force."""
 
 
 class BreakerState(Enum):
-    """Whether calls go through."""
+    """Whether calls are let through."""
 
     CLOSED = "closed"
     OPEN = "open"
     PROBING = "probing"
-    """One call is on its way to find out; all others still fail at once."""
+    """One probe call is in flight; all others still fail immediately."""
 
 
 class CallMeter(Protocol):
-    """Is told of each call that was made."""
+    """Records the calls that were made."""
 
     def record_call(
         self, service: str, duration: timedelta, error: BaseException | None
     ) -> None:
-        """Note a call.
+        """Record a call.
 
         Parameters
         ----------
         service : str
             Name of the service.
         duration : timedelta
-            What it took.
+            Duration of the call.
         error : BaseException or None
-            How it failed.
+            Its error; None if it succeeded.
         """
         ...
 
 
 class CircuitBreaker:
-    """Lets calls fail at once while a service is known to be down.
+    """Fails calls immediately while a service is known to be down.
 
-    A dead store would otherwise hold each calling thread for a whole timeout:
-    the threads run out, and traffic that does not need the store waits too. After
-    a few failures in a row all calls but one probe a pause fail without a byte
-    sent. Safe for threads.
+    Otherwise a store that is down blocks each calling thread for a whole timeout
+    until no threads are left, and traffic that does not need the store waits as
+    well. After a few failures in a row all calls fail without being sent, except
+    for one probe per delay. Thread-safe.
 
     Parameters
     ----------
     service : str
-        Name of the service for messages.
+        Name of the service, for messages.
     clock : Clock
     random : random.Random
-        Spreads the probes of many instances.
+        Jitters the probes, so that instances do not probe at the same time.
     failures_to_open : int, default=3
-        Failures in a row that open it.
+        Consecutive failures that open the breaker.
     meter : CallMeter, optional
-        Is told of each call that was made, not of those that failed at once.
+        Records each call that was sent; calls that the breaker rejects are not.
     """
 
     def __init__(
@@ -108,9 +108,9 @@
         Raises
         ------
         StoreUnavailableError
-            At once, if the breaker is open; nothing was sent.
+            Immediately, if the breaker is open; nothing was sent.
         PlatformError
-            Whatever the call raises.
+            Any error of the call itself.
         """
         self._admit()
         begin = self.clock.monotonic()
@@ -122,8 +122,8 @@
             raise
         except BaseException as error:
             self._record_call(begin, error)
-            # Also after a fault of ours, which says nothing about the service: a
-            # probe that never reported back would keep the breaker shut for ever.
+            # Includes errors of this program, which say nothing about the service:
+            # without a result of the probe the breaker would reject calls forever.
             self._failed(error)
             raise
         self._record_call(begin, None)
--- a/src/mimosafork/storage/errors.py
+++ b/src/mimosafork/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the platform's clients, by what they leave open."""
+"""Errors of the platform clients, by whether the call may have taken effect."""
 
 from ..errors import MimosaforkError
 
@@ -8,12 +8,12 @@
 
 
 class StoreUnavailableError(PlatformError):
-    """The call was not done, and will not be done later."""
+    """The call had no effect and will have none later."""
 
 
 class CallRejectedError(StoreUnavailableError):
-    """The store found a fault in the call: not done, and repeating is no use."""
+    """The store rejected the call as invalid: no effect, and a retry will not help."""
 
 
 class UnknownResultError(PlatformError):
-    """The write may have taken effect, or may yet do so; only a look can tell."""
+    """The write may have taken effect or may still do so; only a read can tell."""
--- a/src/mimosafork/storage/instances.py
+++ b/src/mimosafork/storage/instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of instances and endpoints."""
+"""Client and poller for the platform's list of instances, which lags behind."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -42,13 +42,13 @@
 AGE_HEADER = "X-As-Of-S"
 
 LIST_BYTES_PER_S = 8 * 1024
-"""What whole lists may cost in the long run; a node has 27 KB/s for all control."""
+"""Sustained traffic limit of full lists; a node has 27 KB/s for all control traffic."""
 LIST_BURST_BYTES = 1024 * 1024
-"""What they may cost at once: some reads of the largest list, one after another."""
+"""Burst limit of full lists: several successive reads of the largest list."""
 
 
 class ListedInstance(msgspec.Struct, frozen=True):
-    """One entry of the list as it stands on the wire."""
+    """Wire format of one list entry."""
 
     id: str
     kind: str
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReading:
-    """The list as it was read.
+    """Result of reading the list.
 
     Attributes
     ----------
     tag : str or None
-        The platform's tag of these entries; None if it gives none.
+        Entity tag of these entries; None if the platform sends none.
     size : int
-        Bytes that the reading cost; 0 if the list was still the last one.
+        Bytes transferred; 0 if the list was unchanged.
     """
 
     listed: InstancesListed
@@ -79,7 +79,7 @@
 
 
 class InstanceListClient:
-    """Reads the list and writes this instance's own entry; safe for threads.
+    """Reads the list and writes this instance's own entry; thread-safe.
 
     Parameters
     ----------
@@ -93,7 +93,7 @@
         self.address = address
 
     def read(self) -> InstancesListed:
-        """Return the list, which is old by the platform's lag.
+        """Return the list, which is stale by the platform's lag.
 
         Raises
         ------
@@ -102,10 +102,10 @@
         return self.read_if_changed(None).listed
 
     def read_if_changed(self, last: ListReading | None) -> ListReading:
-        """Return the list, without sending it again if `last` is still the newest.
+        """Return the list, with a conditional request if `last` has a tag.
 
-        At the design size a whole list is 168 KB; read every second it would be
-        six times all that a node may spend on control.
+        At the design size a full list is 168 KB; read every second it would take
+        six times a node's whole budget for control traffic.
 
         Raises
         ------
@@ -121,7 +121,7 @@
         return _reading_of(answer)
 
     def register(self, entry: EntryInstance) -> None:
-        """Enter or change an entry instance.
+        """Create or update the entry of a gateway instance.
 
         Raises
         ------
@@ -140,7 +140,7 @@
         self._call("PUT", f"/v1/instances/{quote(entry.instance, '')}", body)
 
     def remove(self, instance: InstanceId) -> None:
-        """Take an entry off the list.
+        """Remove an entry from the list.
 
         Raises
         ------
@@ -166,7 +166,7 @@
 
 
 def _reading_of(answer: Answer) -> ListReading:
-    """Convert a whole answer.
+    """Decode an answer that contains the full list.
 
     Raises
     ------
@@ -188,7 +188,7 @@
 
 
 def _seconds(value: object) -> timedelta:
-    """Return how old the platform says its list is; zero if it does not say."""
+    """Return the age that the platform states for its list; zero if it states none."""
     try:
         return timedelta(seconds=max(0.0, float(str(value))))
     except ValueError:
@@ -196,7 +196,7 @@
 
 
 def convert_entries(entries: list[Any]) -> InstancesListed:
-    """Convert the wire's entries; those that can't be read are left out.
+    """Convert wire entries; those that cannot be decoded are skipped.
 
     One entry with a kind or state of a newer platform must not hide all others.
     """
@@ -239,9 +239,9 @@
 
 
 class InstanceListPoller(Task[None]):
-    """Reads the list again and again and posts what it says.
+    """Polls the list and posts each result.
 
-    While the list can't be read nothing is posted, so that the last one stays in
+    While the list cannot be read nothing is posted, so that the last one stays in
     force: an outage of the platform must not look like the loss of all endpoints.
 
     Parameters
@@ -249,11 +249,11 @@
     client : InstanceListClient
     clock : Clock
     random : random.Random
-        Spreads the reads of many instances.
+        Jitters the reads, so that instances do not read at the same time.
     period : timedelta
         Mean time between two reads.
     post : Callable
-        Called with each list, in this task's thread.
+        Receives each list, in this task's thread.
     """
 
     def __init__(
@@ -299,11 +299,11 @@
         self._charge_bytes(self.last.size)
 
     def _charge_bytes(self, size: int) -> None:
-        """Put the next read off if whole lists have come too fast.
+        """Delay the next read if full lists exceed the byte budget.
 
-        A platform that gives no tags, or a list that changes every second while a
-        rack is replaced, would make every read a whole one. Endpoints that leave
-        say so themselves meanwhile; the list only brings new ones later.
+        If the platform sends no tags, or the list changes every second while a rack
+        is replaced, every read returns the full list. Endpoints that leave announce
+        it themselves, so a delay only affects how soon new ones are found.
         """
         now = self.clock.monotonic()
         gained = (now - self.budget_updated_at).total_seconds() * LIST_BYTES_PER_S
@@ -314,4 +314,4 @@
             self.next_read = max(self.next_read, now + debt)
 
     def receive(self, message: None) -> None:
-        """Take no messages."""
+        """Ignore messages; none are sent to this task."""
--- a/src/mimosafork/storage/meter.py
+++ b/src/mimosafork/storage/meter.py
@@ -1,4 +1,4 @@
-"""Measure the calls that go through a circuit breaker."""
+"""Metrics of the calls that go through a circuit breaker."""
 
 from datetime import timedelta
 from functools import singledispatch
@@ -13,12 +13,12 @@
 
 
 class StoreMeter:
-    """Counts calls by result and records how long they took.
+    """Counts calls by result and records their durations.
 
     Parameters
     ----------
     metrics : Metrics
-        Of this instance.
+        Metrics of this instance.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -27,7 +27,7 @@
     def record_call(
         self, service: str, duration: timedelta, error: BaseException | None
     ) -> None:
-        """Note a call."""
+        """Record a call."""
         result = "done" if error is None else result_of(error)
         self.metrics.add(STORE_CALLS, store=service, result=result)
         self.metrics.record(STORE_DURATION, duration.total_seconds(), store=service)
@@ -35,7 +35,7 @@
 
 @singledispatch
 def result_of(error: BaseException) -> str:
-    """Return the result under which a failed call is counted."""
+    """Return the result label of a failed call."""
     return "failed"
 
 
--- a/src/mimosafork/storage/objects.py
+++ b/src/mimosafork/storage/objects.py
@@ -1,4 +1,4 @@
-"""The object store: bytes under a key, with conditional writes."""
+"""Client of the object store, with conditional writes."""
 
 from dataclasses import dataclass
 from urllib.parse import quote
@@ -21,19 +21,19 @@
 
 
 class PreconditionFailedError(PlatformError):
-    """The object is not what the write expected; nothing was written."""
+    """The precondition of the write does not hold; nothing was written."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object's bytes and the tag of this version of it."""
+    """Content of an object and the entity tag of this version."""
 
     content: bytes
     etag: str
 
 
 class ObjectClient:
-    """Speaks to the object store by HTTP; safe for threads.
+    """HTTP client of the object store; thread-safe.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
         self.breaker = breaker
 
     def get(self, key: str) -> StoredObject | None:
-        """Return an object, or None if there is none.
+        """Return an object, or None if it does not exist.
 
         Raises
         ------
@@ -62,29 +62,29 @@
         return StoredObject(answer.body, answer.headers.get("ETag", ""))
 
     def create(self, key: str, content: bytes) -> str:
-        """Store a new object and return its tag.
+        """Create an object and return its tag.
 
         Raises
         ------
         PreconditionFailedError
-            If there is one already.
+            If the object already exists.
         StoreUnavailableError, UnknownResultError
         """
         return self._put(key, content, {"If-None-Match": "*"})
 
     def replace(self, key: str, content: bytes, etag: str) -> str:
-        """Store a new version over the one with tag `etag`; return the new tag.
+        """Replace the version with tag `etag`; return the new tag.
 
         Raises
         ------
         PreconditionFailedError
-            If that is no longer the newest version.
+            If `etag` is no longer the newest version.
         StoreUnavailableError, UnknownResultError
         """
         return self._put(key, content, {"If-Match": etag})
 
     def delete(self, key: str) -> None:
-        """Remove an object, if it is there.
+        """Delete an object, if it exists.
 
         Raises
         ------
--- a/src/mimosafork/storage/table.py
+++ b/src/mimosafork/storage/table.py
@@ -1,4 +1,4 @@
-"""The table service: rows with versions, and transactions over several of them."""
+"""Client of the table service: versioned rows and multi-row transactions."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -15,11 +15,11 @@
 T = TypeVar("T")
 
 RowValue = Mapping[str, Any]
-"""A row's JSON object. Each user has a dataclass of its own for it and converts
-at its border, so that nothing else handles bare maps."""
+"""JSON object of a row. Each user of a table converts it from and to a dataclass of its
+own, so that nothing else handles untyped maps."""
 
 ABSENT = 0
-"""Version in a condition on a row that must not exist."""
+"""Version in a condition that requires the row not to exist."""
 
 PAGE_ROWS = 500
 OK = 200
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRow:
-    """A row as it was read; the read may be stale."""
+    """A row; the read may be stale."""
 
     key: str
     version: int
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """What must hold for a transaction to take effect.
+    """Precondition of a transaction.
 
     Attributes
     ----------
     version : int
-        The row's present version; `ABSENT` if there must be none.
+        Required current version of the row; `ABSENT` if it must not exist.
     """
 
     table: str
@@ -71,12 +71,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A condition that did not hold, with the row as the transaction saw it.
+    """A condition that did not hold, and the row as the transaction saw it.
 
     Attributes
     ----------
     version : int
-        `ABSENT` if there is no such row.
+        `ABSENT` if the row does not exist.
     """
 
     table: str
@@ -87,14 +87,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TransactionResult:
-    """The store's answer to a transaction.
+    """Result of a transaction.
 
     Attributes
     ----------
     committed : bool
-        False: nothing was written, and `conflicts` says why.
+        If False, nothing was written; `conflicts` holds the reasons.
     versions : tuple of int
-        The new version of each write, in their order.
+        New version of each written row, in the order of the writes.
     """
 
     committed: bool
@@ -102,7 +102,7 @@
     conflicts: tuple[Conflict, ...] = ()
 
     def conflict_on(self, table: str, key: str) -> Conflict | None:
-        """Return the conflict on one row, if there is one."""
+        """Return the conflict on a row, or None."""
         for conflict in self.conflicts:
             if (conflict.table, conflict.key) == (table, key):
                 return conflict
@@ -110,7 +110,7 @@
 
 
 class Table(Protocol):
-    """Port of the table service; `TableClient` and the tests' fakes fill it."""
+    """Interface of the table service, implemented by `TableClient` and test fakes."""
 
     def get(self, table: str, key: str) -> TableRow | None:
         """Return a row, or None; possibly stale.
@@ -135,20 +135,20 @@
     def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
     ) -> TransactionResult:
-        """Do all writes, if all conditions hold, or none.
+        """Apply all writes if all conditions hold, otherwise none.
 
         Raises
         ------
         StoreUnavailableError
-            Not done, and it will not be done later.
+            The transaction had no effect and will have none later.
         UnknownResultError
-            It may have taken effect, or may still do so.
+            The transaction may have taken effect or may still do so.
         """
         ...
 
 
 def all_rows(store: Table, table: str, prefix: str = "") -> Iterator[TableRow]:
-    """Read the rows of a table page by page, in key order.
+    """Iterate over the rows of a table in key order, page by page.
 
     Raises
     ------
@@ -164,7 +164,7 @@
 
 
 class TableClient:
-    """Speaks to the table service by HTTP; safe for threads.
+    """HTTP client of the table service; thread-safe.
 
     Parameters
     ----------
@@ -213,14 +213,14 @@
     def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
     ) -> TransactionResult:
-        """Do all writes, if all conditions hold, or none.
+        """Apply all writes if all conditions hold, otherwise none.
 
         Raises
         ------
         StoreUnavailableError
-            Not done, and it will not be done later.
+            The transaction had no effect and will have none later.
         UnknownResultError
-            It may have taken effect, or may still do so.
+            The transaction may have taken effect or may still do so.
         """
         body = _Transaction(conditions, writes)
         return self.breaker.run(lambda: self._write(body))
@@ -240,8 +240,8 @@
         except NeverSentError as error:
             raise StoreUnavailableError(f"nothing was written: {error}") from error
         except NetworkError as error:
-            # The store may have done the write and its answer was lost, or it may
-            # do it yet. Calling this a failure would let the caller write again.
+            # The write may have been applied and its answer lost, or it may still be
+            # applied. Reported as a failure, it would make the caller write again.
             raise UnknownResultError(f"perhaps written: {error}") from error
         if answer.status not in {OK, CONFLICT}:
             raise _error_for_status(answer, writing=True)
@@ -254,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Transaction:
-    """Body of a transaction."""
+    """Request body of a transaction."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -262,7 +262,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Page:
-    """Answer to a listing."""
+    """Response body of a page read."""
 
     rows: tuple[TableRow, ...] = field(default_factory=tuple)
 
@@ -270,15 +270,15 @@
 def _error_for_status(
     answer: Answer, writing: bool = False
 ) -> StoreUnavailableError | UnknownResultError:
-    """Return the error for a status that is no answer to the call."""
+    """Return the error for an unexpected status."""
     detail = f"the store answered {answer.status}"
     if answer.status in {TOO_MANY, UNAVAILABLE}:
         return StoreUnavailableError(detail)
     if answer.status < FIRST_SERVER_ERROR:
         text = answer.body[:200].decode("utf-8", "replace")
         return CallRejectedError(f"{detail}: {text}")
-    # Only 503 promises that nothing was done; another server error may come from
-    # a failure after the write.
+    # Only 503 guarantees that nothing was written; another server error may come
+    # from a failure after the write.
     return UnknownResultError(detail) if writing else StoreUnavailableError(detail)
 
 
--- a/src/mimosafork/watch/__init__.py
+++ b/src/mimosafork/watch/__init__.py
@@ -1,1 +1,1 @@
-"""Asking endpoints for their load and their cache events."""
+"""Probing of endpoints for their load and their cache events."""
--- a/src/mimosafork/watch/calls.py
+++ b/src/mimosafork/watch/calls.py
@@ -1,4 +1,4 @@
-"""One call to an endpoint, whatever may come of it."""
+"""HTTP client for the load and cache reports of endpoints."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -20,13 +20,13 @@
 
 
 class EndpointReader:
-    """Reads what endpoints say of themselves; safe for threads.
+    """Reads the reports of endpoints over HTTP; thread-safe.
 
     Parameters
     ----------
     http : HttpClient
     timeout : timedelta
-        Longest wait for an answer.
+        Answer timeout of each call.
     """
 
     def __init__(self, http: HttpClient, timeout: timedelta) -> None:
@@ -39,7 +39,7 @@
         Raises
         ------
         WatchError
-            If there is none.
+            If the endpoint returns no valid report.
         """
         return load_report(self._get(address, LOAD_PATH), endpoint)
 
@@ -51,7 +51,7 @@
         Raises
         ------
         WatchError
-            If there is no answer.
+            If the endpoint returns no valid answer.
         """
         body = self._get(address, f"{EVENTS_PATH}?after={after}")
         return cache_events(body, endpoint, after)
@@ -62,7 +62,7 @@
         Raises
         ------
         WatchError
-            If there is no answer.
+            If the endpoint returns no valid answer.
         """
         return cache_snapshot(self._get(address, SNAPSHOT_PATH), endpoint)
 
--- a/src/mimosafork/watch/documents.py
+++ b/src/mimosafork/watch/documents.py
@@ -1,4 +1,4 @@
-"""What endpoints answer to probes, decoded and checked."""
+"""Decoding and validation of the answers to probes."""
 
 from datetime import timedelta
 from typing import TypeVar
@@ -27,7 +27,7 @@
 
 
 class LoadDocument(msgspec.Struct, frozen=True):
-    """A load report; a plain service leaves most of it out."""
+    """A load report; a plain service omits most of the fields."""
 
     endpoint: str
     incarnation: int
@@ -83,9 +83,9 @@
     Raises
     ------
     NoValidAnswerError
-        If it is none, or comes from another endpoint: an address is given to a new
-        one while the list still has the old one there, and its load and models
-        must not be taken for the old one's.
+        If the body is invalid or names another endpoint. An address may be reused
+        while the instance list still has its previous endpoint, and the load and
+        models of the new one must not be attributed to the previous one.
     """
     document = _decoded(body, LoadDocument)
     if document.endpoint != endpoint:
@@ -115,7 +115,7 @@
     Raises
     ------
     NoValidAnswerError
-        If it is no such answer.
+        If the body is invalid.
     """
     document = _decoded(body, EventsDocument)
     return CacheEventsReported(
@@ -136,7 +136,7 @@
     Raises
     ------
     NoValidAnswerError
-        If it is no such answer.
+        If the body is invalid.
     """
     document = _decoded(body, SnapshotDocument)
     return CacheSnapshotReported(
--- a/src/mimosafork/watch/errors.py
+++ b/src/mimosafork/watch/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the watching of endpoints."""
+"""Errors of endpoint probes."""
 
 from ..errors import MimosaforkError
 
@@ -8,8 +8,8 @@
 
 
 class EndpointUnreachableError(WatchError):
-    """No connection to the endpoint could be made."""
+    """The connection to the endpoint could not be established."""
 
 
 class NoValidAnswerError(WatchError):
-    """The endpoint gave no usable answer in time."""
+    """The endpoint returned no valid answer within the timeout."""
--- a/src/mimosafork/watch/messages.py
+++ b/src/mimosafork/watch/messages.py
@@ -1,4 +1,4 @@
-"""What the watching task keeps and is told."""
+"""State and messages of the probing task."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -16,16 +16,16 @@
 
 @dataclass(slots=True)
 class ProbeState:
-    """How the probing of one endpoint stands.
+    """Probe state of one endpoint.
 
     Attributes
     ----------
-    busy, reading_cache : bool
-        A call is under way; there is never a second of its sort.
-    misses : int
-        Unanswered probes in a row.
+    probe_in_flight, cache_read_in_flight : bool
+        A call of this kind is in flight; there is at most one of each kind.
+    consecutive_failures : int
+        Failed probes in a row.
     events_after : int
-        Newest sequence number of its cache events that was read.
+        Sequence number of the newest cache event that was read.
     """
 
     target: WatchedEndpoint
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A load probe has ended, with a report or an error."""
+    """A load probe completed with a report or an error."""
 
     watch: ProbeState
     result: LoadReport | WatchError
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheRead:
-    """A read of cache events or of a snapshot has ended."""
+    """A read of cache events or of a snapshot completed."""
 
     watch: ProbeState
     result: CacheEventsReported | CacheSnapshotReported | WatchError
@@ -59,7 +59,7 @@
 
 
 class Reader(Protocol):
-    """Calls to endpoints, each of which may raise a `WatchError`."""
+    """Calls to endpoints; each may raise a `WatchError`."""
 
     def load(self, endpoint: EndpointId, address: str) -> LoadReport:
         """Return the load report."""
--- a/src/mimosafork/watch/task.py
+++ b/src/mimosafork/watch/task.py
@@ -1,4 +1,4 @@
-"""The task that probes the endpoints which fall to this instance."""
+"""Task that probes the endpoints assigned to this instance."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -34,17 +34,17 @@
 
 HEALTHY_POOL_THREADS = 4
 FAILING_POOL_THREADS = 2
-"""Probes of endpoints whose last probe failed have threads of their own. A frozen
-endpoint holds a thread for the whole timeout each time; on shared threads a few of
-them would delay the probes of all others, and those would look frozen too."""
+"""Endpoints whose last probe failed are probed from a pool of their own. Each probe of
+a frozen endpoint blocks a thread for the whole timeout; in a shared pool a few of them
+would delay the probes of all others, which would then look frozen too."""
 
 TOLERATED_TIMEOUTS = 1
-"""An endpoint may let this many probes pass unanswered before it is told as failed;
-a long prefill may hold up one answer. A refused connection is told at once."""
+"""Unanswered probes in a row before an endpoint is reported as failed: a long prefill
+may delay one answer. A refused connection is reported immediately."""
 
 MIN_PROBE_SPACING = timedelta(milliseconds=250)
-"""Least time between two probes of one instance, on average: with many endpoints to
-watch each is asked less often, so that probing stays within its budget."""
+"""Minimum mean time between two probes by one instance. The more endpoints it watches,
+the less often it probes each, so that probing stays within its traffic budget."""
 
 EVENTS_PERIOD = timedelta(seconds=1)
 LONGEST_IDLE = timedelta(seconds=1)
@@ -52,7 +52,7 @@
 
 
 class WatchTask(Task[WatchInput]):
-    """Probes endpoints in time, whatever one of them does.
+    """Probes endpoints on schedule, even if some of them do not answer.
 
     Parameters
     ----------
@@ -60,11 +60,11 @@
     clock : Clock
     random : random.Random
     post : callable
-        Given messages for the kernel; must not block.
+        Delivers messages to the kernel; must not block.
     period : timedelta
-        Time between two probes of an endpoint, while they are few.
-    share_of_period : timedelta
-        Least mean time between two probes of this instance.
+        Time between two probes of an endpoint, if `min_probe_spacing` allows it.
+    min_probe_spacing : timedelta
+        Minimum mean time between two probes by this instance.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self.failing_pool = ThreadPoolExecutor(FAILING_POOL_THREADS, "watch-doubtful")
 
     def stop(self, timeout: timedelta = timedelta(seconds=5)) -> None:
-        """Stop the thread; calls under way end by their own timeout."""
+        """Stop the thread; calls in flight end by their own timeout."""
         super().stop(timeout)
         self.healthy_pool.shutdown(wait=False, cancel_futures=True)
         self.failing_pool.shutdown(wait=False, cancel_futures=True)
@@ -120,7 +120,7 @@
                 self._read_cache(watch, now)
 
     def receive(self, message: WatchInput) -> None:
-        """Handle a message, and start what has come due meanwhile."""
+        """Handle a message, then start the calls that have become due."""
         self.handle(message)
         if self.wait_time() <= timedelta(0):
             self.idle()
@@ -134,8 +134,8 @@
     def _(self, message: WatchEndpoints) -> None:
         now = self.clock.monotonic()
         wanted = {each.endpoint: each for each in message.endpoints}
-        for gone in [name for name in self.watches if name not in wanted]:
-            del self.watches[gone]
+        for removed in [name for name in self.watches if name not in wanted]:
+            del self.watches[removed]
         for name, target in wanted.items():
             known = self.watches.get(name)
             if known is None or known.target.address != target.address:
@@ -181,10 +181,10 @@
             self._apply_events(watch, result)
 
     def _apply_events(self, watch: ProbeState, result: CacheEventsReported) -> None:
-        """Pass on events, or read the cache anew if the engine has been restarted.
+        """Post events, or request a snapshot if the engine has restarted.
 
-        A restarted engine numbers its events from one and its cache is empty, so
-        events asked for after the former life's number tell nothing.
+        A restarted engine has an empty cache and numbers its events from one, so a
+        request for events after the previous incarnation's number returns nothing.
         """
         if result.incarnation != watch.incarnation:
             watch.incarnation = result.incarnation
@@ -229,10 +229,10 @@
 
 
 def _result_of(call: Callable[[], R]) -> R | WatchError:
-    """Return what a call returned, or its error.
+    """Return the result of a call, or its error.
 
-    An exception that left a pool's thread would go unseen, and the endpoint would
-    count as being asked for ever.
+    An exception that escaped into the thread pool would be lost, and the call would
+    count as in flight forever.
     """
     try:
         return call()
--- a/tests/unit/storage/__init__.py
+++ b/tests/unit/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of platform."""
+"""Tests of the platform clients."""
--- a/tests/unit/storage/test_breaker.py
+++ b/tests/unit/storage/test_breaker.py
@@ -29,11 +29,11 @@
     return breaker
 
 
-def test_a_dead_store_is_not_called_by_every_caller() -> None:
-    """While the store is down callers are refused without a call each.
+def test_open_breaker_rejects_calls_without_sending_them() -> None:
+    """While the store is down, calls fail without being sent.
 
-    What a user sees without it: requests that need no store hang as well, since
-    all threads sit out the store's timeout one after the other.
+    Otherwise all threads wait for the store's timeout, and requests that do not need
+    the store hang as well.
     """
     calls: list[int] = []
     breaker = opened(ManualClock())
@@ -42,7 +42,7 @@
     case.assertEqual([], calls)
 
 
-def test_one_probe_closes_it_again() -> None:
+def test_successful_probe_closes_the_breaker() -> None:
     clock = ManualClock()
     breaker = opened(clock)
     clock.advance(MAX_PROBE_DELAY)
@@ -50,7 +50,7 @@
     case.assertIs(BreakerState.CLOSED, breaker.state)
 
 
-def test_callers_beside_the_probe_fail_at_once() -> None:
+def test_calls_during_a_probe_fail_immediately() -> None:
     clock = ManualClock()
     breaker = opened(clock)
     clock.advance(MAX_PROBE_DELAY)
@@ -63,7 +63,7 @@
     case.assertEqual("probed", breaker.run(probe))
 
 
-def test_failed_probes_lengthen_the_pause_up_to_its_bound() -> None:
+def test_failed_probes_increase_the_delay_up_to_its_maximum() -> None:
     clock = ManualClock()
     breaker = opened(clock)
     for _ in range(10):
@@ -74,11 +74,11 @@
     case.assertGreater(breaker.retry_at - clock.monotonic(), timedelta(seconds=0.9))
 
 
-def test_a_probe_that_ends_in_a_fault_of_ours_does_not_shut_it_for_ever() -> None:
-    """An unforeseen exception in the probing call is no answer of the store.
+def test_unexpected_error_in_a_probe_does_not_keep_the_breaker_open() -> None:
+    """An unexpected exception ends the probe call.
 
-    Without the guard the breaker stays in `PROBING` and refuses all calls until
-    the process is restarted, though the store is back.
+    If it were not counted, the breaker would stay in `PROBING` and reject all calls
+    until the process restarts, although the store is available again.
     """
     clock = ManualClock()
     breaker = opened(clock)
@@ -89,7 +89,7 @@
     case.assertEqual("row", breaker.run(up))
 
 
-def test_a_faulty_call_says_nothing_about_the_store() -> None:
+def test_rejected_calls_do_not_open_the_breaker() -> None:
     breaker = CircuitBreaker("table service", ManualClock(), Random(1))
 
     def rejected() -> str:
--- a/tests/unit/storage/test_instances.py
+++ b/tests/unit/storage/test_instances.py
@@ -1,4 +1,4 @@
-"""The instance list is read at a bounded cost."""
+"""Tests of the traffic limits of the instance list."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -30,11 +30,10 @@
 
 
 def test_an_unchanged_list_is_not_sent_again() -> None:
-    """A quiet fleet of the design size would spend 168 KB a second on the list.
+    """Unconditional reads of an unchanged list exceed the control traffic budget.
 
-    Each instance reads the whole list every second though nothing changed, until
-    nothing is left of the traffic that control may use. The cause: reads that do
-    not say what is known already.
+    At the design size each instance would transfer 168 KB every second although
+    nothing changed.
     """
     standin = InstanceListStandin(SystemClock(), lag_s=0.0)
     standin.instances.put("e1", ENGINE, 0.0)
@@ -52,28 +51,27 @@
     assert changed.listed.endpoints[0].state.value == "leaving"
 
 
-class WholeLists:
-    """A platform that sends a list of one size whole, each time."""
+class UntaggedListClient:
+    """Fake client of a platform that returns the full list on each read."""
 
     def __init__(self, size: int) -> None:
         self.size = size
         self.reads = 0
 
     def read_if_changed(self, last: ListReading | None) -> ListReading:
-        """Return the whole list."""
+        """Return the full list."""
         self.reads += 1
         return ListReading(InstancesListed((), ()), None, self.size)
 
 
-def test_whole_lists_are_read_at_a_bounded_pace() -> None:
-    """A platform without tags costs a node no more than its share of traffic.
+def test_full_lists_are_read_within_the_byte_budget() -> None:
+    """A platform without tags returns the full list of 168 KB on each read.
 
-    A list of 168 KB comes whole with each read, every second. The node's traffic
-    for control is six times over its bound and its callers' streams suffer. The
-    cause: a period that does not look at what a read costs.
+    Read every second regardless of size, the list would take six times the node's
+    budget for control traffic and slow down its callers' streams.
     """
     clock = ManualClock()
-    client = WholeLists(168_000)
+    client = UntaggedListClient(168_000)
     second = timedelta(seconds=1)
     poller = InstanceListPoller(
         client,  # type: ignore[arg-type]
--- a/tests/unit/storage/test_table.py
+++ b/tests/unit/storage/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the table client: what each answer of the store leaves open."""
+"""Tests of the table client and of how it maps answers to errors."""
 
 from collections.abc import Callable
 from random import Random
@@ -29,7 +29,7 @@
 
 
 class ScriptedHttp:
-    """Answers each call by a script and keeps what was asked."""
+    """Answers each call by a script and records the requests."""
 
     def __init__(self, script: Callable[[], Answer]) -> None:
         self.script = script
@@ -37,7 +37,7 @@
         self.bodies: list[Any] = []
 
     def call(self, method: str, address: str, path: str, body: Any = None) -> Answer:
-        """Keep the call and answer it."""
+        """Record the call and answer it."""
         self.paths.append(path)
         self.bodies.append(msgspec.json.decode(msgspec.json.encode(body)))
         return self.script()
@@ -60,7 +60,7 @@
     return script
 
 
-def test_a_row_and_its_absence() -> None:
+def test_get_returns_the_row_or_none() -> None:
     body = b'{"key":"a/b","version":3,"value":{"x":1}}'
     client, http = client_of(answer(200, body))
     case.assertEqual(TableRow("a/b", 3, {"x": 1}), client.get("t", "a/b"))
@@ -69,7 +69,7 @@
     case.assertIsNone(absent.get("t", "k"))
 
 
-def test_a_transaction_speaks_the_protocol() -> None:
+def test_transaction_matches_the_protocol() -> None:
     client, http = client_of(answer(200, b'{"committed":true,"versions":[7]}'))
     result = client.transact(CONDITIONS, WRITES)
     case.assertEqual((True, (7,)), (result.committed, result.versions))
@@ -80,7 +80,7 @@
     case.assertEqual([expected], http.bodies)
 
 
-def test_a_conflict_carries_the_row_that_was_in_the_way() -> None:
+def test_conflict_contains_the_conflicting_row() -> None:
     body = b'{"committed":false,"conflicts":[{"table":"t","key":"k","version":2,'
     client, _ = client_of(answer(409, body + b'"value":{"a":5}}]}'))
     result = client.transact(CONDITIONS, WRITES)
@@ -89,11 +89,11 @@
     case.assertEqual((2, {"a": 5}), (conflict.version, conflict.value))
 
 
-def test_what_a_failed_write_leaves_open() -> None:
-    """A connection that ends after the write took effect must not read as "no".
+def test_failed_writes_map_to_unavailable_rejected_or_unknown() -> None:
+    """A connection may be lost after the write was applied.
 
-    Without the distinction a caller writes again, or tells its user that nothing
-    happened although the row is there.
+    Reported as a plain failure, the caller would write again or report that nothing
+    was written although the row exists.
     """
     for script, expected in (
         (raising(NeverSentError("refused")), StoreUnavailableError),
@@ -108,7 +108,7 @@
             client.transact(CONDITIONS, WRITES)
 
 
-def test_a_failed_read_is_never_unknown() -> None:
+def test_failed_reads_are_never_unknown() -> None:
     for script in (
         raising(NoAnswerError("reset")),
         answer(500),
@@ -119,7 +119,7 @@
             client.get("t", "k")
 
 
-def test_one_odd_entry_does_not_hide_the_instance_list() -> None:
+def test_undecodable_entry_does_not_hide_the_others() -> None:
     listed = convert_entries(
         [
             {"id": "x", "kind": "quantum-engine", "state": "live"},
--- a/tests/unit/watch/test_watch_task.py
+++ b/tests/unit/watch/test_watch_task.py
@@ -1,4 +1,4 @@
-"""Probes that are made in time whatever one endpoint does."""
+"""Tests of the probing task."""
 
 import threading
 from collections import Counter
@@ -41,14 +41,14 @@
 
 @dataclass
 class FakeReader:
-    """Answers for endpoints without a network.
+    """Fake of the calls to endpoints, without a network.
 
     Attributes
     ----------
     freezing : set of str
-        Endpoints that hold each call until its timeout.
+        Endpoints that block each call until its timeout.
     held : threading.Event
-        Set to let go of those calls.
+        Releases the blocked calls when set.
     """
 
     freezing: set[str] = field(default_factory=set)
@@ -61,7 +61,7 @@
     held: threading.Event = field(default_factory=threading.Event)
 
     def load(self, endpoint: EndpointId, address: str) -> LoadReport:
-        """Return a report, or fail as told."""
+        """Return a report, or fail as configured."""
         if endpoint in self.failing_once:
             self.failing_once.discard(endpoint)
             raise NoValidAnswerError("once")
@@ -76,26 +76,26 @@
     def events(
         self, endpoint: EndpointId, address: str, after: int
     ) -> CacheEventsReported:
-        """Return the events after a number."""
+        """Return the events after a sequence number."""
         self.asked_after.append(after)
         events = tuple(
             CacheEvent(number, CacheEventKind.STORED, Digest("aa"), 1024)
             for number in range(after + 1, self.newest + 1)
         )
-        life = Incarnation(self.incarnation)
-        return CacheEventsReported(endpoint, life, after, self.newest, events)
+        incarnation = Incarnation(self.incarnation)
+        return CacheEventsReported(endpoint, incarnation, after, self.newest, events)
 
     def snapshot(self, endpoint: EndpointId, address: str) -> CacheSnapshotReported:
-        """Return an empty cache at the newest number."""
-        life = Incarnation(self.incarnation)
-        return CacheSnapshotReported(endpoint, life, self.newest, ())
+        """Return an empty cache at the newest sequence number."""
+        incarnation = Incarnation(self.incarnation)
+        return CacheSnapshotReported(endpoint, incarnation, self.newest, ())
 
 
 def test_frozen_endpoints_do_not_delay_the_probes_of_others() -> None:
-    """Six of ten watched endpoints freeze: they accept calls and never answer.
+    """Six of ten endpoints accept calls and never answer.
 
-    Each of their probes holds a thread until its timeout. On threads shared by all,
-    the other four would be asked seldom, and be taken for silent.
+    Each of their probes blocks a thread until its timeout. In a shared thread pool the
+    other four would be probed too rarely and be considered unresponsive.
     """
     names = [f"e{number}" for number in range(10)]
     reader = FakeReader(freezing=set(names[:6]))
@@ -114,13 +114,13 @@
     assert sum(failed.values()) <= 6
 
 
-def test_refused_connection_is_told_at_once() -> None:
+def test_refused_connection_is_reported_immediately() -> None:
     reader = FakeReader(refusing={"e1"})
     with _watching(reader, ["e1"], period=timedelta(hours=1)) as posted:
         eventually(lambda: _failed(posted) == ["e1"])
 
 
-def test_one_missed_answer_is_let_pass() -> None:
+def test_single_timeout_is_tolerated() -> None:
     reader = FakeReader(failing_once={"e1"})
     with _watching(reader, ["e1"]) as posted:
         eventually(lambda: len(_reported(posted)) >= 2)
@@ -128,7 +128,7 @@
         assert _failed(posted) == []
 
 
-def test_endpoint_that_answers_again_is_told() -> None:
+def test_recovered_endpoint_is_reported() -> None:
     reader = FakeReader(refusing={"e1"})
     with _watching(reader, ["e1"]) as posted:
         eventually(lambda: bool(_failed(posted)))
@@ -136,7 +136,7 @@
         eventually(lambda: bool(_reported(posted)))
 
 
-def test_unexpected_error_does_not_end_the_probing() -> None:
+def test_unexpected_error_does_not_stop_probing() -> None:
     reader = FakeReader()
     answer = reader.load
     faults = iter([ZeroDivisionError("a fault in the reader")])
@@ -151,7 +151,7 @@
         eventually(lambda: bool(_reported(posted)))
 
 
-def test_only_the_first_watcher_reads_cache_events() -> None:
+def test_only_the_primary_watcher_reads_cache_events() -> None:
     reader = FakeReader(newest=3)
     with _watching(reader, ["e1"], first=False) as posted:
         eventually(lambda: len(_reported(posted)) >= 3)
@@ -159,11 +159,11 @@
     assert reader.asked_after == []
 
 
-def test_restarted_engine_is_read_anew() -> None:
-    """An engine restarts; its cache is empty and its events count from one.
+def test_restarted_engine_is_read_by_snapshot() -> None:
+    """An engine restarts with an empty cache and numbers its events from one.
 
-    Asked for the events after the old number it would answer with none, and the
-    index would keep the prefixes of its former life.
+    A request for events after the old number would return none, and the index would
+    keep the prefixes of the previous incarnation.
     """
     reader = FakeReader(newest=40)
     with _watching(reader, ["e1"]) as posted:
@@ -172,7 +172,7 @@
         eventually(lambda: _snapshots(posted)[-1] == (2, 1))
 
 
-def test_snapshot_is_read_when_asked_for() -> None:
+def test_snapshot_is_read_on_request() -> None:
     reader = FakeReader(newest=7)
     with _watching(reader, ["e1"]) as posted:
         eventually(lambda: len(_snapshots(posted)) == 1)
@@ -180,16 +180,16 @@
         eventually(lambda: len(_snapshots(posted)) == 2)
 
 
-def test_answer_of_another_endpoint_at_the_address_is_refused() -> None:
+def test_report_of_another_endpoint_is_rejected() -> None:
     body = b'{"endpoint":"e9","incarnation":1,"sequence":1}'
     try:
         decode(body, EndpointId("e1"))
     except NoValidAnswerError:
         return
-    raise AssertionError("another endpoint's load was taken for e1's")
+    raise AssertionError("the load of another endpoint was accepted for e1")
 
 
-def test_garbage_is_no_report() -> None:
+def test_invalid_bodies_are_rejected() -> None:
     for body in (b"", b"[]", b"<html>", b'{"endpoint":"e1","incarnation":"x"}'):
         try:
             decode(body, EndpointId("e1"))
@@ -200,7 +200,7 @@
 
 @dataclass
 class Posted:
-    """What a watch task told the kernel."""
+    """Messages that a watch task posted to the kernel."""
 
     task: WatchTask
     messages: list[Message]
