--- a/src/mimosafork/directory/__init__.py
+++ b/src/mimosafork/directory/__init__.py
@@ -1,1 +1,1 @@
-"""What this instance believes of the configuration and the endpoints, and why."""
+"""View of the configuration and the endpoints that this instance maintains."""
--- a/src/mimosafork/directory/call_failures.py
+++ b/src/mimosafork/directory/call_failures.py
@@ -1,4 +1,4 @@
-"""What the calls of one outage of the store had in common."""
+"""Summary of the failed calls of one outage of the store."""
 
 from datetime import timedelta
 
@@ -6,19 +6,19 @@
 
 
 class CallFailures(msgspec.Struct):
-    """Calls about one table that failed in a row.
+    """Consecutive failed calls about one table.
 
-    A return of the store that is noticed late has one of three reasons: few calls that
-    each waited long, calls that were refused, or calls that were never sent.
+    The return of the store may be detected late for three reasons: a few calls that
+    each took long, calls that were refused, or calls that were never sent.
 
     Attributes
     ----------
     count : int
-        Failed calls.
+        Number of failed calls.
     longest : timedelta
-        How long the longest of them took.
+        Duration of the longest one.
     last_reason : str
-        Why the last one failed; empty without any.
+        Reason of the last failure; empty if there was none.
     """
 
     count: int = 0
@@ -26,7 +26,7 @@
     last_reason: str = ""
 
     def add(self, reason: str, took: timedelta) -> None:
-        """Count a call that failed."""
+        """Add a failed call."""
         self.count += 1
         self.longest = max(self.longest, took)
         self.last_reason = reason
--- a/src/mimosafork/directory/current_table.py
+++ b/src/mimosafork/directory/current_table.py
@@ -1,4 +1,4 @@
-"""The configuration in force: only ever a newer one."""
+"""The configuration in force, which is only replaced by newer ones."""
 
 from ..routing.table import RoutingTable
 from .messages import TableChanged, UpdateOrigin
@@ -7,12 +7,12 @@
 
 
 class CurrentTable:
-    """Keeps the newest configuration that was told.
+    """Keeps the newest configuration received.
 
     Parameters
     ----------
     source : ConfigurationSource
-        Reads a row's value.
+        Decodes the value of a row.
     """
 
     def __init__(self, source: ConfigurationSource) -> None:
@@ -21,16 +21,16 @@
         self.row: Row | None = None
 
     def apply(self, row: Row, origin: UpdateOrigin) -> TableChanged | None:
-        """Take a row if its configuration is newer than the one in force.
+        """Apply a row if its configuration is newer than the one in force.
 
-        Guard: a stale read or a slow peer tells an older configuration after a
-        newer one. Taken, calls would go where they may no longer go. Both the row
-        and the configuration must be newer, so none is ever put back.
+        Guard: a stale read or a slow peer may return an older configuration after a
+        newer one. Applied, it would send calls to services that must no longer get
+        them. Both the row and the configuration must be newer.
 
         Raises
         ------
-        UnreadableError
-            If its value cannot be read.
+        UnreadableRowError
+            If its value cannot be decoded.
         """
         if row.removed or (self.row is not None and row.version <= self.row.version):
             return None
--- a/src/mimosafork/directory/directory.py
+++ b/src/mimosafork/directory/directory.py
@@ -1,4 +1,4 @@
-"""The directory: follows configuration and endpoints, and tells what changed."""
+"""The directory: follows the configuration and the endpoints, and publishes changes."""
 
 import asyncio
 import logging
@@ -44,38 +44,39 @@
 logger = logging.getLogger(__name__)
 
 MISSED_DETECTION_PROBABILITY = 0.001
-"""Share of the cases in which no instance finds all connections silent soon."""
+"""Accepted probability that no instance detects in time that all connections stall."""
 LONGEST_WAIT = timedelta(seconds=10)
-"""Half of the time for which the store keeps its history."""
+"""Half of the store's history retention."""
 
 LATEST = sys.maxsize
-"""Version of an update that is not older than anything known."""
+"""Version of an update that counts as newer than all known ones."""
 
 MAX_FIELD_CHARS = 300
-"""Characters of a field of a line that another's row fills."""
+"""Maximum length of a log field whose content comes from a row."""
 
 HELD = "held"
-"""Of an endpoint that stays in use though its row vanished."""
+"""State name of an endpoint that stays in use although its row is missing."""
 
 
 def no_peers() -> int:
-    """Return that no peer is heard."""
+    """Return zero, the number of peers before any is connected."""
     return 0
 
 
 def long_poll_wait(usual: timedelta, peers: int) -> timedelta:
-    """Return how long a call about the configuration may wait among some peers.
+    """Return the long poll timeout of the configuration for a number of peers.
 
-    A connection that has fallen silent is found when its wait is over. Where that
-    befalls all instances at once, the first to find it reads the configuration and
-    hands it to its peers. They wait at all instants, so that with this wait one of them
-    finds it within the usual time but in `UNFOUND` of all cases; each call that waits
-    longer saves one of the store's, 0.6 of them for 64 instances.
+    A stalled connection is detected when its long poll times out. If the connections
+    of all instances stall at once, the first to detect it reads the configuration and
+    sends it to its peers. The polls of the instances are spread over time, so with this
+    timeout one of them detects it within the usual time, except with a probability of
+    `MISSED_DETECTION_PROBABILITY`. Longer polls save calls to the store: 0.6 of them
+    for 64 instances.
 
     Parameters
     ----------
     usual : timedelta
-        Wait of an instance alone.
+        Timeout of an instance without peers.
     """
     if peers == 0:
         return usual
@@ -84,10 +85,10 @@
 
 
 class Directory:
-    """What this instance believes of the configuration and the endpoints.
+    """Maintains the instance's view of the configuration and the endpoints.
 
-    Lives on one asyncio loop; listeners are called there, in the order of changes,
-    and must not wait.
+    Runs on one asyncio loop; listeners are called there, in the order of changes,
+    and must not block.
 
     Parameters
     ----------
@@ -98,14 +99,14 @@
     clock : Clock
         Its monotonic scale is used.
     random : Random
-        Spreads retries.
+        Jitters retries.
     settings : DirectorySettings, optional
-        Times.
+        Timeouts and intervals.
     pause : Sleep, optional
-        Waits for a time.
+        Sleeps for a duration.
     boot_clock : Clock, optional
-        Its monotonic scale counts the time of a suspension, by which peers' updates
-        grow old; `clock` if it is not given.
+        Clock whose monotonic scale includes suspensions, so that peers' updates age
+        during them; default is `clock`.
     """
 
     def __init__(
@@ -121,14 +122,14 @@
         chosen = settings or DirectorySettings()
         self.pause = pause
         self.watermark = VersionWatermark()
-        grace, least = chosen.return_grace, chosen.min_outage
-        self.health = StoreHealth(clock, grace, least)
+        grace, min_outage = chosen.return_grace, chosen.min_outage
+        self.health = StoreHealth(clock, grace, min_outage)
         self.current_table = CurrentTable(configurations)
         self.endpoint_registry = EndpointRegistry(
             endpoints, self.health, clock, chosen.removal_retention
         )
         self.peer_count: Callable[[], int] = no_peers
-        """Returns how many instances would tell of a newer configuration."""
+        """Returns the number of peers that would send a newer configuration."""
         self.peer_feed = PeerFeed(boot_clock or clock)
         self.unreadable_table_version = 0
         """Version of the newest configuration that could not be read."""
@@ -141,7 +142,7 @@
             chosen.configuration,
             clock,
             random,
-            StoreHealth(clock, grace, least),
+            StoreHealth(clock, grace, min_outage),
             self.watermark,
         )
         self.endpoint_follower = TableFollower(
@@ -168,22 +169,22 @@
 
     @property
     def raw_configuration(self) -> Row | None:
-        """The row of the configuration in force, to hand to peers."""
+        """The row of the configuration in force, in raw form for peers."""
         return self.current_table.row
 
     @property
     def raw_endpoints(self) -> tuple[Row, ...]:
-        """The rows of all endpoints, removals included, to hand to peers."""
+        """The rows of all endpoints including removals, in raw form for peers."""
         return self.endpoint_registry.raw_rows()
 
     @property
     def table_age(self) -> timedelta | None:
-        """Time since the store last told the configuration."""
+        """Time since the store last answered about the configuration."""
         return self.configuration_follower.age
 
     @property
     def listing_age(self) -> timedelta | None:
-        """Time since the store last told the endpoints."""
+        """Time since the store last answered about the endpoints."""
         return self.endpoint_follower.age
 
     @property
@@ -193,41 +194,41 @@
         return self.table is not None and listed
 
     def add_listener(self, listener: Listener) -> None:
-        """Tell a listener each change from now on."""
+        """Register a listener for all further changes."""
         self.listeners.append(listener)
 
     def start(self) -> None:
-        """Begin to follow, on the running loop."""
+        """Start following both tables on the running loop."""
         loop = asyncio.get_running_loop()
         for follower in (self.configuration_follower, self.endpoint_follower):
             self.tasks.append(loop.create_task(follower.run(self.pause)))
 
     async def stop(self) -> None:
-        """End following; what is known stays."""
+        """Stop following; the known state is kept."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.tasks.clear()
 
     def offer_configuration(self, row: Row) -> None:
-        """Take the configuration that a peer knows, if it is newer."""
+        """Apply a configuration from a peer, if it is newer."""
         self.watermark.observe(row.version)
         self.apply_configuration(row, UpdateOrigin.PEER)
 
     def offer_endpoint(self, row: Row) -> None:
-        """Take a peer's update about an endpoint."""
+        """Apply a peer's update of an endpoint."""
         self.watermark.observe(row.version)
         self.apply_endpoint(row, UpdateOrigin.PEER)
 
     def offer_removal(self, endpoint: EndpointId, version: int) -> None:
-        """Take a peer's update that an endpoint's row is no longer there."""
+        """Apply a peer's update that an endpoint's row was removed."""
         known = self.endpoint_registry.entries.get(endpoint)
         if known is not None:
             row = replace(known.row, value=b"", version=version, removed=True)
             self.apply_endpoint(row, UpdateOrigin.PEER)
 
     def offer_draining(self, endpoint: EndpointId, version: int = LATEST) -> None:
-        """Take a peer's update, of some version, that an endpoint leaves."""
+        """Apply a peer's update that an endpoint is draining."""
         changed = self.endpoint_registry.mark_draining(
             endpoint, UpdateOrigin.PEER, version
         )
@@ -235,11 +236,11 @@
             self.publish_endpoint(changed)
 
     def apply_configuration(self, row: Row, origin: UpdateOrigin) -> None:
-        """Take a configuration's row and tell what changed."""
+        """Apply a configuration row and publish the change."""
         try:
             changed = self.current_table.apply(row, origin)
         except UnreadableRowError as error:
-            # Each peer hands over what the store holds, again and again.
+            # Every peer sends the same row repeatedly; log each version once.
             if row.version > self.unreadable_table_version:
                 self.unreadable_table_version = row.version
                 log_unreadable(row, origin, error)
@@ -248,7 +249,7 @@
             self.publish_table(changed)
 
     def apply_endpoint(self, row: Row, origin: UpdateOrigin) -> None:
-        """Take an endpoint's row and tell what changed."""
+        """Apply an endpoint row and publish the change."""
         try:
             changed = self.endpoint_registry.apply(row, origin)
         except UnreadableRowError as error:
@@ -260,20 +261,20 @@
     def apply_unreadable(
         self, row: Row, origin: UpdateOrigin, error: UnreadableRowError
     ) -> None:
-        """Take an endpoint's row that cannot be read; one line tells it."""
+        """Apply an endpoint row that cannot be decoded, and log it once."""
         if self.endpoint_registry.record_unreadable(row):
             log_unreadable(row, origin, error)
-        resting = self.endpoint_registry.suspend(row, origin)
-        if resting is not None:
-            self.notify(resting)
+        suspended = self.endpoint_registry.suspend(row, origin)
+        if suspended is not None:
+            self.notify(suspended)
 
     def resolve_missing(self) -> None:
-        """Tell what is still missing after an outage."""
+        """Publish the endpoints that are still missing after an outage."""
         for changed in self.endpoint_registry.resolve_missing(UpdateOrigin.STORE):
             self.publish_endpoint(changed)
 
     def publish_table(self, changed: TableChanged) -> None:
-        """Log a configuration and tell the listeners."""
+        """Log a configuration change and notify the listeners."""
         silence = self.configuration_follower.health.time_since_answer
         before = changed.before
         log_event(
@@ -288,115 +289,113 @@
         self.notify(changed)
 
     def publish_endpoint(self, changed: EndpointChanged) -> None:
-        """Log a change of an endpoint and tell the listeners."""
+        """Log a change of an endpoint and notify the listeners."""
         log_endpoint(changed)
         self.notify(changed)
 
     def notify(self, change: DirectoryChange) -> None:
-        """Tell all listeners."""
+        """Call all listeners."""
         for listener in self.listeners:
             listener(change)
 
 
 class ConfigurationConsumer:
-    """Hands the configuration's rows to the directory.
+    """Applies the configuration's rows to the directory.
 
     Parameters
     ----------
     directory : Directory
-        Who takes them.
     """
 
     def __init__(self, directory: Directory) -> None:
         self.directory = directory
 
     def is_newer_than(self, page: RowPage) -> bool:
-        """Whether a row is older than that of the configuration in force."""
+        """Whether the configuration in force is newer than a row of the page."""
         known = self.directory.raw_configuration
         if known is None:
             return False
         return any(row.version < known.version for row in page.rows)
 
     def apply_snapshot(self, page: RowPage) -> None:
-        """Take the configuration; one that is missing stays in force."""
+        """Apply the configuration; if it is missing, the current one stays in force."""
         self.apply_changes(page)
 
     def apply_changes(self, page: RowPage) -> None:
-        """Take the configuration."""
+        """Apply the configuration."""
         for row in page.rows:
             self.directory.apply_configuration(row, UpdateOrigin.STORE)
 
     def longest_wait(self, usual: timedelta) -> timedelta:
-        """Return a longer wait the more peers there are that would tell."""
+        """Return a timeout that grows with the number of peers."""
         return long_poll_wait(usual, self.directory.peer_count())
 
     def apply_no_change(self, version: int) -> None:
-        """Do nothing: no peer's update stands for an answer about the configuration."""
+        """Do nothing: peers' updates do not replace answers about the configuration."""
 
     @property
     def is_uncertain(self) -> bool:
-        """Nothing of the configuration is ever in doubt."""
+        """Always False: the configuration has no uncertain state."""
         return False
 
 
 class EndpointConsumer:
-    """Hands the endpoints' rows to the directory.
+    """Applies the endpoints' rows to the directory.
 
     Parameters
     ----------
     directory : Directory
-        Who takes them.
     """
 
     def __init__(self, directory: Directory) -> None:
         self.directory = directory
 
     def is_newer_than(self, page: RowPage) -> bool:
-        """Whether a row is older than what is known of its endpoint."""
+        """Whether the known state of an endpoint is newer than its row."""
         return self.directory.endpoint_registry.is_newer_than(page.rows)
 
     def apply_snapshot(self, page: RowPage) -> None:
-        """Take all rows and what is missing among them."""
+        """Apply all rows, and the removals implied by missing ones."""
         book = self.directory.endpoint_registry
         self.apply_rows(page.rows + book.missing_from(page.rows, page.version))
         book.record_followed(page.version)
 
     def apply_changes(self, page: RowPage) -> None:
-        """Take changed rows."""
+        """Apply changed rows."""
         self.apply_rows(page.rows)
         self.directory.endpoint_registry.record_followed(page.version)
 
     def longest_wait(self, usual: timedelta) -> timedelta:
-        """Return the usual wait, or what is left of a doubt.
+        """Return the usual timeout, or the rest of an uncertain period if shorter.
 
-        Guard: what is missing after an outage is judged when an answer is taken. A
-        call that waits on past the end of the doubt puts the judgement off by its
-        whole wait, and endpoints that left get calls seconds after they said so.
+        Guard: endpoints that are missing after an outage are resolved when an answer is
+        applied. A long poll that outlasts the uncertain period would delay this by its
+        whole timeout, and endpoints that left would get calls for seconds more.
         """
         if not self.directory.endpoint_registry.has_missing:
             return usual
         return min(usual, self.directory.health.uncertainty_left)
 
     def apply_no_change(self, version: int) -> None:
-        """Note up to where all is known, and drop updates that are long over."""
+        """Advance the followed version and resolve missing endpoints."""
         self.directory.endpoint_registry.record_followed(version)
         self.directory.resolve_missing()
 
     @property
     def is_uncertain(self) -> bool:
-        """Whether something vanished or came back that time has yet to judge."""
+        """Whether missing or reappeared rows are yet to be resolved."""
         book = self.directory.endpoint_registry
         return book.has_missing or bool(book.reappeared) or book.health.is_uncertain
 
     def apply_rows(self, rows: tuple[Row, ...]) -> None:
-        """Take rows, then settle what was in doubt."""
+        """Apply rows, then resolve missing endpoints."""
         for row in rows:
             self.directory.apply_endpoint(row, UpdateOrigin.STORE)
         self.directory.resolve_missing()
 
 
 def log_endpoint(changed: EndpointChanged) -> None:
-    """Log what is believed of an endpoint from now on."""
+    """Log the new state of an endpoint."""
     entry = changed.entry
     if entry.state is EndpointState.GONE:
         event = ENDPOINT_GONE
@@ -419,12 +418,12 @@
 
 
 def state_name(entry: DirectoryEntry) -> str:
-    """Return by name what is believed of an endpoint."""
+    """Return the name of an endpoint's state."""
     return HELD if entry.missing_version is not None else entry.state.value
 
 
 def log_unreadable(row: Row, origin: UpdateOrigin, error: UnreadableRowError) -> None:
-    """Log a row that cannot be read."""
+    """Log a row that cannot be decoded."""
     log_event(
         logger,
         ENTRY_UNREADABLE,
@@ -436,5 +435,5 @@
 
 
 def truncate_field(text: str) -> str:
-    """Return as much of a text as a line holds."""
+    """Return a text truncated to the maximum length of a log field."""
     return text if len(text) <= MAX_FIELD_CHARS else f"{text[:MAX_FIELD_CHARS]}..."
--- a/src/mimosafork/directory/endpoint_registry.py
+++ b/src/mimosafork/directory/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that are known, and which update about each counts."""
+"""The known endpoints, and the rules by which updates about them take precedence."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -19,10 +19,10 @@
     "cold_remaining": timedelta(0),
     "state": ListedState.READY,
 }
-"""Fields of a listing whose change alone is not told, set to values that are equal."""
+"""Listing fields whose change alone is not published, with fixed values to compare."""
 
 ROW_EXPIRY = timedelta(milliseconds=3900)
-"""Longer than a row outlives the last report of its endpoint."""
+"""Longer than the time after which a row without new reports expires."""
 
 
 class Removal(msgspec.Struct, frozen=True):
@@ -31,14 +31,14 @@
     Attributes
     ----------
     row : Row
-        The update in raw form, to hand to peers.
-    sure : bool
-        False if its row vanished around an outage of the store, so that a newer
-        update of the endpoint itself may bring it back.
-    since : timedelta
-        Monotonic instant at which it was learned.
-    born_ms : int or None
-        When the life began that is gone, as far as it said so.
+        The update in raw form, for peers.
+    confirmed : bool
+        False if the row disappeared around an outage of the store, so that a newer
+        update of the endpoint itself restores it immediately.
+    learned_at : timedelta
+        Monotonic instant at which the removal was learned.
+    started_ms : int or None
+        Start time of the removed incarnation, if it was reported.
     """
 
     row: Row
@@ -48,7 +48,7 @@
 
 
 class Reappearance(msgspec.Struct, frozen=True):
-    """A gone endpoint whose row is there again, since a monotonic instant."""
+    """A removed endpoint whose row exists again, and the instant it was seen."""
 
     row: Row
     listed: ListedEndpoint
@@ -56,21 +56,21 @@
 
 
 class EndpointRegistry:
-    """Decides what each row says about its endpoint.
+    """Derives the state of each endpoint from its rows.
 
-    The strictest update counts: gone before draining before ready. An update's version
-    orders what was said about one id; ids are new with each start of an endpoint.
+    The strictest update wins: gone over draining over ready. Versions order the updates
+    of one id; an endpoint usually gets a new id with each start.
 
     Parameters
     ----------
     source : EndpointSource
-        Reads a row's value.
+        Decodes the values of rows.
     health : StoreHealth
-        Whether rows may be missing by an outage alone.
+        Tells whether rows may be missing only because of an outage.
     clock : Clock
         Its monotonic scale is used.
-    gone_kept : timedelta
-        How long the update that an endpoint is gone is remembered.
+    removal_retention : timedelta
+        How long removals are kept.
     """
 
     def __init__(
@@ -88,50 +88,51 @@
         self.removals: dict[EndpointId, Removal] = {}
         self.reappeared: dict[EndpointId, Reappearance] = {}
         self.unreadable: dict[EndpointId, Row] = {}
-        """The newest rows that cannot be read, without their values."""
+        """The newest rows that cannot be decoded, without their values."""
         self.followed_up_to = 0
-        """Version up to which the store itself has told all changes."""
+        """Version up to which all changes were received from the store itself."""
 
     @property
     def has_missing(self) -> bool:
-        """Whether an endpoint is in use whose row has vanished."""
+        """Whether an endpoint is in use although its row is missing."""
         return any(each.missing_version is not None for each in self.entries.values())
 
     def apply(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
-        """Take one update.
+        """Apply one update.
 
         Returns
         -------
         EndpointChanged or None
-            None if it changes nothing that others need to know.
+            None if nothing changes that is published.
 
         Raises
         ------
-        UnreadableError
-            If the row's value cannot be read.
+        UnreadableRowError
+            If the row's value cannot be decoded.
         """
         if row.removed:
             return self.apply_removal(row, origin)
         endpoint = EndpointId(row.key)
         if origin is UpdateOrigin.PEER and self.is_stale_peer_row(endpoint, row):
             return None
-        update = self.removals.get(endpoint)
-        # Guard: a row read late, or a last report that crossed the removal, comes
-        # after the endpoint is gone. Taken, calls would go to an address that is
-        # another's by then. What vanished around an outage may come back at once,
-        # anything else only when its row lasts.
-        if update is not None and row.version <= update.row.version:
+        removal = self.removals.get(endpoint)
+        # Guard: a stale read, or a last report that crossed the removal, arrives
+        # after the endpoint is gone. Applied, it would send calls to an address that
+        # may have been reused. Rows that disappeared around an outage are restored
+        # immediately, others only after their row has persisted.
+        if removal is not None and row.version <= removal.row.version:
             return None
         listed = self.source.decode(row)
-        # Guard: a late row of a former life says that it leaves, or is ready at an
-        # address that is another's by now. It must not act on the present life.
-        born_ms = self.latest_start_ms(endpoint)
-        if listed.started_before(born_ms):
+        # Guard: a late row of a previous incarnation may say that it drains, or that
+        # it is ready at an address that has been reused. It must not affect the
+        # current incarnation.
+        started_ms = self.latest_start_ms(endpoint)
+        if listed.started_before(started_ms):
             return None
         self.clear_unreadable(row)
-        if listed.started_after(born_ms):
+        if listed.started_after(started_ms):
             return self.start_incarnation(row, listed, origin)
-        if update is not None and update.confirmed:
+        if removal is not None and removal.confirmed:
             self.record_reappearance(row, listed)
             return None
         if listed.state is ListedState.DRAINING:
@@ -141,19 +142,20 @@
         return self.apply_ready(row, listed, origin)
 
     def clear_unreadable(self, row: Row) -> None:
-        """Forget an unreadable row that a newer one of its endpoint replaces.
+        """Drop an unreadable row that a row of the same or a newer version replaces.
 
-        The same row may have come mangled from a peer, and be read from the store.
+        The version may be the same if a peer sent the row corrupted and the store then
+        returned it intact.
         """
         unreadable = self.unreadable.get(EndpointId(row.key))
         if unreadable is not None and row.version >= unreadable.version:
             del self.unreadable[EndpointId(row.key)]
 
     def record_unreadable(self, row: Row) -> bool:
-        """Take note of a row that cannot be read; return whether that is news.
+        """Record a row that cannot be decoded; return whether the endpoint had none.
 
-        Guard: a row that is written over each second, read whole again or handed over
-        by all peers would be told each time.
+        Guard: a row that is overwritten every second, read again in a snapshot or sent
+        by all peers would otherwise be logged each time.
         """
         endpoint = EndpointId(row.key)
         known, before = self.entries.get(endpoint), self.unreadable.get(endpoint)
@@ -164,12 +166,11 @@
         return before is None
 
     def suspend(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
-        """Let an endpoint rest whose row has been replaced by one that can't be read.
+        """Suspend an endpoint whose row was replaced by one that cannot be decoded.
 
-        Guard: what was said before says nothing of now: whether it drains, or whose
-        address that is, nobody knows. It must not be used by the former update, nor, if
-        it was gone and is back, by the update with which it came. One that drains goes
-        on to do so.
+        Guard: the previous row no longer tells whether the endpoint drains or whose
+        address it has. The endpoint must not be used by its previous row, nor by the
+        row with which it reappeared. A draining endpoint keeps draining.
 
         Returns
         -------
@@ -177,8 +178,8 @@
             None if it got no new work before.
         """
         endpoint = EndpointId(row.key)
-        back, known = self.reappeared.get(endpoint), self.entries.get(endpoint)
-        if back is not None and row.version > back.row.version:
+        reappeared, known = self.reappeared.get(endpoint), self.entries.get(endpoint)
+        if reappeared is not None and row.version > reappeared.row.version:
             del self.reappeared[endpoint]
         if known is None or known.state is EndpointState.DRAINING:
             return None
@@ -193,19 +194,19 @@
         return EndpointChanged(entry, origin, known)
 
     def latest_start_ms(self, endpoint: EndpointId) -> int | None:
-        """Return when the latest life began that was heard of under an id."""
-        known, update = self.entries.get(endpoint), self.removals.get(endpoint)
+        """Return the start time of the latest known incarnation of an id."""
+        known, removal = self.entries.get(endpoint), self.removals.get(endpoint)
         if known is not None:
             return known.listed.started_ms
-        return None if update is None else update.started_ms
+        return None if removal is None else removal.started_ms
 
     def start_incarnation(
         self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
     ) -> EndpointChanged:
-        """Take a later life under an id: what the former one said ends with it.
+        """Start a new incarnation of an id and discard the state of the previous one.
 
-        Without this an endpoint that drained, and started again under its id, would
-        never be used, as an id that leaves takes no work again.
+        Otherwise an endpoint that drained and restarted under the same id would never
+        be used, as a draining id gets no new work again.
         """
         former = self.entries.get(listed.endpoint)
         self.removals.pop(listed.endpoint, None)
@@ -217,26 +218,26 @@
         return EndpointChanged(entry, origin, former)
 
     def is_stale_peer_row(self, endpoint: EndpointId, row: Row) -> bool:
-        """Return whether a row is of an endpoint that the store no longer lists.
+        """Return whether a peer's row is of an endpoint that the store no longer lists.
 
-        Guard: a peer that is behind hands over the row of an endpoint that left before
-        this instance read the list. Taken, it would stay for good, as the store tells
-        of no removal after the read, and its address may be another's by then.
+        Guard: a peer that is behind may send the row of an endpoint that left before
+        this instance read the list. Applied, it would stay forever, as the store sends
+        no removal after the read, and its address may have been reused.
         """
         return endpoint not in self.entries and row.version <= self.followed_up_to
 
     def record_followed(self, version: int) -> None:
-        """Note up to which version the store has told all changes."""
+        """Record the version up to which all changes were received from the store."""
         self.followed_up_to = max(self.followed_up_to, version)
 
     def record_reappearance(self, row: Row, listed: ListedEndpoint) -> None:
-        """Note that a gone endpoint's row is there again.
+        """Record that the row of a removed endpoint exists again.
 
-        An endpoint that was cut off from the store, and not from its callers, is
-        removed after some silence, and reports again when the cut is over; were it
-        left out for good, each cut would cost its zone's endpoints. One late report
-        of an endpoint that has really left is the last: its row expires again. One
-        that is back and drains has left for good, whatever is heard late of it.
+        An endpoint that is partitioned from the store, but not from its callers, is
+        removed when its row expires and reports again after the partition; excluded
+        for good, each partition would cost the endpoints of its zone. A late report
+        of an endpoint that has really left is its last one, and the row expires
+        again. A reappeared endpoint that drains is treated as removed for good.
         """
         if listed.state is not ListedState.READY:
             self.reappeared.pop(listed.endpoint, None)
@@ -247,30 +248,30 @@
             self.reappeared[listed.endpoint] = Reappearance(row, listed, now)
 
     def restore_reappeared(self, origin: UpdateOrigin) -> list[EndpointChanged]:
-        """Use endpoints again whose rows have not expired since they are back."""
+        """Restore reappeared endpoints whose rows have persisted without expiring."""
         now = self.clock.monotonic()
-        lasting = [
+        stable = [
             each
             for each in self.reappeared.values()
             if now - each.seen_at >= ROW_EXPIRY
         ]
-        revived = []
-        for each in lasting:
+        restored = []
+        for each in stable:
             del self.reappeared[each.listed.endpoint]
             self.removals.pop(each.listed.endpoint, None)
             changed = self.apply_ready(each.row, each.listed, origin)
             if changed is not None:
-                revived.append(changed)
-        return revived
+                restored.append(changed)
+        return restored
 
     def mark_draining(
         self, endpoint: EndpointId, origin: UpdateOrigin, version: int
     ) -> EndpointChanged | None:
-        """Take an update without a row, of some version, that an endpoint leaves."""
+        """Apply an update without a row that an endpoint is draining."""
         known = self.entries.get(endpoint)
         if known is None or known.state is EndpointState.DRAINING:
             return None
-        # Guard: a late update about the former life would drain the present one.
+        # Guard: a late update of a previous incarnation would drain the current one.
         if version < known.started_version:
             return None
         entry = replace(known, state=EndpointState.DRAINING)
@@ -280,21 +281,23 @@
     def apply_ready(
         self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
     ) -> EndpointChanged | None:
-        """Take the update that an endpoint takes work."""
+        """Apply the update that an endpoint is ready."""
         known = self.entries.get(listed.endpoint)
-        began = 0 if known is None else known.started_version
-        entry = DirectoryEntry(listed, row, EndpointState.READY, started_version=began)
+        started_version = 0 if known is None else known.started_version
+        entry = DirectoryEntry(
+            listed, row, EndpointState.READY, started_version=started_version
+        )
         if known is None:
             self.removals.pop(listed.endpoint, None)
             self.entries[listed.endpoint] = entry
             return EndpointChanged(entry, origin)
-        # Guard: a ready update written before the draining one is heard after it.
-        # Taken, calls would reach an endpoint that is about to exit. An id never
-        # takes work again once it has said that it leaves.
+        # Guard: a ready update written before the draining one may arrive after it.
+        # Applied, it would send calls to an endpoint that is about to exit. A draining
+        # id never gets new work again.
         if known.state is EndpointState.DRAINING:
             return None
         if known.state is EndpointState.UNREADABLE:
-            # An older row than the unreadable one has been left out before.
+            # Rows older than the unreadable one were rejected before.
             self.entries[listed.endpoint] = entry
             return EndpointChanged(entry, origin, known)
         if row.version <= max(known.row.version, known.missing_version or 0):
@@ -309,11 +312,11 @@
     def apply_draining(
         self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
     ) -> EndpointChanged | None:
-        """Take the update that an endpoint leaves, whatever its version."""
+        """Apply the update that an endpoint is draining, whatever its version."""
         known = self.entries.get(listed.endpoint)
-        began = 0 if known is None else known.started_version
+        started_version = 0 if known is None else known.started_version
         entry = DirectoryEntry(
-            listed, row, EndpointState.DRAINING, started_version=began
+            listed, row, EndpointState.DRAINING, started_version=started_version
         )
         if known is None or known.state is not EndpointState.DRAINING:
             self.removals.pop(listed.endpoint, None)
@@ -324,14 +327,14 @@
         return None
 
     def apply_removal(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
-        """Take the update that a row is no longer there."""
+        """Apply the update that a row was removed."""
         endpoint = EndpointId(row.key)
         known = self.entries.get(endpoint)
-        # Guard: a peer hands over a removal that is older than the row that is there
-        # again. The store tells an unchanged row once, so that nothing would ever
-        # bring the endpoint back.
-        back = self.reappeared.get(endpoint)
-        if back is not None and row.version >= back.row.version:
+        # Guard: a peer may send a removal that is older than the row that reappeared.
+        # The store sends an unchanged row only once, so nothing would ever restore
+        # the endpoint.
+        reappeared = self.reappeared.get(endpoint)
+        if reappeared is not None and row.version >= reappeared.row.version:
             del self.reappeared[endpoint]
         self.clear_unreadable(row)
         if known is None:
@@ -339,21 +342,21 @@
             return None
         if row.version < known.row.version:
             return None
-        # Guard: rows expire while the store is down although their endpoints
-        # serve. Taken at once, all endpoints would be lost with the store. What
-        # was serving stays in use until `settle` sees it still missing.
+        # Guard: rows expire while the store is down although their endpoints serve.
+        # Applied immediately, an outage would remove all endpoints. Those that were
+        # ready stay in use until `resolve_missing` finds them still missing.
         if known.takes_new_work and self.health.is_uncertain:
             return self.keep_missing(known, row, origin)
-        sure = known.missing_version is None
+        confirmed = known.missing_version is None
         if known.state is EndpointState.UNREADABLE and self.health.is_uncertain:
-            # It got no new work, so there is nothing to hold; it may well be alive.
-            sure = False
-        return self.mark_gone(known, row, origin, confirmed=sure)
+            # It got no new work, so it need not be kept in use; it may still run.
+            confirmed = False
+        return self.mark_gone(known, row, origin, confirmed=confirmed)
 
     def keep_missing(
         self, known: DirectoryEntry, row: Row, origin: UpdateOrigin
     ) -> EndpointChanged | None:
-        """Keep an endpoint in use whose row vanished around an outage."""
+        """Keep an endpoint in use whose row disappeared around an outage."""
         version = max(row.version, known.missing_version or 0)
         entry = replace(known, missing_version=version)
         self.entries[known.listed.endpoint] = entry
@@ -364,10 +367,10 @@
     def mark_gone(
         self, known: DirectoryEntry, row: Row, origin: UpdateOrigin, *, confirmed: bool
     ) -> EndpointChanged:
-        """Treat an endpoint as gone.
+        """Mark an endpoint as gone.
 
-        Guard: one that drained while its row was missing is gone for sure. Else the
-        ready row before its draining one, told late, would be believed at once.
+        Guard: the removal of a draining endpoint is confirmed, also if its row was
+        missing. Otherwise a late ready row from before would restore it immediately.
         """
         del self.entries[known.listed.endpoint]
         confirmed = confirmed or known.state is EndpointState.DRAINING
@@ -380,19 +383,19 @@
     def record_removal(
         self, row: Row, *, confirmed: bool, started_ms: int | None = None
     ) -> None:
-        """Remember that an endpoint is gone; a sure update stays sure."""
+        """Record the removal of an endpoint; a confirmed one stays confirmed."""
         endpoint = EndpointId(row.key)
-        update = self.removals.get(endpoint)
-        if update is not None:
-            confirmed = confirmed or update.confirmed
-            row = max(row, update.row, key=lambda each: each.version)
-            started_ms = update.started_ms if started_ms is None else started_ms
+        removal = self.removals.get(endpoint)
+        if removal is not None:
+            confirmed = confirmed or removal.confirmed
+            row = max(row, removal.row, key=lambda each: each.version)
+            started_ms = removal.started_ms if started_ms is None else started_ms
         self.removals[endpoint] = Removal(
             row, confirmed, self.clock.monotonic(), started_ms
         )
 
     def is_newer_than(self, rows: Iterable[Row]) -> bool:
-        """Whether one of the rows is older than what is known of its endpoint."""
+        """Whether the known state of an endpoint is newer than one of the rows."""
         for row in rows:
             known = self.entries.get(EndpointId(row.key))
             if known is not None and row.version < known.row.version:
@@ -400,13 +403,13 @@
         return False
 
     def missing_from(self, rows: Iterable[Row], version: int) -> tuple[Row, ...]:
-        """Return the removals that a whole read as of a version amounts to.
+        """Return the removals implied by a snapshot as of a version.
 
-        What is known by a newer update than the read is left alone.
+        Endpoints with an update newer than the snapshot are not affected.
 
-        Guard: a gone endpoint whose row came back waits until its row has lasted. If
-        the row went again while the feed was cut, only the whole read shows it by what
-        it lacks; the endpoint would be used though nobody listens there.
+        Guard: this includes reappeared endpoints whose rows have yet to persist. If
+        such a row was removed while the feed was interrupted, only its absence from the
+        snapshot shows it; otherwise the endpoint would be used after it has exited.
         """
         present = {row.key for row in rows}
         known = dict(self.unreadable)
@@ -419,51 +422,54 @@
         )
 
     def resolve_missing(self, origin: UpdateOrigin) -> tuple[EndpointChanged, ...]:
-        """Treat as gone what is still missing some time after the store's return.
+        """Mark endpoints as gone that are still missing after the grace period.
 
-        To be called after an answer about the endpoints was taken, so that what
-        came back in time has been heard.
+        Must be called after an answer about the endpoints was applied, so that rows
+        that returned in time are known.
         """
         if self.health.is_uncertain:
             return ()
         self.prune_removals()
-        revived = self.restore_reappeared(origin)
+        restored = self.restore_reappeared(origin)
         missing = [
             entry
             for entry in self.entries.values()
             if entry.missing_version is not None
         ]
-        forgotten = [
+        gone = [
             self.mark_gone(entry, removal_of(entry), origin, confirmed=False)
             for entry in missing
         ]
-        return tuple(forgotten + revived)
+        return tuple(gone + restored)
 
     def prune_removals(self) -> None:
-        """Drop updates about endpoints that are long gone."""
+        """Drop removals that are older than the retention time."""
         oldest = self.clock.monotonic() - self.removal_retention
         self.removals = {
-            endpoint: update
-            for endpoint, update in self.removals.items()
-            if update.learned_at >= oldest
+            endpoint: removal
+            for endpoint, removal in self.removals.items()
+            if removal.learned_at >= oldest
         }
 
     def raw_rows(self) -> tuple[Row, ...]:
-        """Return all updates in raw form, to hand to peers.
+        """Return all updates in raw form, for peers.
 
-        An unsure removal is left out: a peer could not tell it from a sure one.
+        Unconfirmed removals are omitted: a peer could not distinguish them from
+        confirmed ones.
         """
         listed = [entry.row for entry in self.entries.values()]
-        gone = [update.row for update in self.removals.values() if update.confirmed]
-        return tuple(listed + gone)
+        removed = [
+            removal.row for removal in self.removals.values() if removal.confirmed
+        ]
+        return tuple(listed + removed)
 
 
 def equal_except_unreported(first: ListedEndpoint, second: ListedEndpoint) -> bool:
-    """Whether two listings differ at most in what each report changes."""
+    """Whether two listings differ at most in fields that are not published."""
     return replace(first, **UNREPORTED_FIELDS) == replace(second, **UNREPORTED_FIELDS)
 
 
 def removal_of(entry: DirectoryEntry) -> Row:
-    """Return the removal that an entry was held against."""
+    """Return the removal of an entry that was kept in use without its row."""
     version = entry.missing_version or entry.row.version
     return replace(entry.row, value=b"", version=version, removed=True)
--- a/src/mimosafork/directory/errors.py
+++ b/src/mimosafork/directory/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the shared rows, by what a failed call leaves open."""
+"""Errors of the shared rows, by whether a failed call may have taken effect."""
 
 from ..errors import MimosaforkError
 
@@ -8,31 +8,31 @@
 
 
 class StoreUnavailableError(RowsError):
-    """Nothing was done, and nothing will be; reads without an answer count here."""
+    """The call had no effect and will have none; includes reads without an answer."""
 
 
 class CallRejectedError(StoreUnavailableError):
-    """The store found a fault in the call: not done, and repeating is no use."""
+    """The store rejected the call as invalid: no effect, and a retry will not help."""
 
 
 class NotAllowedError(CallRejectedError):
-    """The table belongs to others, and may not be written."""
+    """The table is owned by others and must not be written."""
 
 
 class HistoryExpiredError(RowsError):
-    """The changes after the version are no longer told; read the table whole."""
+    """The changes after the version are no longer kept; a full read is needed."""
 
 
 class ConflictError(RowsError):
-    """A condition of the write does not hold; nothing was done."""
+    """A condition of the write does not hold; nothing was written."""
 
 
 class UnknownResultError(RowsError):
-    """The write may have taken effect, or may yet do so; only a look can tell."""
+    """The write may have taken effect or may still do so; only a read can tell."""
 
 
 class UnreadableRowError(MimosaforkError):
-    """A row's value cannot be read.
+    """A row's value cannot be decoded.
 
-    A configuration before it stays in force; an endpoint's update before it does not.
+    The previous configuration stays in force; the previous row of an endpoint does not.
     """
--- a/src/mimosafork/directory/feed_update.py
+++ b/src/mimosafork/directory/feed_update.py
@@ -1,23 +1,23 @@
-"""What an instance tells its peers of the endpoints' feed that it follows."""
+"""Progress of the endpoint feed, as instances publish it to their peers."""
 
 import msgspec
 
 
 class FeedUpdate(msgspec.Struct, frozen=True):
-    """The store told no change between two versions.
+    """The store reported no change between two versions.
 
     Attributes
     ----------
     since : int
-        Version of the newest change that was told, or of the whole read if none came
-        after it.
+        Version of the newest change that was received, or of the full read if there was
+        none after it.
     followed : int
-        All changes up to this version have been told.
+        All changes up to this version have been received.
     """
 
     since: int
     followed: int
 
     def covers(self, position: int) -> bool:
-        """Return whether one who knows all up to a position knows all up to here."""
+        """Return whether a follower at `position` has missed no change up to here."""
         return self.since <= position
--- a/src/mimosafork/directory/follower.py
+++ b/src/mimosafork/directory/follower.py
@@ -1,4 +1,4 @@
-"""Following one table: read whole once, then change by change."""
+"""Follower of one table: a full read, then a feed of changes."""
 
 import asyncio
 import logging
@@ -31,78 +31,78 @@
 Sleep = Callable[[timedelta], Awaitable[None]]
 MILLISECOND = timedelta(milliseconds=1)
 MIN_JITTER_FACTOR = 0.75
-"""Smallest part of a pause that is made."""
+"""Smallest factor that jitter applies to a delay."""
 PEER_FOLLOW_PAUSE = timedelta(milliseconds=600)
-"""Until one who follows by peers' updates looks at them again. Several changes that
-come within it cost one call; peers publish an endpoint's leaving at once all the
-same."""
+"""Interval at which a follower that relies on peers' updates checks them. Several
+changes within it cost one call; peers still publish a draining endpoint immediately."""
 
 
 class PageConsumer(Protocol):
-    """Takes what a follower reads."""
+    """Applies the pages that a follower reads."""
 
     def is_newer_than(self, page: RowPage) -> bool:
-        """Whether a whole read is older than what is known."""
+        """Whether the known state is newer than a full read."""
         ...
 
     def apply_snapshot(self, page: RowPage) -> None:
-        """Take all rows; what is not among them is gone."""
+        """Apply all rows; rows that are not among them have been removed."""
         ...
 
     def apply_changes(self, page: RowPage) -> None:
-        """Take changed rows."""
+        """Apply changed rows."""
         ...
 
     def longest_wait(self, usual: timedelta) -> timedelta:
-        """Return how long the next call may wait for changes."""
+        """Return the timeout of the next long poll."""
         ...
 
     def apply_no_change(self, version: int) -> None:
-        """Take the update that nothing has changed up to a version."""
+        """Apply the update that nothing has changed up to a version."""
         ...
 
     @property
     def is_uncertain(self) -> bool:
-        """Whether the store's own answers are awaited to judge what is known."""
+        """Whether the known state can only be resolved by answers of the store."""
         ...
 
 
 class TableFollower:
-    """Reads a table whole and follows its changes, through outages of the store.
+    """Reads a table in full and follows its changes, through outages of the store.
 
     Parameters
     ----------
     name : str
-        What the table holds, for logs.
+        Name of the table, for logs.
     source : RowSource
-        Where it is read.
-    taker : Taker
-        Who takes what was read.
+        Source of the rows.
+    consumer : PageConsumer
+        Applies the pages that were read.
     settings : FollowSettings
-        Its times.
+        Timeouts and intervals.
     clock : Clock
         Its monotonic scale is used.
     random : Random
-        Spreads the retries of instances that failed together.
+        Jitters the retries of instances that failed together.
     health : StoreHealth
-        Of this table alone: one feed that falls silent casts no doubt on another.
-    horizon : Horizon
-        Shared by all who hear of versions.
+        Health of this table's feed only: one stalled feed does not make others
+        uncertain.
+    watermark : VersionWatermark
+        Highest version seen; shared by all followers.
     peer_feed : PeerFeed or None
-        What peers tell of this table's feed, where they do.
+        Updates from peers about this table's feed, if they send any.
 
     Attributes
     ----------
     position : int or None
-        Changes are followed from here; None if the table is to be read whole.
-    changed_at : int
-        Version of the newest change that was told, or of the whole read.
+        Version after which changes are followed; None if a full read is needed.
+    last_change_version : int
+        Version of the newest change that was received, or of the full read.
     answered_at : timedelta or None
-        Monotonic instant of the last answer that was taken, or as of which a peer's
-        update stood for one.
-    in_step : bool
-        Peers are likely to have had an answer at the same instant as the last one.
-    asked_at : timedelta
+        Monotonic instant of the last answer that was applied, or as of which a peer's
+        update replaced one.
+    answered_with_peers : bool
+        Peers probably received an answer at the same instant as the last one.
+    called_at : timedelta
         Monotonic instant of the last call.
     failures : CallFailures
         Calls that failed since the last answer.
@@ -139,7 +139,7 @@
 
     @property
     def age(self) -> timedelta | None:
-        """Time since the last answer that was taken."""
+        """Time since the last answer that was applied."""
         if self.answered_at is None:
             return None
         return self.clock.monotonic() - self.answered_at
@@ -150,17 +150,17 @@
         Parameters
         ----------
         sleep : Sleep
-            Waits for a time.
+            Sleeps for a duration.
         """
         while True:
             await sleep(await self.guarded_step())
 
     async def guarded_step(self) -> timedelta:
-        """Do a step, and go on after a fault of this program.
+        """Run a step and recover from unexpected exceptions.
 
-        Guard: a fault while a page is taken would end the task; the instance would
-        serve on by what it knew, for ever. The page may be half taken, so the
-        table is read whole again.
+        Guard: an exception while a page is applied would end the task, and the instance
+        would serve with stale state forever. The page may be partly applied, so the
+        table is read in full again.
         """
         try:
             return await self.step()
@@ -172,12 +172,12 @@
             return self.retry_delay()
 
     async def step(self) -> timedelta:
-        """Make one call and take its answer.
+        """Make one call and apply its answer.
 
         Returns
         -------
         timedelta
-            Pause until the next call.
+            Delay before the next call.
         """
         self.called_at = self.clock.monotonic()
         try:
@@ -202,14 +202,14 @@
         return self.retry_delay()
 
     async def read_whole(self) -> timedelta:
-        """Read the table whole, unless the answer is older than what is known.
-
-        Guard: after a feed was cut, a read may be answered from an older state. An
-        endpoint that left in the gap would be back, and one that came would be
-        gone. A read as of an earlier version than was seen before it was sent, or
-        with a row older than the one known, changes nothing. Versions seen while
-        it was under way don't count: the feed of the other table raises them all
-        the time, and a slow store could never be read.
+        """Read the full table; ignore the answer if it is stale.
+
+        Guard: after a feed was interrupted, a read may return an older state, which
+        would restore endpoints that left meanwhile and drop new ones. A read as of a
+        version older than the watermark at the time of the call, or with a row older
+        than the known one, is ignored. Versions seen during the call don't count: the
+        feed of the other table raises them continually, and a slow store could never
+        be read.
         """
         known = self.watermark.version
         page = await self.source.whole()
@@ -232,16 +232,20 @@
         return self.advance(page.version)
 
     async def follow(self, position: int) -> timedelta:
-        """Wait for changes and take them, unless peers say that there are none."""
+        """Poll for changes, unless peers report that there are none."""
         if self.peer_feed is None:
             await self.poll_changes(position, self.poll_wait())
             return self.settings.pause
-        heard = self.covering_update(position, self.peer_feed)
-        if heard is not None:
-            left = heard.remaining_freshness(self.peer_feed.clock.monotonic())
-            self.apply_peer_update(position, heard.update, MAX_UPDATE_AGE - left)
+        received = self.covering_update(position, self.peer_feed)
+        if received is not None:
+            freshness_left = received.remaining_freshness(
+                self.peer_feed.clock.monotonic()
+            )
+            self.apply_peer_update(
+                position, received.update, MAX_UPDATE_AGE - freshness_left
+            )
             usual = PEER_FOLLOW_PAUSE * self.random.uniform(MIN_JITTER_FACTOR, 1.0)
-            return min(usual, left + MILLISECOND)
+            return min(usual, freshness_left + MILLISECOND)
         asked_at = self.peer_feed.clock.monotonic()
         wait = self.peer_feed.reader_wait(self.poll_wait(), self.random)
         followed = await self.poll_changes(position, wait)
@@ -252,12 +256,13 @@
         return self.settings.pause
 
     def poll_wait(self) -> timedelta:
-        """Return how long the next call may wait for changes.
+        """Return the timeout of the next long poll.
 
-        While the store is lost it doesn't: the answer tells that the store is back. A
-        wait that is longer among peers relies on calls at all instants. One change, or
-        one return of the store, has all of them ask at the same instant; the calls
-        after it are spread over what they wait longer, or over an instance's own wait.
+        It is zero while the store is unavailable, as any answer shows that it is back.
+        Longer timeouts among peers rely on polls that are spread over time. After a
+        change, or a return of the store, all instances poll at the same instant; their
+        next timeouts are spread over the added time or over the timeout of an instance
+        without peers, whichever is longer.
         """
         if self.health.lost_at is not None:
             return timedelta(0)
@@ -268,7 +273,7 @@
         return among_peers
 
     async def poll_changes(self, position: int, wait: timedelta) -> int:
-        """Ask the store for changes and take them; return the new position."""
+        """Poll the store for changes and apply them; return the new position."""
         page = await self.source.changes(position, wait)
         self.answered_with_peers = bool(page.rows) or self.health.lost_at is not None
         self.record_answer()
@@ -283,10 +288,10 @@
     def covering_update(
         self, position: int, peer_feed: PeerFeed
     ) -> ReceivedUpdate | None:
-        """Return a peer's fresh update by which nothing has changed, if there is one.
+        """Return a peer's fresh update that nothing has changed, or None.
 
-        Guard: while something is in doubt the own answers judge it. An instance that
-        has lost the store, or holds what vanished around an outage, asks on.
+        Guard: an uncertain state is resolved only by the store's own answers. An
+        instance without the store, or with rows missing after an outage, keeps polling.
         """
         if self.health.lost_at is not None or self.consumer.is_uncertain:
             return None
@@ -295,20 +300,20 @@
     def apply_peer_update(
         self, position: int, update: FeedUpdate, age: timedelta
     ) -> None:
-        """Take a peer's update that nothing has changed for an empty answer.
+        """Apply a peer's update that nothing has changed, like an empty answer.
 
-        Guard: the position goes on with the update. One that stood still would fall out
-        of the history that the store keeps, and the table be read whole.
+        Guard: the position advances with the update. Otherwise it would fall behind the
+        history that the store keeps, and a full read would be needed.
         """
-        told_at = self.clock.monotonic() - age
-        self.health.record_peer_answer(told_at)
+        answered_at = self.clock.monotonic() - age
+        self.health.record_peer_answer(answered_at)
         self.consumer.apply_no_change(update.followed)
         self.position = max(position, update.followed)
         self.watermark.observe(self.position)
-        self.answered_at = told_at
+        self.answered_at = answered_at
 
     def advance(self, version: int) -> timedelta:
-        """Go on from a version; return the pause until the next call."""
+        """Advance to a version; return the delay before the next call."""
         self.position = version
         self.watermark.observe(version)
         self.answered_at = self.clock.monotonic()
@@ -316,17 +321,17 @@
         return self.settings.pause
 
     def record_answer(self) -> None:
-        """Note that the store answers."""
-        lasted = self.health.record_answer()
-        if lasted is not None:
+        """Record that the store answered."""
+        outage_duration = self.health.record_answer()
+        if outage_duration is not None:
             self.consecutive_failures = 0
         failures, self.failures = self.failures, CallFailures()
-        if lasted is not None:
+        if outage_duration is not None:
             log_event(
                 logger,
                 STORE_REGAINED,
                 table=self.name,
-                duration_ms=lasted // MILLISECOND,
+                duration_ms=outage_duration // MILLISECOND,
                 answered_in_ms=(self.clock.monotonic() - self.called_at) // MILLISECOND,
                 failed_calls=failures.count,
                 longest_ms=failures.longest // MILLISECOND,
@@ -334,23 +339,23 @@
             )
 
     def retry_delay(self) -> timedelta:
-        """Return the pause before a call after a trouble.
+        """Return the delay before the call after a failure.
 
-        The time between two calls doubles up to a bound. One that was waited for takes
-        its time from the pause: the longer a store keeps silent, the sooner its return
-        is to be noticed.
+        The time between the starts of two calls doubles up to a maximum. The duration
+        of the failed call is subtracted from the delay, so that the return of a store
+        that does not answer is detected soon.
         """
-        pause = self.settings.initial_retry_delay
+        delay = self.settings.initial_retry_delay
         for _ in range(self.consecutive_failures):
-            pause = min(pause * 2, self.settings.max_retry_delay)
-            if pause == self.settings.max_retry_delay:
+            delay = min(delay * 2, self.settings.max_retry_delay)
+            if delay == self.settings.max_retry_delay:
                 break
         self.consecutive_failures += 1
         waited = self.clock.monotonic() - self.called_at
-        left = max(pause - waited, self.settings.initial_retry_delay)
+        left = max(delay - waited, self.settings.initial_retry_delay)
         return left * self.random.uniform(MIN_JITTER_FACTOR, 1.0)
 
 
 async def sleep(pause: timedelta) -> None:
-    """Wait on the running loop."""
+    """Sleep on the running loop."""
     await asyncio.sleep(pause.total_seconds())
--- a/src/mimosafork/directory/health.py
+++ b/src/mimosafork/directory/health.py
@@ -1,41 +1,41 @@
-"""Whether the store tells this instance a table, and since when."""
+"""Availability of the store for one table, as seen by this instance."""
 
 from datetime import timedelta
 
 from ..clock import Clock
 
 MAX_ANSWER_GAP = timedelta(milliseconds=2700)
-"""Longest time between two answers while the store is well: the wait of a call, the
-time in which its connection is found silent, and the pause before it."""
+"""Maximum time between two answers of a healthy store: the long poll timeout, the time
+to detect a stalled connection, and the delay before the call."""
 
 
 class StoreHealth:
-    """The store's outages for one table, as this instance sees them.
+    """Outages of the store for one table, as seen by this instance.
 
-    Rows expire wrongly only in an outage that lasts: an endpoint must have missed
-    several reports. A single connection that fell silent is found and replaced
-    sooner, and casts no doubt on a removal.
+    Rows expire wrongly only in a longer outage, as an endpoint must have missed several
+    reports. A single stalled connection is detected and replaced sooner, and does not
+    make a removal uncertain.
 
     Parameters
     ----------
     clock : Clock
         Its monotonic scale is used.
     grace : timedelta
-        How long after a return the list is still in doubt.
-    least_outage : timedelta
+        How long missing entries stay uncertain after the store has returned.
+    min_outage : timedelta
         Shortest time without an answer in which rows may have expired wrongly.
 
     Attributes
     ----------
     lost_at : timedelta or None
-        Monotonic instant of the first failed call, while the store is lost.
-    outage_from : timedelta or None
-        Instant of the last answer before the outage that goes on, or that ended
-        last; None before the first answer and without an outage.
+        Monotonic instant of the first failed call, while the store is unavailable.
+    outage_started_at : timedelta or None
+        Instant of the last answer before the current or the latest outage; None before
+        the first answer and without an outage.
     returned_at : timedelta or None
         Instant of the first answer after the last outage.
-    answered_last_by_peer : bool
-        The last answer was a peer's.
+    last_answer_from_peer : bool
+        The last answer came from a peer.
     """
 
     def __init__(self, clock: Clock, grace: timedelta, min_outage: timedelta) -> None:
@@ -67,10 +67,10 @@
 
     @property
     def uncertainty_left(self) -> timedelta:
-        """Time until a doubt about missing entries ends; zero without one.
+        """Time until missing entries are certain; zero if they are.
 
-        While the store is lost it is zero, too: the answer that brings it back is
-        wanted at once.
+        It is zero while the store is unavailable as well, so that polls do not wait and
+        its return is detected immediately.
         """
         if (
             self.lost_at is not None
@@ -81,19 +81,19 @@
         return self.returned_at + self.grace - self.clock.monotonic()
 
     def expires_rows_by(self, end: timedelta) -> bool:
-        """Whether the outage, up to an instant, was long enough to expire rows."""
+        """Whether the outage had lasted long enough at an instant to expire rows."""
         if self.outage_started_at is None:
             return True
         return end - self.outage_started_at >= self.min_outage
 
     def record_failure(self) -> bool:
-        """Note a call without an answer; return whether the store is lost by it."""
+        """Record a failed call; return whether it starts an outage."""
         if self.lost_at is not None:
             return False
         self.lost_at = self.clock.monotonic()
-        # Guard: a store that comes back for a moment, again and again, is no use
-        # to endpoints that report seldom: their rows expire though no single
-        # outage was long. One that follows soon goes on with the one before.
+        # Guard: if the store returns only briefly, again and again, endpoints that
+        # report rarely miss it, and their rows expire although no single outage was
+        # long. An outage soon after another therefore continues it.
         if self.returned_at is None or not self.in_return_grace():
             self.outage_started_at = self.answered_at
         return True
@@ -103,18 +103,18 @@
         assert self.returned_at is not None
         return self.clock.monotonic() < self.returned_at + self.grace
 
-    def record_peer_answer(self, told_at: timedelta) -> None:
-        """Note that a peer had an answer, while the store is not lost here."""
-        self.answered_at = max(told_at, self.answered_at or told_at)
+    def record_peer_answer(self, answered_at: timedelta) -> None:
+        """Record that a peer had an answer, while the store is available here."""
+        self.answered_at = max(answered_at, self.answered_at or answered_at)
         self.last_answer_from_peer = True
 
     def record_answer(self) -> timedelta | None:
-        """Note an answer; return how long the store was lost if it is regained.
+        """Record an answer; return the length of the outage if it ends one.
 
-        Guard: one who follows by peers' updates asks the store only when they grow old.
-        That call may wait out an outage and be answered at its end, with removals of
-        rows that expired in it. Taken for sure, those endpoints would be lost, so a
-        silence that no usual answer takes counts as an outage.
+        Guard: a follower that relies on peers' updates calls the store only when they
+        expire. That call may last through an outage and return the removals of rows
+        that expired in it. Taken as confirmed, they would remove running endpoints, so
+        a gap longer than `MAX_ANSWER_GAP` counts as an outage.
         """
         now = self.clock.monotonic()
         if (
@@ -126,18 +126,18 @@
         self.answered_at = now
         if self.lost_at is None:
             return None
-        lasted = now - self.lost_at
+        outage_duration = now - self.lost_at
         self.lost_at = None
         self.returned_at = now
-        return lasted
+        return outage_duration
 
 
 class VersionWatermark:
-    """The highest version that anyone has told of; all rows share one counter."""
+    """The highest version seen from any source; all rows share one counter."""
 
     def __init__(self) -> None:
         self.version = 0
 
     def observe(self, version: int) -> None:
-        """Note a version that was told."""
+        """Record a version."""
         self.version = max(self.version, version)
--- a/src/mimosafork/directory/messages.py
+++ b/src/mimosafork/directory/messages.py
@@ -1,4 +1,4 @@
-"""What the directory tells the rest of the instance."""
+"""Messages that the directory publishes within the instance."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -12,39 +12,40 @@
 
 
 class UpdateOrigin(Enum):
-    """Who told an update."""
+    """Source of an update."""
 
     STORE = "store"
     PEER = "peer"
 
 
 class EndpointState(Enum):
-    """What the directory believes of an endpoint."""
+    """State of an endpoint in the directory."""
 
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
     UNREADABLE = "unreadable"
-    """Its newest row cannot be read; it rests until the next one that can."""
+    """Its newest row cannot be decoded; it is suspended until one can."""
 
 
 class DirectoryEntry(msgspec.Struct, frozen=True):
-    """What is known of one life of an endpoint.
+    """Known state of one incarnation of an endpoint.
 
     Attributes
     ----------
     listed : ListedEndpoint
-        Its last update about itself that could be read.
+        Its last listing that could be decoded.
     row : Row
-        Its newest row in raw form, to hand to peers.
+        Its newest row in raw form, for peers.
     state : EndpointState
-        Never goes back from draining.
+        Never changes back from draining.
     missing_version : int or None
-        Its row vanished at this version, around an outage of the store; it stays in
-        use until that is settled.
-    began_version : int
-        Of the row with which this life replaced a former one under the same id; 0 where
-        none did. Older updates without a birth are about a former life.
+        Version at which its row disappeared around an outage of the store; it stays in
+        use until this is resolved.
+    started_version : int
+        Version of the row with which this incarnation replaced a previous one of the
+        same id; 0 if none did. Older updates without a start time belong to a previous
+        incarnation.
     """
 
     listed: ListedEndpoint
@@ -55,7 +56,7 @@
 
     @property
     def takes_new_work(self) -> bool:
-        """Whether calls may be sent to it."""
+        """Whether it may get new calls."""
         return self.state is EndpointState.READY
 
 
@@ -65,7 +66,7 @@
     Attributes
     ----------
     before : RoutingTable or None
-        The one that it replaces; None if there was none.
+        The previous configuration; None if there was none.
     """
 
     table: RoutingTable
@@ -74,12 +75,12 @@
 
 
 class EndpointChanged(msgspec.Struct, frozen=True):
-    """An endpoint is new, changed, held, draining or gone; the entry says which.
+    """An endpoint is new, changed, missing, draining or gone, as its entry shows.
 
     Attributes
     ----------
     before : DirectoryEntry or None
-        What was believed of one that is gone, rests or is back.
+        Previous entry of an endpoint that is gone, suspended or restored.
     """
 
     entry: DirectoryEntry
@@ -88,7 +89,7 @@
 
     @property
     def endpoint(self) -> EndpointId:
-        """Whom it is about."""
+        """Id of the endpoint."""
         return self.entry.listed.endpoint
 
 
--- a/src/mimosafork/directory/rows.py
+++ b/src/mimosafork/directory/rows.py
@@ -1,4 +1,4 @@
-"""The shared rows as the product sees them: read, follow, write under conditions."""
+"""Interface of the shared rows: reads, change feeds and conditional writes."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -7,22 +7,22 @@
 import msgspec
 
 ABSENT = 0
-"""Version in a condition that says: the row must not exist."""
+"""Version in a condition that requires the row not to exist."""
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row, or the update that it was removed.
+    """A row, or the update that it was removed.
 
     Attributes
     ----------
     table, part, key : str
-        Name the row; `part` may be empty.
+        Identify the row; `part` may be empty.
     value : bytes
         Empty if the row was removed.
     version : int
-        Of the write that made the row so; from one counter over all rows.
+        Version of the last write, from one counter over all rows.
     removed : bool
-        The row is no longer there.
+        The row no longer exists.
     """
 
     table: str
@@ -34,16 +34,16 @@
 
 
 class RowPage(msgspec.Struct, frozen=True):
-    """Rows as of one moment.
+    """Rows as of one version.
 
     Attributes
     ----------
     rows : tuple of Row
-        Read: by key. Changes: in the order in which they happened.
+        In the order of keys for reads, and of versions for changes.
     version : int
-        Newest of all rows at that moment; changes are followed from here.
+        Newest version of all rows at that moment; changes are followed from here.
     truncated : bool
-        More rows lie behind the last one.
+        There are more rows after the last one.
     """
 
     rows: tuple[Row, ...]
@@ -69,7 +69,7 @@
 
 
 class RowCondition(msgspec.Struct, frozen=True):
-    """A row must have this version, `ABSENT` if it must not exist."""
+    """Required version of a row; `ABSENT` if it must not exist."""
 
     table: str
     part: str
@@ -80,7 +80,7 @@
 class Rows(Protocol):
     """The shared rows.
 
-    Every call may raise `StoreUnavailableError`: nothing was done.
+    Every call may raise `StoreUnavailableError`, in which case it had no effect.
     """
 
     async def read(
@@ -91,7 +91,7 @@
         end: str | None = None,
         limit: int | None = None,
     ) -> RowPage:
-        """Read a part's rows with keys from `start` up to and without `end`."""
+        """Read the rows of a part with keys from `start` up to but excluding `end`."""
         ...
 
     async def changes(self, table: str, after: int, wait: timedelta) -> RowPage:
@@ -99,8 +99,8 @@
 
         Raises
         ------
-        HistoryGoneError
-            If they are no longer told; the table is to be read whole.
+        HistoryExpiredError
+            If the changes are no longer kept; a full read is needed.
         """
         ...
 
@@ -110,15 +110,15 @@
         removes: Sequence[RowKey] = (),
         conditions: Sequence[RowCondition] = (),
     ) -> int:
-        """Write all or nothing, in one part, and return the new version.
+        """Write atomically within one part, and return the new version.
 
         Raises
         ------
         ConflictError
-            If a condition does not hold; nothing was done.
+            If a condition does not hold; nothing was written.
         NotAllowedError
-            If a table may not be written.
+            If a table must not be written.
         UnknownResultError
-            If no answer came: it may have been done, or may be yet.
+            If there was no answer; the write may have taken effect or may still do so.
         """
         ...
--- a/src/mimosafork/directory/settings.py
+++ b/src/mimosafork/directory/settings.py
@@ -1,4 +1,4 @@
-"""Times of following the configuration and the endpoints."""
+"""Timeouts and intervals of following the configuration and the endpoints."""
 
 from datetime import timedelta
 
@@ -6,23 +6,22 @@
 
 
 def ms(value: int) -> timedelta:
-    """Return milliseconds as a time."""
+    """Return a duration in milliseconds."""
     return timedelta(milliseconds=value)
 
 
 class FollowSettings(msgspec.Struct, frozen=True):
-    """How one table is followed.
+    """Settings of following one table.
 
     Attributes
     ----------
     pause : timedelta
-        After an answer, so that the next one brings changes in a batch.
+        Delay after an answer, so that the next one returns changes in a batch.
     wait : timedelta
-        Longest time that a long poll is asked to wait; it bounds how soon a silent
-        connection is found.
-    first_retry, last_retry : timedelta
-        Pause after a first failure, and the longest that it grows to by doubling;
-        a random part of at most a quarter is taken off.
+        Timeout of long polls; it bounds how soon a stalled connection is detected.
+    initial_retry_delay, max_retry_delay : timedelta
+        Delay after the first failure, and its maximum after doubling; jitter takes off
+        up to a quarter.
     """
 
     pause: timedelta
@@ -32,31 +31,30 @@
 
 
 class DirectorySettings(msgspec.Struct, frozen=True):
-    """How the directory follows the store.
+    """Settings of following the store.
 
     Attributes
     ----------
     configuration, endpoints : FollowSettings
-        A report that changes nothing but its number does not wake a feed (played
-        days), so each wait that ends empty is a call that costs; but a silent
-        connection must be found within two seconds and a half for changes and leaving
-        endpoints to be known in time.
-        The endpoints' retries go on more often than the configuration's: the time until
-        the return is noticed and the grace after it must both fit into the three
-        seconds after which an instance that the store had left counts as informed.
-        The pause after an answer gathers what comes in a storm of configurations, one
-        every 130 ms: five calls a second, not eight. It is shorter than the time after
-        which peers are offered a newer one, so that they need not fetch it.
+        A report that changes only its sequence number does not wake a feed, so each
+        long poll that times out costs a call; but a stalled connection must be detected
+        within 2.5 seconds for changes and leaving endpoints to be known in time.
+        The endpoints are retried more often than the configuration: the time to detect
+        the store's return and the grace period after it must both fit into the three
+        seconds after which an instance that lost the store must be up to date again.
+        The pause after an answer batches bursts of configurations, one every 130 ms:
+        five calls a second instead of eight. It is shorter than the time after which
+        peers are offered a newer one, so that they need not fetch it.
     return_grace : timedelta
-        What vanished while the store was unavailable, or this soon after its
-        return, may be back until then.
-    least_outage : timedelta
+        Grace period after the store's return in which rows that disappeared during the
+        outage, or in this period, may still reappear.
+    min_outage : timedelta
         Shortest time without an answer in which rows may have expired wrongly. They
-        expire after three missed reports, the first of which may have been due as
-        the outage began: two reports' time, less a margin. More than it takes to
-        find and replace a silent connection.
-    gone_kept : timedelta
-        How long the update that an endpoint is gone is remembered.
+        expire after three missed reports, the first of which may have been due when
+        the outage began: two report intervals, less a margin. Longer than it takes to
+        detect and replace a stalled connection.
+    removal_retention : timedelta
+        How long the removal of an endpoint is kept.
     """
 
     configuration: FollowSettings = msgspec.field(
--- a/src/mimosafork/directory/sources.py
+++ b/src/mimosafork/directory/sources.py
@@ -1,4 +1,4 @@
-"""Where the configuration and the endpoints are read from, as the directory asks."""
+"""Interfaces from which the directory reads the configuration and the endpoints."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -9,28 +9,28 @@
 
 
 class RowSource(Protocol):
-    """Rows of one kind that can be read whole and followed."""
+    """Rows of one kind that can be read in full and followed."""
 
     async def whole(self) -> RowPage:
         """Read all rows; raises `StoreUnavailableError`."""
         ...
 
     async def changes(self, after: int, wait: timedelta) -> RowPage:
-        """Wait for changes; raises `HistoryGoneError`, `StoreUnavailableError`."""
+        """Wait for changes; raises `HistoryExpiredError`, `StoreUnavailableError`."""
         ...
 
 
 class ConfigurationSource(RowSource, Protocol):
-    """Tells the row of the configuration."""
+    """Source of the configuration's row."""
 
     def decode(self, row: Row) -> RoutingTable:
-        """Read a row's value; raises `UnreadableError`."""
+        """Decode a row's value; raises `UnreadableRowError`."""
         ...
 
 
 class EndpointSource(RowSource, Protocol):
-    """Tells the endpoints' rows; a row's key is the endpoint's id."""
+    """Source of the endpoints' rows; a row's key is the endpoint's id."""
 
     def decode(self, row: Row) -> ListedEndpoint:
-        """Read a row's value; raises `UnreadableError`."""
+        """Decode a row's value; raises `UnreadableRowError`."""
         ...
