--- a/tests/support/fake_table.py
+++ b/tests/support/fake_table.py
@@ -1,4 +1,4 @@
-"""A table service in memory that fails on demand, for tests without sockets."""
+"""In-memory table service with fault injection, for tests without sockets."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -17,19 +17,19 @@
 
 
 class Fault(Enum):
-    """How the next transactions go wrong."""
+    """Faults of the next transactions."""
 
     LOSE_ANSWER = "lose-answer"
-    """It takes effect, and the caller hears nothing."""
+    """The transaction takes effect; its answer is lost."""
     LOSE_CALL = "lose-call"
-    """It has no effect, and the caller hears nothing."""
+    """The transaction has no effect; there is no answer."""
     DELAY = "delay"
-    """The caller hears nothing; it takes effect at `FakeTable.deliver`."""
+    """There is no answer; the transaction takes effect at `FakeTable.deliver`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """A transaction as it was called."""
+    """A requested transaction."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -39,16 +39,16 @@
 
 
 class FakeTable:
-    """Fills the port `mimosafork.storage.table.Table`.
+    """Implements `mimosafork.storage.table.Table`.
 
     Attributes
     ----------
     down : bool
-        All calls fail, not done.
+        All calls fail without effect.
     faults : list of Fault
-        Of the next transactions, first one first.
+        Faults of the next transactions, in order.
     frozen : dict or None
-        What reads see while they are stale, see `freeze_reads`.
+        Rows that stale reads return, see `freeze_reads`.
     reads, transactions : int
         Calls that reached the store.
     """
@@ -64,7 +64,7 @@
         self.transactions = 0
 
     def freeze_reads(self) -> None:
-        """Have reads see the rows as they are now, until `thaw_reads`."""
+        """Make reads return the current rows until `thaw_reads`."""
         self.frozen = dict(self.rows)
 
     def thaw_reads(self) -> None:
@@ -72,7 +72,7 @@
         self.frozen = None
 
     def deliver(self) -> None:
-        """Have the delayed transactions take effect."""
+        """Apply the delayed transactions."""
         delayed, self.delayed = self.delayed, []
         for each in delayed:
             self._do(each)
@@ -99,7 +99,7 @@
     def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
     ) -> TransactionResult:
-        """Do all writes or none, or go wrong as `faults` says."""
+        """Apply all writes or none, or fail according to `faults`."""
         self._refuse_if_down()
         self.transactions += 1
         called = Transaction(conditions, writes)
--- a/tests/support/followers.py
+++ b/tests/support/followers.py
@@ -1,4 +1,4 @@
-"""Entry instances that follow the configuration, without threads, in tests."""
+"""Gateway instances that follow the configuration without threads, for tests."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -17,14 +17,14 @@
 
 @dataclass
 class FollowingInstance:
-    """A follower whose steps are taken by the test.
+    """A follower whose steps are driven by the test.
 
     Attributes
     ----------
     posted : list of ConfigurationReceived
-        What its kernel was told.
+        Messages to its kernel.
     announced : list of AcceptedConfiguration
-        What its peers task was told.
+        Messages to its peers task.
     """
 
     table: FakeTable
@@ -36,7 +36,7 @@
         self.boot()
 
     def boot(self) -> None:
-        """Start anew with empty hands."""
+        """Restart without any state."""
         self.follower = ConfigurationFollower(
             ConfigurationStore(self.table),
             self.clock,
@@ -56,7 +56,7 @@
         self.follower.idle()
 
     def offer_to(self, other: "FollowingInstance") -> None:
-        """Send what is in force here to a peer."""
+        """Send the configuration in force to a peer."""
         held = self.follower.accepted
         if held is not None:
             offer = ConfigurationOffer(held.revision, held.digest, held.text, "peer")
--- a/tests/support/scripted_rows.py
+++ b/tests/support/scripted_rows.py
@@ -1,4 +1,4 @@
-"""A store that answers reads and feeds by the same rows."""
+"""Fake store that answers reads and feeds with the same rows."""
 
 import asyncio
 from collections.abc import Sequence
@@ -9,12 +9,12 @@
 
 
 class ScriptedRows:
-    """The shared rows, as they are given.
+    """Fake of the shared rows with fixed content.
 
     Parameters
     ----------
     *rows : Row
-        What each answer holds, of whatever table and part.
+        Content of each answer, whatever table and part are requested.
     """
 
     def __init__(self, *rows: Row) -> None:
@@ -46,7 +46,7 @@
 
 
 def read_whole(source: RowSource) -> list[Row]:
-    """Return the rows of a whole read, which must be those of the feed as well."""
+    """Return the rows of a full read, which must equal those of the feed."""
 
     async def both() -> tuple[RowPage, RowPage]:
         return await source.whole(), await source.changes(0, timedelta(0))
--- a/tests/support/scripted_store.py
+++ b/tests/support/scripted_store.py
@@ -1,4 +1,4 @@
-"""A store on loopback that answers by a script, for tests of the store's client."""
+"""Scripted store on loopback, for tests of the store client."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -6,21 +6,21 @@
 from dataclasses import dataclass, field
 
 Reply = bytes | None
-"""Bytes to send; None keeps silent; empty bytes close the connection."""
+"""Bytes to send; None sends no answer; empty bytes close the connection."""
 
 
 @dataclass
 class ScriptedStore:
-    """What was asked, and how each call is answered.
+    """Records calls and answers them by a function.
 
     Attributes
     ----------
     answer : Callable
-        From the request's first line and body to the reply.
+        Maps the request line and body to the reply.
     connections : int
-        Opened so far.
+        Number of connections opened.
     calls : list of str
-        First lines in the order of arrival.
+        Request lines in the order of arrival.
     """
 
     answer: Callable[[str, bytes], Reply]
@@ -32,7 +32,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Address of the listener."""
         return f"127.0.0.1:{self.port}"
 
     async def serve(
@@ -51,7 +51,7 @@
     async def serve_call(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer a call; return whether the connection goes on."""
+        """Answer a call; return whether the connection stays open."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         length = 0
         for line in head.lower().split("\r\n"):
@@ -70,7 +70,7 @@
 
 
 def reply(status: int, body: bytes = b"{}", extra: str = "") -> bytes:
-    """Return a whole answer."""
+    """Return a complete HTTP response."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
     return head.encode() + body
 
@@ -92,7 +92,7 @@
 
 
 def run(work: Awaitable[None]) -> None:
-    """Run a test's coroutine to its end."""
+    """Run a test's coroutine to completion."""
 
     async def whole() -> None:
         await work
--- a/tests/support/store_proxies.py
+++ b/tests/support/store_proxies.py
@@ -1,4 +1,4 @@
-"""A way from one process to the store that may fall silent without an end."""
+"""TCP proxy between a process and the store that can stall connections."""
 
 import socket
 from collections.abc import Iterator
@@ -10,10 +10,10 @@
 
 
 class StoreProxy:
-    """Passes bytes on both ways between a process and the store.
+    """Forwards bytes in both directions between a process and the store.
 
-    While it is silent nothing is passed on, and nothing is closed or refused: as
-    behind a cut, where only a time-out tells that the other side is away.
+    While stalled it forwards nothing, and closes or refuses nothing, like a network
+    partition in which only timeouts show that the other side is unreachable.
     """
 
     def __init__(self, store: str) -> None:
@@ -27,15 +27,15 @@
         Thread(target=self._accept, daemon=True).start()
 
     def silence(self) -> None:
-        """Pass nothing on from now on."""
+        """Stop forwarding."""
         self.passing.clear()
 
     def heal(self) -> None:
-        """Pass on again, beginning with what has waited."""
+        """Resume forwarding, beginning with the buffered bytes."""
         self.passing.set()
 
     def close(self) -> None:
-        """End everything."""
+        """Close all sockets."""
         self.passing.set()
         for each in (self.listener, *self.sockets):
             with suppress(OSError):
@@ -62,7 +62,7 @@
 
 @contextmanager
 def store_proxy(store: str) -> Iterator[StoreProxy]:
-    """Run a way to the store for the length of a test."""
+    """Run a proxy to the store for the duration of a test."""
     path = StoreProxy(store)
     try:
         yield path
