--- a/src/mimosafork/watch/messages.py
+++ b/src/mimosafork/watch/messages.py
@@ -1,4 +1,4 @@
-"""What the watching task keeps and is told."""
+"""State and messages of the probing task."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -15,25 +15,25 @@
 
 
 @dataclass(slots=True)
-class Watch:
-    """How the probing of one endpoint stands.
+class ProbeState:
+    """Probe state of one endpoint.
 
     Attributes
     ----------
-    busy, reading_cache : bool
-        A call is under way; there is never a second of its sort.
-    misses : int
-        Unanswered probes in a row.
+    probe_in_flight, cache_read_in_flight : bool
+        A call of this kind is in flight; there is at most one of each kind.
+    consecutive_failures : int
+        Failed probes in a row.
     events_after : int
-        Newest sequence number of its cache events that was read.
+        Sequence number of the newest cache event that was read.
     """
 
     target: WatchedEndpoint
     due: timedelta
     events_due: timedelta
-    busy: bool = False
-    reading_cache: bool = False
-    misses: int = 0
+    probe_in_flight: bool = False
+    cache_read_in_flight: bool = False
+    consecutive_failures: int = 0
     incarnation: Incarnation = field(default=Incarnation(0))
     events_after: int = 0
     wants_snapshot: bool = False
@@ -41,17 +41,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A load probe has ended, with a report or an error."""
+    """A load probe completed with a report or an error."""
 
-    watch: Watch
+    watch: ProbeState
     result: LoadReport | WatchError
 
 
 @dataclass(frozen=True, slots=True)
 class CacheRead:
-    """A read of cache events or of a snapshot has ended."""
+    """A read of cache events or of a snapshot completed."""
 
-    watch: Watch
+    watch: ProbeState
     result: CacheEventsReported | CacheSnapshotReported | WatchError
 
 
@@ -59,7 +59,7 @@
 
 
 class Reader(Protocol):
-    """Calls to endpoints, each of which may raise a `WatchError`."""
+    """Calls to endpoints; each may raise a `WatchError`."""
 
     def load(self, endpoint: EndpointId, address: str) -> LoadReport:
         """Return the load report."""
--- a/tests/support/fake_table.py
+++ b/tests/support/fake_table.py
@@ -1,4 +1,4 @@
-"""A table service in memory that fails on demand, for tests without sockets."""
+"""In-memory table service with fault injection, for tests without sockets."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,30 +6,30 @@
 from mimosafork.storage.errors import StoreUnavailableError, UnknownResultError
 from mimosafork.storage.table import (
     ABSENT,
-    PAGE,
+    PAGE_ROWS,
     Condition,
     Conflict,
-    Row,
     RowValue,
+    TableRow,
     TransactionResult,
     Write,
 )
 
 
 class Fault(Enum):
-    """How the next transactions go wrong."""
+    """Faults of the next transactions."""
 
     LOSE_ANSWER = "lose-answer"
-    """It takes effect, and the caller hears nothing."""
+    """The transaction takes effect; its answer is lost."""
     LOSE_CALL = "lose-call"
-    """It has no effect, and the caller hears nothing."""
+    """The transaction has no effect; there is no answer."""
     DELAY = "delay"
-    """The caller hears nothing; it takes effect at `FakeTable.deliver`."""
+    """There is no answer; the transaction takes effect at `FakeTable.deliver`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """A transaction as it was called."""
+    """A requested transaction."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -39,24 +39,24 @@
 
 
 class FakeTable:
-    """Fills the port `mimosafork.storage.table.Table`.
+    """Implements `mimosafork.storage.table.Table`.
 
     Attributes
     ----------
     down : bool
-        All calls fail, not done.
+        All calls fail without effect.
     faults : list of Fault
-        Of the next transactions, first one first.
+        Faults of the next transactions, in order.
     frozen : dict or None
-        What reads see while they are stale, see `freeze_reads`.
+        Rows that stale reads return, see `freeze_reads`.
     reads, transactions : int
         Calls that reached the store.
     """
 
     def __init__(self) -> None:
-        self.rows: dict[Place, Row] = {}
+        self.rows: dict[Place, TableRow] = {}
         self.versions: dict[Place, int] = {}
-        self.frozen: dict[Place, Row] | None = None
+        self.frozen: dict[Place, TableRow] | None = None
         self.down = False
         self.faults: list[Fault] = []
         self.delayed: list[Transaction] = []
@@ -64,7 +64,7 @@
         self.transactions = 0
 
     def freeze_reads(self) -> None:
-        """Have reads see the rows as they are now, until `thaw_reads`."""
+        """Make reads return the current rows until `thaw_reads`."""
         self.frozen = dict(self.rows)
 
     def thaw_reads(self) -> None:
@@ -72,20 +72,20 @@
         self.frozen = None
 
     def deliver(self) -> None:
-        """Have the delayed transactions take effect."""
+        """Apply the delayed transactions."""
         delayed, self.delayed = self.delayed, []
         for each in delayed:
             self._do(each)
 
-    def get(self, table: str, key: str) -> Row | None:
+    def get(self, table: str, key: str) -> TableRow | None:
         """Return a row, or None."""
         self._refuse_if_down()
         self.reads += 1
         return self._seen().get((table, key))
 
     def page(
-        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE
-    ) -> tuple[Row, ...]:
+        self, table: str, prefix: str = "", after: str = "", limit: int = PAGE_ROWS
+    ) -> tuple[TableRow, ...]:
         """Return up to `limit` rows after a key, in key order."""
         self._refuse_if_down()
         self.reads += 1
@@ -99,7 +99,7 @@
     def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
     ) -> TransactionResult:
-        """Do all writes or none, or go wrong as `faults` says."""
+        """Apply all writes or none, or fail according to `faults`."""
         self._refuse_if_down()
         self.transactions += 1
         called = Transaction(conditions, writes)
@@ -116,7 +116,7 @@
         if self.down:
             raise StoreUnavailableError("the store is down")
 
-    def _seen(self) -> dict[Place, Row]:
+    def _seen(self) -> dict[Place, TableRow]:
         return self.rows if self.frozen is None else self.frozen
 
     def _do(self, called: Transaction) -> TransactionResult:
@@ -149,5 +149,5 @@
         if value is None:
             self.rows.pop(place, None)
         else:
-            self.rows[place] = Row(key, version, value)
+            self.rows[place] = TableRow(key, version, value)
         return version
--- a/tests/support/store_paths.py
+++ b/tests/support/store_proxies.py
@@ -1,4 +1,4 @@
-"""A way from one process to the store that may fall silent without an end."""
+"""TCP proxy between a process and the store that can stall connections."""
 
 import socket
 from collections.abc import Iterator
@@ -9,11 +9,11 @@
 HOST = "127.0.0.1"
 
 
-class StorePath:
-    """Passes bytes on both ways between a process and the store.
+class StoreProxy:
+    """Forwards bytes in both directions between a process and the store.
 
-    While it is silent nothing is passed on, and nothing is closed or refused: as
-    behind a cut, where only a time-out tells that the other side is away.
+    While stalled it forwards nothing, and closes or refuses nothing, like a network
+    partition in which only timeouts show that the other side is unreachable.
     """
 
     def __init__(self, store: str) -> None:
@@ -27,15 +27,15 @@
         Thread(target=self._accept, daemon=True).start()
 
     def silence(self) -> None:
-        """Pass nothing on from now on."""
+        """Stop forwarding."""
         self.passing.clear()
 
     def heal(self) -> None:
-        """Pass on again, beginning with what has waited."""
+        """Resume forwarding, beginning with the buffered bytes."""
         self.passing.set()
 
     def close(self) -> None:
-        """End everything."""
+        """Close all sockets."""
         self.passing.set()
         for each in (self.listener, *self.sockets):
             with suppress(OSError):
@@ -61,9 +61,9 @@
 
 
 @contextmanager
-def store_path(store: str) -> Iterator[StorePath]:
-    """Run a way to the store for the length of a test."""
-    path = StorePath(store)
+def store_proxy(store: str) -> Iterator[StoreProxy]:
+    """Run a proxy to the store for the duration of a test."""
+    path = StoreProxy(store)
     try:
         yield path
     finally:
--- a/tests/unit/gateway/test_gateway_machine.py
+++ b/tests/unit/gateway/test_gateway_machine.py
@@ -291,7 +291,7 @@
             self.gateway.end_endpoint(endpoint, crashes)
             if reported:
                 version = self.gateway.next_version()
-                self.gateway.directory.offer_gone(endpoint.name, version)
+                self.gateway.directory.offer_removal(endpoint.name, version)
         if again is not None:
             self.start_incarnation(address, again)
 
