--- a/src/mimosafork/policies/cache_publisher.py
+++ b/src/mimosafork/policies/cache_publisher.py
@@ -1,4 +1,4 @@
-"""What an engine's first watcher tells its zone of the engine's cache."""
+"""Publishes the cache contents of an engine to its zone, by its primary watcher."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -13,34 +13,34 @@
 
 MIN_BATCH_INTERVAL = timedelta(seconds=2)
 BATCH_INTERVAL_PER_ENDPOINT = timedelta(milliseconds=100)
-"""A zone's batches together go out ten times a second at most."""
+"""Limits the batches of a whole zone to ten a second."""
 
 ZONE_MARKS_PER_SECOND = 200
-"""Marks that a zone's watchers together tell; four bytes each."""
+"""Marks that all watchers of a zone publish together; four bytes each."""
 MIN_BATCH_MARKS = 4
 MAX_BATCH_MARKS = 128
 
 MAX_PUBLISHED_MARKS = 1024
-"""Marks of one engine that its zone is told of at a time."""
+"""Limit on the marks of one engine that are published at a time."""
 
 INITIAL_PUBLISHED_MARKS = 256
-"""Marks of an engine that a new watcher tells at once, in its first summary."""
+"""Marks that a new watcher publishes at once, in its first summary."""
 
 BATCH_SLOTS = 8
-"""Batches that stand side by side until everybody has heard them."""
+"""Batches that are kept under separate keys until all peers have received them."""
 SUMMARY_INTERVAL = timedelta(seconds=10)
 
 
 @dataclass(slots=True)
 class PublishedCache:
-    """What the zone has been told of one engine, and what waits.
+    """Published state of one engine's cache, and the changes still to publish.
 
     Attributes
     ----------
     waiting : dict of int to int
-        Marks stored since, with their tokens.
+        Marks stored since the last batch, with their tokens.
     gone : set of int
-        Told marks that were evicted since.
+        Published marks that were evicted since the last batch.
     """
 
     incarnation: Incarnation
@@ -54,10 +54,10 @@
 
 
 class CachePublisher:
-    """Chooses what to tell: the longest prefixes, in batches of a bounded size.
+    """Publishes the longest prefixes, in batches of a bounded size.
 
-    What does not fit is dropped, not queued: a prefix that nobody heard of is a
-    chance lost, and the next batch has fresher ones.
+    What does not fit is dropped, not queued: an unpublished prefix is only a missed
+    cache hit, and the next batch has newer ones.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         incarnation: Incarnation,
         marks: Iterable[tuple[int, int]],
     ) -> None:
-        """Take a snapshot for the engine's state, in place of all before."""
+        """Replace the engine's state by a snapshot."""
         current = dict(marks)
         cache = self.engines.get(endpoint)
         if cache is None or cache.incarnation != incarnation:
@@ -84,7 +84,7 @@
         }
 
     def record_stored(self, endpoint: EndpointId, mark: int, tokens: int) -> None:
-        """Note a prefix that entered the cache."""
+        """Record a prefix that entered the cache."""
         cache = self.engines.get(endpoint)
         if cache is None:
             return
@@ -93,7 +93,7 @@
             cache.pending[mark] = tokens
 
     def record_evicted(self, endpoint: EndpointId, mark: int) -> None:
-        """Note a prefix that left the cache; of interest only if it was told."""
+        """Record a prefix that left the cache; published only if its mark was."""
         cache = self.engines.get(endpoint)
         if cache is None:
             return
@@ -102,7 +102,7 @@
             cache.evicted.add(mark)
 
     def request_summary(self, endpoint: EndpointId) -> None:
-        """Note that somebody needs all that has been told."""
+        """Schedule a summary of all published marks."""
         cache = self.engines.get(endpoint)
         if cache is not None:
             cache.summary_requested = True
@@ -112,7 +112,7 @@
         self.engines.pop(endpoint, None)
 
     def due_messages(self, now: timedelta, zone_endpoints: int) -> Iterator[Publish]:
-        """Return what is to be published now."""
+        """Return the batches and summaries to publish now."""
         interval = max(MIN_BATCH_INTERVAL, BATCH_INTERVAL_PER_ENDPOINT * zone_endpoints)
         allowed = int(ZONE_MARKS_PER_SECOND * interval.total_seconds() / zone_endpoints)
         allowed = min(MAX_BATCH_MARKS, max(MIN_BATCH_MARKS, allowed))
--- a/src/mimosafork/policies/claims/closing.py
+++ b/src/mimosafork/policies/claims/closing.py
@@ -1,4 +1,4 @@
-"""What becomes of a claim when its request ends."""
+"""Stores answers, and ends or releases claims when their requests end."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -28,18 +28,18 @@
 from ...kernel.registry import register
 
 KEEP_TIMEOUT = timedelta(seconds=1)
-"""How long a whole answer's end waits for the store at most."""
+"""Longest time that the end of a whole answer waits for the store."""
 
 
 @register("answer-keeper")
 class AnswerKeeper(Finisher):
-    """Has whole answers kept, and ends or releases claims."""
+    """Stores whole answers, and ends or releases claims."""
 
     def finish(self, record: RequestRecord, context: Context) -> Proceed | Hold:
-        """Hold the end of a claimed answer until it is kept, for a bounded time.
+        """Hold the end of a claimed answer until it is stored, for a bounded time.
 
-        An end that went out before would invite the caller to forget the answer;
-        should it be lost on the way, its resend would find none.
+        A caller may resend if the end of the answer is lost on the way, and the resend
+        must find the stored answer.
         """
         if record.claim is None or not has_whole_answer(record):
             return Proceed()
@@ -48,14 +48,14 @@
         if claim.confirmed:
             context.wake_after(KEEP_TIMEOUT, KeepAnswerTimedOut(record.request_id))
         else:
-            # The store has not even taken the claim: waiting for it to take the
-            # answer would make an idempotent request wait for a dead store.
+            # The store has not confirmed the claim. Waiting for it to store the
+            # answer would delay an idempotent request while the store is down.
             context.post(KeepAnswerTimedOut(record.request_id))
         return Hold()
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """React to ends."""
+        """React to store results, first tokens and conclusions."""
 
     @handle.register
     def _(self, message: AnswerKept, context: Context) -> None:
@@ -103,8 +103,8 @@
 def _releases_key(record: RequestRecord, outcome: Outcome) -> bool:
     """Return whether a resend may run the request.
 
-    An idempotent one always may. A non-idempotent one only if it surely never
-    ran: any doubt keeps the key taken for good.
+    An idempotent request may always run again. A non-idempotent one may only if it
+    certainly never ran; otherwise the key stays taken.
     """
     if record.request.repeatability is Repeatability.IDEMPOTENT:
         return True
--- a/src/mimosafork/policies/claims/keys.py
+++ b/src/mimosafork/policies/claims/keys.py
@@ -1,4 +1,4 @@
-"""What is claimed, and the names that every instance derives alike."""
+"""Claim keys and stream ids, which every instance derives identically."""
 
 from hashlib import blake2b
 
@@ -11,7 +11,7 @@
 
 
 def needs_claim(request: Request) -> bool:
-    """Return whether a request may not run without a settled claim."""
+    """Return whether a request must not run without a confirmed claim."""
     return request.repeatability is Repeatability.NON_IDEMPOTENT
 
 
@@ -24,17 +24,17 @@
     """Return the key of a request's claim row.
 
     A non-idempotent request without a key is claimed under its id, which its
-    caller has been told: coming back with that id as key, it finds its answer.
+    caller receives: a resend with that id as its key finds the answer.
     """
     name = request.idempotency_key or request.request_id
     return ClaimKey(_digest(request.account, name))
 
 
 def stream_base_of(request: Request, generation: int) -> str:
-    """Return the beginning of the ids of a key's streams.
+    """Return the common prefix of the ids of a key's streams.
 
-    An instance finds the engine's stream by it without the store. The body is in
-    it so that another body under the same key never finds this answer.
+    It lets an instance find the engine's stream without the store. It covers the
+    body, so that another body under the same key never finds this answer.
     """
     name = request.idempotency_key or request.request_id
     base = _digest(request.account, name, request.body_digest)
@@ -42,7 +42,7 @@
 
 
 def stream_ids(base: str, attempts: int) -> tuple[StreamId, ...]:
-    """Return the ids that the first attempts under a base have."""
+    """Return the stream ids of the first attempts under a base."""
     return tuple(StreamId(f"{base}.{number}") for number in range(1, attempts + 1))
 
 
--- a/src/mimosafork/policies/claims/pending.py
+++ b/src/mimosafork/policies/claims/pending.py
@@ -7,7 +7,7 @@
 
 
 class ClaimPhase(Enum):
-    """What a held request waits for."""
+    """Operation that a held request waits for."""
 
     CLAIMING = "claiming"
     SEARCHING = "searching"
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True)
 class PendingClaim:
-    """How far the stage has come with one request.
+    """Progress of the claim stage with one request.
 
     Attributes
     ----------
     existing : Claim or None
         Another call's claim on the key, when there is one.
     takeovers : int
-        Claims of ended calls that this one has tried to replace.
+        Number of claims of ended calls that this request has tried to replace.
     """
 
     phase: ClaimPhase = ClaimPhase.CLAIMING
--- a/src/mimosafork/policies/claims/problems.py
+++ b/src/mimosafork/policies/claims/problems.py
@@ -1,4 +1,4 @@
-"""Refusals that have to do with idempotency keys."""
+"""Refusals concerning idempotency keys."""
 
 from datetime import timedelta
 
@@ -11,7 +11,7 @@
 
 
 def key_reused() -> Refuse:
-    """Return the refusal of a key that stands for another body."""
+    """Return the refusal of a key that was used with another body."""
     detail = "the idempotency key was used with another body; this call was not run"
     return Refuse(Problem(ProblemCode.KEY_REUSED, detail))
 
@@ -24,14 +24,15 @@
 
 
 def outcome_unknown(detail: str) -> Refuse:
-    """Return the final refusal of what may have run and may not run twice."""
+    """Return the final refusal of a request that may have run already."""
     return Refuse(Problem(ProblemCode.OUTCOME_UNKNOWN, detail), Outcome.UNKNOWN)
 
 
 def store_unavailable() -> Refuse:
     """Return the refusal of a request that can't be claimed.
 
-    It speaks of this call alone: an earlier one with the same key can't be seen.
+    It covers this call only: the store can't be read for an earlier one with the
+    same key.
     """
     detail = (
         "the call must not run twice and the store that guards it does not answer; "
@@ -41,7 +42,7 @@
 
 
 def earlier_call_unreadable() -> Refuse:
-    """Return the refusal of a caller that comes back while nothing can be read."""
+    """Return the refusal of a resend while the earlier call can't be read."""
     detail = "what became of the earlier call with this key can't be read now"
     problem = Problem(ProblemCode.STORE_UNAVAILABLE, detail, STORE_RETRY_AFTER)
     return Refuse(problem, Outcome.UNKNOWN)
--- a/src/mimosafork/policies/claims/search.py
+++ b/src/mimosafork/policies/claims/search.py
@@ -1,4 +1,4 @@
-"""Whom to ask for a stream that another call has started."""
+"""Candidates in the search for a stream that another call has started."""
 
 from ...ids import StreamId
 from ...kernel.configuration import FleetPolicy
@@ -9,13 +9,13 @@
 from .keys import FIRST_GENERATION, stream_base_of, stream_ids
 
 MAX_SEARCHED_ENDPOINTS = 128
-"""More would make one caller's return cost the fleet thousands of calls."""
+"""Bounds the search: without it one resend could cost the fleet thousands of calls."""
 
 
 def candidate_stream_ids(
     record: RequestRecord, existing: Claim | None, context: Context
 ) -> tuple[StreamId, ...]:
-    """Return the ids that the stream may have."""
+    """Return the possible ids of the stream."""
     generation = existing.generation if existing else FIRST_GENERATION
     configuration = context.state.configuration
     fleet = configuration.fleet if configuration else FleetPolicy()
@@ -26,7 +26,7 @@
 def candidate_endpoints(
     record: RequestRecord, context: Context
 ) -> tuple[CandidateEndpoint, ...]:
-    """Return the engines that serve the model, leaving ones too."""
+    """Return the engines that serve the model, including leaving ones."""
     found = []
     for endpoint in context.state.fleet.serving(record.request.target):
         if endpoint.entry.kind is not EndpointKind.MODEL_ENGINE:
--- a/src/mimosafork/policies/endpoint_values.py
+++ b/src/mimosafork/policies/endpoint_values.py
@@ -1,4 +1,4 @@
-"""Load reports in the form in which peers tell them, and back."""
+"""Conversion between load reports and the values that peers exchange."""
 
 from datetime import timedelta
 from math import ceil
@@ -17,7 +17,7 @@
 
 
 def profile_of(report: LoadReport) -> EndpointProfile:
-    """Return what seldom changes in a report."""
+    """Return the part of a report that seldom changes."""
     return EndpointProfile(
         report.incarnation,
         report.kv_capacity,
@@ -29,7 +29,7 @@
 
 
 def load_of(report: LoadReport, lag: timedelta) -> EndpointLoad:
-    """Return what always changes in a report, which is `lag` old now."""
+    """Return the part of a report that changes constantly; `lag` is its age."""
     return EndpointLoad(
         incarnation_bits_of(report.incarnation),
         report.sequence,
@@ -46,14 +46,14 @@
 
 
 def incarnation_bits_of(incarnation: Incarnation) -> int:
-    """Return the part of an incarnation that a load carries."""
+    """Return the low bits of an incarnation, which a load carries."""
     return incarnation & INCARNATION_MASK
 
 
 def report_of(
     endpoint: EndpointId, load: EndpointLoad, profile: EndpointProfile, age: timedelta
 ) -> LoadReport:
-    """Return the report that a load and its profile stand for, `age` old by now."""
+    """Build a report from a load and its profile; `age` is the age of the load."""
     return LoadReport(
         endpoint=endpoint,
         incarnation=profile.incarnation,
--- a/src/mimosafork/policies/mark_set.py
+++ b/src/mimosafork/policies/mark_set.py
@@ -7,8 +7,8 @@
 from ..ids import Digest
 
 MARK_DIGITS = 8
-"""Hexadecimal digits of a mark that are kept. Among some thousand marks an unknown
-one is taken for known once in a million times, which costs a prefill at most."""
+"""Hexadecimal digits of a mark that are kept. Among some thousand marks, a false
+positive occurs once in a million lookups and costs one prefill at most."""
 MARK_BYTES = 4
 TYPE_CODE = "I"
 
@@ -21,8 +21,8 @@
 class MarkSet:
     """A set of short marks as one sorted array.
 
-    A Python set of them would take about 60 bytes a mark; an entry instance knows
-    some hundred thousand.
+    A Python set would take about 60 bytes a mark, and an instance holds some hundred
+    thousand marks.
     """
 
     __slots__ = ("marks",)
@@ -31,7 +31,7 @@
         self.marks = array(TYPE_CODE, sorted(set(marks)))
 
     def __len__(self) -> int:
-        """Return how many marks there are."""
+        """Return the number of marks."""
         return len(self.marks)
 
     def __iter__(self) -> Iterator[int]:
@@ -39,18 +39,18 @@
         return iter(self.marks)
 
     def __contains__(self, mark: int) -> bool:
-        """Return whether a mark is in."""
+        """Return whether the set contains a mark."""
         index = bisect_left(self.marks, mark)
         return index < len(self.marks) and self.marks[index] == mark
 
     def add(self, mark: int) -> None:
-        """Put a mark in; it may be in already."""
+        """Add a mark if it is missing."""
         index = bisect_left(self.marks, mark)
         if index == len(self.marks) or self.marks[index] != mark:
             self.marks.insert(index, mark)
 
     def discard(self, mark: int) -> None:
-        """Take a mark out; it need not be in."""
+        """Remove a mark if it is present."""
         index = bisect_left(self.marks, mark)
         if index < len(self.marks) and self.marks[index] == mark:
             del self.marks[index]
@@ -62,7 +62,7 @@
 
 
 def from_bytes(data: bytes) -> list[int]:
-    """Return the marks in bytes; an odd rest is left out."""
+    """Decode marks from bytes; an incomplete last mark is ignored."""
     whole = len(data) - len(data) % MARK_BYTES
     return [
         int.from_bytes(data[at : at + MARK_BYTES], "big")
--- a/src/mimosafork/policies/reporting.py
+++ b/src/mimosafork/policies/reporting.py
@@ -1,4 +1,4 @@
-"""Tell operators how requests end and what has become of endpoints and peers."""
+"""Reports on requests, endpoints and peers for operators."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -24,12 +24,12 @@
 from ..kernel.registry import register
 
 FLEET_REPORT_INTERVAL = timedelta(seconds=1)
-"""Between two fleet reports: soon enough for people, rare enough to cost nothing."""
+"""Time between two fleet reports: short for operators, at negligible cost."""
 
 
 @register("reporting")
 class Reporting(Plugin):
-    """Emits a report for each request and, at a slow pace, one of the fleet."""
+    """Emits a report for each request and, periodically, one of the fleet."""
 
     def __init__(self) -> None:
         self.next_at = timedelta(0)
@@ -117,7 +117,7 @@
 
 
 def endpoint_condition(endpoint: Endpoint, now: timedelta) -> EndpointCondition:
-    """Return the strictest thing that is known of an endpoint."""
+    """Return the most restrictive condition that applies to an endpoint."""
     if endpoint.leaving:
         return EndpointCondition.LEAVING
     if endpoint.unreachable_since is not None:
