--- a/src/mimosafork/policies/claims/attach.py
+++ b/src/mimosafork/policies/claims/attach.py
@@ -1,4 +1,4 @@
-"""Attaching to a stream that already runs, in place of running it again."""
+"""Attaches requests to streams that already run, instead of running them again."""
 
 from ...kernel.context import Context
 from ...kernel.messages.attempts import Exposure, FailureKind
@@ -10,23 +10,23 @@
 from .problems import outcome_unknown
 
 DUPLICATE_STREAM_REFUSAL = "duplicate"
-"""An engine's refusal that says that it has the stream already."""
+"""Refusal by an engine that already has the stream."""
 
 
 @register("attach-to-run")
 class AttachToRun(Placer):
     """Places a request on the stream that answers it, if there is one.
 
-    It is asked before all other placers, so that it is also the last guard of what
-    must not run twice: whatever a retry policy says, a non-idempotent request that
-    may have run is attached or ended here, never dispatched anew. Without it a
-    broken connection in mid-answer makes two drafts of one filing.
+    It precedes all other placers, so it is also the last check against a second run:
+    whatever a retry policy decides, a non-idempotent request that may have run is
+    attached or ended here, never dispatched again. Without it, a connection that
+    breaks in mid-answer creates two drafts of one filing.
     """
 
     order = 1
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return the place to attach to, the end, or that it is another's."""
+        """Attach or refuse the request, or leave it to the other placers."""
         if record.attached_run is not None:
             if _may_attach(record, record.attached_run, context):
                 return record.attached_run
@@ -42,9 +42,9 @@
         return NotApplicable()
 
     def can_reattach(self, record: RequestRecord, context: Context) -> bool:
-        """Return whether the next attempt would attach and so run nothing.
+        """Return whether the next attempt would attach, and so start no run.
 
-        A retry policy asks it before it gives a non-idempotent request up.
+        A retry policy calls it before it gives up a non-idempotent request.
         """
         if record.attached_run is not None:
             return _may_attach(record, record.attached_run, context)
@@ -52,7 +52,7 @@
 
 
 def must_not_start(record: RequestRecord) -> bool:
-    """Return whether a further start could be a second run of what must run once."""
+    """Return whether another start could run a non-idempotent request twice."""
     if record.request.repeatability is Repeatability.IDEMPOTENT:
         return False
     if record.may_have_run_elsewhere:
@@ -61,7 +61,7 @@
 
 
 def _own_stream(record: RequestRecord, context: Context) -> PlaceOn | None:
-    """Return the place of this request's own broken stream, if it may run on."""
+    """Return the place of this request's broken stream, if it may still run."""
     last = record.current
     if last is None or last.failure is None:
         return None
@@ -97,7 +97,7 @@
 
 
 def _may_attach(record: RequestRecord, place: PlaceOn, context: Context) -> bool:
-    """Return whether a shared run is still there, as far as is known."""
+    """Return whether a shared run may still exist."""
     last = record.current
     if last is not None and last.failure is not None:
         refused = last.failure.exposure is not Exposure.POSSIBLE
@@ -110,10 +110,10 @@
 def _is_same_incarnation(
     place: PlaceOn, record: RequestRecord, context: Context
 ) -> bool:
-    """Return whether a place is a model engine in the life that it had then.
+    """Return whether a place is a model engine of unchanged incarnation.
 
-    One that just can't be reached is tried all the same for a request that may run
-    nowhere else: the network may heal within the attempts.
+    An unreachable engine is still tried for a request that may run nowhere else: the
+    network may recover within the attempts.
     """
     endpoint = context.state.fleet.endpoints.get(place.endpoint)
     if endpoint is None or endpoint.entry.kind is not EndpointKind.MODEL_ENGINE:
--- a/src/mimosafork/policies/claims/existing.py
+++ b/src/mimosafork/policies/claims/existing.py
@@ -1,4 +1,4 @@
-"""What a call does that finds its key claimed by another."""
+"""Decisions for a call whose key is claimed by another call."""
 
 from datetime import timedelta
 from enum import Enum
@@ -12,12 +12,12 @@
 from .keys import needs_claim
 
 CLOCK_SKEW_MARGIN = timedelta(seconds=5)
-"""Wall clocks of two instances may differ; a deadline is over for sure only later.
+"""Allowance for clock skew between instances before a deadline counts as passed.
 Too small a margin costs a worse answer, never a second run."""
 
 
 class NextStep(Enum):
-    """How to go after the earlier call's answer."""
+    """Next step towards the earlier call's answer."""
 
     REFUSE_BODY = "refuse-body"
     REPLAY = "replay"
@@ -26,7 +26,7 @@
 
 
 def next_step(request: Request, existing: Claim) -> NextStep:
-    """Return how to find the answer of the call that has the key."""
+    """Return how to find the answer of the call that holds the key."""
     if existing.body_digest != request.body_digest:
         return NextStep.REFUSE_BODY
     if existing.answer_kept:
@@ -37,10 +37,10 @@
 def decide_without_run(
     record: RequestRecord, existing: Claim | None, context: Context
 ) -> Proceed | Refuse:
-    """Return what follows when no stream was found to attach to.
+    """Return the decision when no stream was found to attach to.
 
-    `Proceed` for an idempotent request alone: what may not be repeated is never
-    started while another call may have run it.
+    Only an idempotent request gets `Proceed`: a non-idempotent one is never started
+    while another call may have run it.
     """
     required = needs_claim(record.request)
     if existing is None:
@@ -57,17 +57,18 @@
 
 
 def _refuse_resume(record: RequestRecord) -> Refuse:
-    """Refuse a caller that comes back for the rest of an answer that nobody has."""
+    """Refuse to resume an answer of which there is no record."""
     if record.claim is not None and record.claim.confirmed:
         return problems.outcome_unknown("the call has begun before and left no trace")
     return problems.earlier_call_unreadable()
 
 
 def owner_ended(existing: Claim, context: Context) -> bool:
-    """Return whether the instance that has a claim can't finish it any more.
+    """Return whether the owner of a claim can no longer finish it.
 
-    Silence is no proof: the owner may be cut off or frozen. Its deadline is over,
-    or the platform lists it no longer, or lists a later life of it.
+    Silence is no proof, since the owner may be partitioned or frozen. The claim's
+    deadline must have passed, or the platform must list the owner no longer or with
+    a newer incarnation.
     """
     if existing.time_left < -CLOCK_SKEW_MARGIN:
         return True
@@ -76,6 +77,6 @@
         return existing.incarnation < identity.incarnation
     listed = instances.get(existing.owner)
     if listed is None:
-        # A list without this instance itself is too old to say who is gone.
+        # A list that lacks this instance is too old to show removed instances.
         return identity.instance in instances
     return existing.incarnation < listed.incarnation
--- a/src/mimosafork/policies/recovery.py
+++ b/src/mimosafork/policies/recovery.py
@@ -1,4 +1,4 @@
-"""Frees what dead instances have left on the zone's engines."""
+"""Frees holdings that dead instances have left on the zone's engines."""
 
 import re
 from datetime import timedelta
@@ -24,20 +24,20 @@
 from .claims.keys import KEY_BYTES
 
 LIST_INTERVAL = timedelta(seconds=60)
-"""Between two full listings of an engine. A listing of 70 streams is 10 KB, so a
+"""Time between two full listings of an engine. A listing of 70 streams is 10 KB, so a
 zone of 100 engines costs its holder 17 KB a second."""
 
 DEADLINE_GRACE = timedelta(seconds=5)
-"""Past its deadline an engine frees a holding by itself; this is left for it."""
+"""Time for an engine to free an overdue holding by itself."""
 
 REMOVED_AFTER = timedelta(minutes=10)
-"""An owner that the platform's list has lacked for so long was removed."""
+"""An owner missing from the platform's list for this long counts as removed."""
 
 INSTANCE_RETENTION = timedelta(hours=2)
 
 MAX_LIST_GAP = timedelta(seconds=5)
-"""Time between two lists that counts at most: during an outage of the list
-nothing is known of who is in it."""
+"""Longest time between two lists that counts towards removal: an outage of the list
+shows nothing about its members."""
 
 RESUMABLE_STREAM_ID = re.compile(rf"[0-9a-f]{{{2 * KEY_BYTES}}}-\d+\.\d+")
 """Ids of streams under an idempotency key."""
@@ -45,12 +45,12 @@
 
 @register("recovery")
 class Recovery(Plugin):
-    """Judges holdings while this instance holds the zone's lease for cleaning.
+    """Decides which holdings to free while this instance has the cleaning lease.
 
     Without it, the memory of streams, reservations and exported KV whose owner was
-    killed would stay taken. An owner that is only silent may be cut off from here
-    and serving all the same: its holdings are left alone until their deadline.
-    The verdicts hold for ever, so a cleaner that lost its lease does no harm.
+    killed would stay taken. An owner that is only silent may be partitioned and still
+    serving, so its holdings stay until their deadline. The reasons to free a holding
+    never cease to apply, so an instance that lost its lease frees nothing wrongly.
     """
 
     def __init__(self) -> None:
@@ -98,7 +98,7 @@
         for endpoint in _engines(context):
             name = endpoint.endpoint_id
             if name not in self.next_list_at:
-                # Spread: all engines listed in one moment would be a burst.
+                # Spread the listings, to avoid a burst of calls to all engines.
                 self.next_list_at[name] = (
                     context.now + LIST_INTERVAL * context.random.random()
                 )
@@ -121,7 +121,7 @@
                 context.emit(FreeHolding(message.endpoint, address, holding, reason))
 
     def reason_to_free(self, holding: Holding) -> FreeReason | None:
-        """Return why a holding may be freed; None if it must be left alone."""
+        """Return why a holding may be freed; None if it must stay."""
         if holding.time_left < -DEADLINE_GRACE:
             return FreeReason.PAST_DEADLINE
         if _may_be_resumed(holding):
@@ -146,7 +146,7 @@
             context.emit(ListHoldings(name, address, instance))
 
     def _forget_removed(self) -> None:
-        """Forget instances that have been gone for longer than anything is held."""
+        """Forget instances that were removed longer ago than any holding lasts."""
         gone = [
             name for name, span in self.removed_for.items() if span > INSTANCE_RETENTION
         ]
@@ -161,11 +161,11 @@
 
 
 def _may_be_resumed(holding: Holding) -> bool:
-    """Return whether another instance may be reading a dead one's stream.
+    """Return whether another instance may be reading the stream of a dead one.
 
-    A caller that comes back with its key is served from the stream that already
-    runs. The stream keeps its first owner, so freeing it by the owner's death
-    would cut an answer in the middle. It ends at its deadline.
+    A resend with the same key is served from the running stream, which keeps its
+    first owner. Freeing it when the owner dies would cut the answer. It ends at its
+    deadline.
     """
     if holding.kind is not HoldingKind.STREAM:
         return False
@@ -178,7 +178,7 @@
 
 
 def _engines(context: Context) -> list[Endpoint]:
-    """Return the zone's model engines that answer."""
+    """Return the zone's reachable model engines."""
     zone = context.state.identity.availability_zone
     return [
         endpoint
--- a/src/mimosafork/policies/rollout_steps.py
+++ b/src/mimosafork/policies/rollout_steps.py
@@ -1,4 +1,4 @@
-"""Next step of one engine towards the model versions wanted."""
+"""Computes the next order that brings an engine to the configured versions."""
 
 from collections.abc import Mapping
 
@@ -13,17 +13,18 @@
     seen: frozenset[ModelId],
     order_id: OrderId,
 ) -> Order | None:
-    """Return the next step of one engine towards the versions wanted, if any.
+    """Return the next order for an engine, or None if it has the wanted versions.
 
-    An engine that has a model in another version loads the wanted one beside it;
-    the old one goes when the new one is ready. Models that an engine never had are
-    not given to it, and models that nobody wants any more stay.
+    An engine with another version of a model loads the wanted one beside it and
+    unloads the old one when the new one is ready. Models that the engine never had
+    are not loaded, and models that are no longer configured stay.
 
     Parameters
     ----------
     had : frozenset of ModelId
-        Models that the engine has shown in this life. One that it has no more was
-        unloaded by a late order of an earlier holder and is loaded again.
+        Models that this incarnation of the engine has reported. One that is missing
+        now was unloaded by a late order of an earlier lease holder and is loaded
+        again.
     """
     for name, policy in models.items():
         loaded = [each for each in state.models if each.model == name]
@@ -49,7 +50,7 @@
 def confirming_order(
     state: StateRead, models: Mapping[ModelId, ModelPolicy], order_id: OrderId
 ) -> Order | None:
-    """Return an order that is fulfilled already and carries the number there."""
+    """Return an order that changes nothing but carries the fencing number."""
     for each in state.models:
         policy = models.get(each.model)
         if policy is not None and policy.version == each.version:
