--- a/src/mimosafork/policies/cache_index.py
+++ b/src/mimosafork/policies/cache_index.py
@@ -1,9 +1,9 @@
-"""Which prefixes engines probably have in their caches.
+"""Index of the prefixes that engines probably have in their caches.
 
-A hint: being wrong costs a prefill, never a wrong answer. An engine's first watcher
-reads its cache events and tells its zone of the longest prefixes, as many as the
-traffic budget bears. Whatever shows that something was missed makes the engine's
-part doubtful until it has been told anew, whole.
+The index is a hint: an error costs a prefill, never a wrong answer. An engine's
+primary watcher reads its cache events and publishes the longest prefixes to its zone,
+within the traffic budget. A sign of missed changes marks the engine's cache as maybe
+stale until a complete snapshot or summary arrives.
 """
 
 from collections.abc import Sequence
@@ -37,34 +37,34 @@
 from .membership import Membership
 
 MAX_MARKS_PER_ENGINE = 16_384
-"""Marks that are kept of one engine."""
+"""Limit on the marks kept for one engine."""
 
 MIN_HOLDER_TOKENS = 4_096
-"""Shorter beginnings are not looked for all over the zone: most requests are short,
-and the search would cost each of them more than the prefill that it may save."""
+"""Shorter prefixes are not searched across the zone: most requests are short, and the
+search would cost each of them more than the prefill that it may save."""
 
 MIN_SNAPSHOT_INTERVAL = timedelta(seconds=10)
 SNAPSHOT_INTERVAL_PER_MARK = timedelta(milliseconds=45)
-"""An engine's answer has about 45 bytes a mark, so this is 1 KB/s at most."""
+"""Limits snapshots to 1 KB/s, at about 45 bytes a mark."""
 
 SUMMARY_REQUEST_INTERVAL = timedelta(seconds=2)
-"""One summary is asked for at a time, so that a new instance, which has none, does
-not ask for those of the whole zone at once."""
+"""One summary is requested at a time, so that a new instance, which has none, does
+not request those of the whole zone at once."""
 SUMMARY_REQUEST_RETRY_INTERVAL = timedelta(seconds=30)
-"""A wish that somebody has written is not repeated before: the answer to it reaches
-the whole zone, and an engine without cache events never gets one."""
+"""A request by any instance is not repeated earlier: its summary reaches the whole
+zone, and an engine without cache events never gets one."""
 
 
 @dataclass(frozen=True, slots=True)
 class CachedPrefix:
-    """What the index says of one prompt on one endpoint.
+    """Cached prefix of one prompt on one endpoint, according to the index.
 
     Attributes
     ----------
     tokens : int
-        Length of the longest beginning that is probably cached; 0 for none.
-    doubtful : bool
-        Something of this endpoint's cache has been missed.
+        Length of the longest prefix that is probably cached; 0 for none.
+    maybe_stale : bool
+        Changes of this endpoint's cache may have been missed.
     """
 
     tokens: int
@@ -76,14 +76,14 @@
 
 @dataclass(slots=True)
 class EngineCache:
-    """What is known of one engine's cache.
+    """Known contents of one engine's cache.
 
     Attributes
     ----------
     source : InstanceId or None
         Peer whose batches are followed; None if this instance reads the engine.
     position : int
-        Newest event or batch that has been taken in.
+        Newest event or batch that has been applied.
     """
 
     incarnation: Incarnation
@@ -96,7 +96,7 @@
 
 @register("cache-index")
 class CacheIndex(Plugin):
-    """Keeps the parts, and has the doubtful ones told anew."""
+    """Keeps the caches of engines, and refreshes those that may be stale."""
 
     def __init__(self) -> None:
         self.caches: dict[EndpointId, EngineCache] = {}
@@ -106,7 +106,7 @@
         self.summary_requests: dict[EndpointId, timedelta] = {}
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Look up the plug-in that says what this instance watches."""
+        """Look up the plug-in that assigns endpoints to watch."""
         self.membership = find(Membership)
 
     def cached_tokens(
@@ -128,10 +128,11 @@
         return CachedPrefix(0, cache.maybe_stale)
 
     def holders(self, prefix_marks: Sequence[PrefixMark]) -> dict[EndpointId, int]:
-        """Return the endpoints that hold a beginning of a prompt, with its length.
+        """Return the endpoints that hold a prefix of a prompt, with its length.
 
-        Those in doubt are left out: a prefix that is gone would make a first token
-        look nearer than it is. So are short beginnings, see `SHORTEST_HELD`.
+        Caches that may be stale are left out, since an evicted prefix would make the
+        first token look earlier than it is. So are prefixes shorter than
+        `MIN_HOLDER_TOKENS`.
         """
         found: dict[EndpointId, int] = {}
         for prefix in prefix_marks:
@@ -211,8 +212,8 @@
             and cache.incarnation == summary.incarnation
             and cache.position > summary.batch
         ):
-            # Batches that the summary does not have yet have been taken in; the
-            # next summary, or none at all if nothing is in doubt, will do.
+            # Batches newer than the summary have been applied already. A later
+            # summary follows if the cache may be stale.
             return
         marks = MarkSet(from_bytes(summary.marks)[:MAX_MARKS_PER_ENGINE])
         self.caches[endpoint] = EngineCache(
@@ -236,10 +237,10 @@
             self._request_one_summary(context)
 
     def _apply_events(self, cache: EngineCache, message: CacheEventsReported) -> None:
-        """Apply events in order; a number left out makes the part doubtful.
+        """Apply events in order; a gap in their numbers marks the cache as maybe stale.
 
-        Those up to the known position are passed over: an answer may have been
-        overtaken by a snapshot.
+        Events up to the known position are ignored: a snapshot may have overtaken
+        them.
         """
         expected = cache.position
         if message.after > expected:
@@ -274,7 +275,7 @@
     def _start_from_batch(
         self, endpoint: EndpointId, message: CacheChangesReceived
     ) -> None:
-        """Begin a part in the middle: only what the batch says is known."""
+        """Start a cache from a batch alone, without a summary."""
         changes = message.changes
         cache = EngineCache(changes.incarnation, message.origin.instance, changes.batch)
         cache.marks = MarkSet(from_bytes(changes.stored))
@@ -282,10 +283,10 @@
         self.caches[endpoint] = cache
 
     def _request_one_summary(self, context: Context) -> None:
-        """Ask the zone for the summary of one engine that is in doubt.
+        """Request the summary of one engine whose cache may be stale.
 
-        Which one is left to chance: instances that all lack the same would else
-        all ask for the same at the same time.
+        The choice is random, so that instances that lack the same summaries don't all
+        request the same one at once.
         """
         self.summary_requested_at = context.now
         self._forget(context)
@@ -305,7 +306,7 @@
             context.emit(Publish(endpoint_key(name), CacheSummaryRequest(position)))
 
     def _needs_summary(self, endpoint: Endpoint, context: Context) -> bool:
-        """Return whether an engine's watcher should tell all of its cache."""
+        """Return whether a summary of an engine's cache is needed."""
         entry = endpoint.entry
         if (
             entry.kind is not EndpointKind.MODEL_ENGINE
@@ -318,7 +319,7 @@
         return cache is None or cache.maybe_stale
 
     def _forget(self, context: Context) -> None:
-        """Drop parts of engines that have gone, or that others now read."""
+        """Drop caches of engines that were removed, or that others now read."""
         fleet = context.state.fleet.endpoints
         for endpoint, cache in list(self.caches.items()):
             moved = cache.source is None and not self._reads(endpoint)
--- a/src/mimosafork/policies/endpoint_publisher.py
+++ b/src/mimosafork/policies/endpoint_publisher.py
@@ -1,9 +1,9 @@
-"""Telling the peers what is seen of endpoints, and joining what they tell.
+"""Publishes observations of endpoints to peers, and merges those of peers.
 
-An endpoint's first watcher tells its zone; the second one speaks up only when the
-first has been silent. One instance a zone, chosen by `membership`, tells the other
-zones. Load goes out at a pace that fits the traffic budget; a word that makes the
-endpoint unusable goes out at once.
+The primary watcher of an endpoint publishes to its zone; the second one takes over
+when the first is silent. One instance of a zone, chosen by `membership`, publishes to
+the other zones. Loads are rate limited to fit the traffic budget; a value that makes
+the endpoint unusable is published at once.
 """
 
 from dataclasses import dataclass, field
@@ -35,20 +35,20 @@
 
 MIN_LOAD_INTERVAL = timedelta(seconds=1)
 ZONE_INTERVAL_PER_ENDPOINT = timedelta(milliseconds=20)
-"""A zone's loads together go out about 50 times a second at most."""
+"""Limits the loads of a whole zone to about 50 a second."""
 FLEET_INTERVAL_PER_ENDPOINT = timedelta(milliseconds=100)
-"""Towards the other zones, ten times a second."""
+"""Limits the loads published to the other zones to ten a second."""
 
 PROFILE_REFRESH_INTERVAL = timedelta(minutes=4)
 PROBE_FAILURE_REFRESH_INTERVAL = timedelta(seconds=10)
 RECEIVED_RETENTION = timedelta(minutes=10)
 STANDBY_INTERVALS = 3
-"""Paces without a word of the first watcher after which the second one speaks."""
+"""Load intervals without a load of the first watcher before the second publishes."""
 
 
 @dataclass(slots=True)
 class PublishedState:
-    """What this instance has told of one endpoint, in one scope."""
+    """Values that this instance has published of one endpoint in one scope."""
 
     load_at: timedelta = DISTANT_PAST
     load: EndpointLoad | None = None
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class ReceivedState:
-    """What peers have told of one endpoint."""
+    """Values of one endpoint that peers have published."""
 
     profile: EndpointProfile | None = None
     pending: EndpointLoadReceived | None = None
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class PublishedScopes:
-    """Everything told of one endpoint."""
+    """Published values of one endpoint, by scope."""
 
     zone: PublishedState = field(default_factory=PublishedState)
     fleet: PublishedState = field(default_factory=PublishedState)
@@ -77,7 +77,7 @@
 
 @register("endpoint-words")
 class EndpointPublisher(Plugin):
-    """Publishes own observations and turns the peers' into reports."""
+    """Publishes own observations and turns those of peers into reports."""
 
     def __init__(self) -> None:
         self.published: dict[EndpointId, PublishedScopes] = {}
@@ -85,7 +85,7 @@
         self.membership: Membership | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Look up the plug-in that says what this instance watches."""
+        """Look up the plug-in that assigns endpoints to watch."""
         self.membership = find(Membership)
 
     @singledispatchmethod
@@ -168,9 +168,9 @@
         age: timedelta,
         context: Context,
     ) -> None:
-        """Make a report of a heard load and its endpoint's profile.
+        """Build a report from a received load and its endpoint's profile.
 
-        Either may come first, and both may come before the list has the endpoint.
+        They arrive in any order, and perhaps before the endpoint is listed.
         """
         profile = received.profile
         endpoint = context.state.fleet.by_key.get(message.key)
@@ -204,7 +204,7 @@
         return received
 
     def _load_interval(self, context: Context, per_endpoint: timedelta) -> timedelta:
-        """Return the time between two loads of an endpoint, by the zone's size."""
+        """Return the interval between loads of an endpoint, by the zone's size."""
         if self.membership is None:
             return MIN_LOAD_INTERVAL
         return max(MIN_LOAD_INTERVAL, per_endpoint * self.membership.zone_endpoints)
@@ -227,7 +227,7 @@
     scope: Scope,
     context: Context,
 ) -> None:
-    """Publish an endpoint's profile if it is due, and its load."""
+    """Publish an endpoint's profile and load where they are due."""
     profile = profile_of(report)
     old = context.now - published.profile_at >= PROFILE_REFRESH_INTERVAL
     if profile != published.profile or old:
@@ -246,7 +246,7 @@
 def _publish_probe_failure(
     published: PublishedState, endpoint: Endpoint, scope: Scope, context: Context
 ) -> None:
-    """Publish that an endpoint does not answer, at once and then now and again."""
+    """Publish a probe failure at once, and then periodically."""
     urgent = published.probe_failure_at < published.load_at
     if (
         not urgent
