--- a/src/mimosafork/policies/claims/stage.py
+++ b/src/mimosafork/policies/claims/stage.py
@@ -1,4 +1,4 @@
-"""Claims a request's key before any byte of it may go out."""
+"""Claims a request's key before any byte of the request is sent."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -50,14 +50,14 @@
 from .search import candidate_endpoints, candidate_stream_ids
 
 REQUIRED_CLAIM_TIMEOUT = timedelta(seconds=3)
-"""How long a request that needs its claim waits for the store."""
+"""Time that a request which needs its claim waits for the store."""
 
 OPTIONAL_CLAIM_TIMEOUT = timedelta(milliseconds=100)
-"""How long one that could run without a claim waits: part of the first token."""
+"""Time that a request which may run unclaimed waits; it delays the first token."""
 
 STORE_OUTAGE_BACKOFF = timedelta(seconds=5)
-"""How long nothing that could run without a claim waits for a store that was
-silent; then one moment's requests find out whether it answers again."""
+"""Time after a store timeout in which requests that may run unclaimed don't wait for
+the store; the next requests then check whether it answers again."""
 
 SEARCH_TIMEOUT = timedelta(seconds=2)
 MAX_TAKEOVERS = 2
@@ -65,12 +65,12 @@
 
 @register("claims")
 class ClaimStage(Stage):
-    """Lets one call run for each key, and finds the answer for the others.
+    """Lets one call run for each key, and finds its answer for the others.
 
     Without it, a treasurer whose connection broke sends a filing again through
-    another instance and two drafts reach the trustee. It holds because the claim
-    is a conditional write: of all calls with the key the store lets one through,
-    and a claim whose fate the store did not tell is not run on.
+    another instance and two drafts reach the trustee. The claim is a conditional
+    write: the store accepts one of all calls with the key, and no call that needs
+    its claim runs while the result of the write is unknown.
     """
 
     order = 35
@@ -82,7 +82,7 @@
         self.paced_instances = 1
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
-        """Hold what is claimed until the store, or its silence, has decided."""
+        """Hold a claimed request until the store answers or times out."""
         request = record.request
         if not wants_claim(request):
             return Proceed()
@@ -90,8 +90,8 @@
         self._write_claim(record, FIRST_GENERATION, None, context)
         if required or self.store_backoff_until <= context.now:
             return Hold()
-        # The store was silent last time: an idempotent request does not wait to
-        # find out whether it still is, and the claim is written if it can be.
+        # The store timed out recently: an idempotent request does not wait for
+        # it, and the claim is written if possible.
         pending = self.pending[record.request_id]
         if request.resume_offset:
             self._search(record, pending, context)
@@ -127,7 +127,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """React to the store's and the engines' answers."""
+        """React to answers of the store and the engines."""
 
     @handle.register
     def _(self, message: ClaimWon, context: Context) -> None:
@@ -153,12 +153,12 @@
             return
         pending = self._in_phase(record, ClaimPhase.CLAIMING)
         if pending is None:
-            # It went on without waiting and may run already, which an idempotent
-            # request may do; its answer is not kept under a claim it lacks.
+            # An idempotent request went on without waiting and may run already;
+            # its answer is not stored, since it lacks the claim.
             return
         record.claim = None
-        # Should the other call's run be lost, an idempotent request starts one of
-        # its own, which its caller's return has to find by the key as well.
+        # If the other call's run is lost, an idempotent request starts its own,
+        # which a resend has to find by the key as well.
         following = message.existing.generation + 1
         record.stream_id_prefix = stream_base_of(record.request, following)
         pending.existing = message.existing
@@ -211,7 +211,7 @@
         existing: Claim,
         context: Context,
     ) -> None:
-        """Go after the answer of the call that has the key."""
+        """Find the answer of the call that holds the key."""
         step = next_step(record.request, existing)
         if step is NextStep.REFUSE_BODY:
             self._clear(record, problems.key_reused(), context)
@@ -265,7 +265,7 @@
     def _without_run(
         self, record: RequestRecord, pending: PendingClaim, context: Context
     ) -> None:
-        """Decide for a request whose earlier call has left nothing to attach to."""
+        """Decide for a request whose earlier call left no stream to attach to."""
         decision = decide_without_run(record, pending.existing, context)
         existing = pending.existing
         may_take_over = isinstance(decision, Proceed) and existing is not None
@@ -298,7 +298,7 @@
         message: ClaimWon | ClaimLost | ClaimUnavailable | ClaimTimedOut,
         context: Context,
     ) -> RequestRecord | None:
-        """Return the record that still has the claim a message speaks of."""
+        """Return the record that still has the claim of a message."""
         record = context.state.requests.get(message.request_id)
         if record is None or record.claim is None:
             return None
