--- a/src/mimosafork/policies/membership.py
+++ b/src/mimosafork/policies/membership.py
@@ -1,8 +1,9 @@
-"""Who takes part, and who watches which endpoint.
+"""Peer membership, and the assignment of endpoint watchers.
 
-Instances that hear of the same members rank them alike for each endpoint, so two
-of them watch it without a word being exchanged. While views differ an endpoint has
-a watcher more or less, which costs a few probes or a second's delay.
+Instances with the same list of members rank them identically for each endpoint, so
+they agree on its two watchers without exchanging messages. While their views differ,
+an endpoint has one watcher more or fewer, which costs a few probes or a second's
+delay.
 """
 
 from dataclasses import dataclass
@@ -26,11 +27,11 @@
 from ..kernel.rendezvous import ranked
 
 WATCHERS = 2
-"""Watchers of an endpoint: one may die, and its endpoints are seen all the same."""
+"""Watchers of an endpoint: with two, it stays watched when one of them fails."""
 
 WARM_UP = timedelta(seconds=10)
-"""A new instance takes the listed ones for live until it has had time to hear of
-them, or it would begin by probing its whole zone alone."""
+"""Until then a new instance counts the listed instances as live. Without this, it
+would start by probing its whole zone alone."""
 
 ZONE_PUBLISH_INTERVAL = timedelta(seconds=1)
 
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchAssignment:
-    """All that the watching is worked out from."""
+    """Inputs of the watcher assignment."""
 
     candidates: tuple[InstanceId, ...]
     endpoints: tuple[EndpointEntry, ...]
@@ -47,14 +48,14 @@
 
 @register("membership")
 class Membership(Plugin):
-    """Keeps the members, and assigns the watching of endpoints.
+    """Maintains the members and assigns the watchers of endpoints.
 
     Attributes
     ----------
-    speaks_for_zone : bool
-        This instance tells the other zones about its own.
+    is_zone_publisher : bool
+        This instance publishes its zone's endpoints to the other zones.
     zone_endpoints : int
-        Endpoints of the own zone.
+        Number of endpoints in the own zone.
     """
 
     def __init__(self) -> None:
@@ -86,7 +87,7 @@
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
-        """Take an endpoint's own refusal for its newest word."""
+        """Treat an endpoint's own refusal as its newest state."""
         if message.refusal != DRAINING_REFUSAL:
             return
         record = context.state.requests.get(message.request_id)
@@ -113,8 +114,8 @@
     def candidates(self, context: Context) -> list[InstanceId]:
         """Return the instances of the own zone that share its duties.
 
-        A suspect one is left out, and so watched endpoints get another watcher:
-        if it is alive after all, the endpoint has one too many for a while.
+        Suspected instances are left out, so that their endpoints get another watcher.
+        If a suspected instance is live after all, they have one too many for a while.
         """
         own = context.state.identity.instance
         names = {
@@ -129,7 +130,7 @@
         return sorted(names)
 
     def _listed(self, context: Context) -> set[InstanceId]:
-        """Return the zone's listed instances, less those that are known to leave."""
+        """Return the zone's listed instances, except those known to be draining."""
         zone = context.state.identity.availability_zone
         leaving = {
             member.instance
@@ -143,11 +144,11 @@
         } - leaving
 
     def watched_endpoint(self, endpoint: EndpointId) -> WatchedEndpoint | None:
-        """Return how this instance watches an endpoint; None if others do."""
+        """Return how this instance watches an endpoint; None if it does not."""
         return None if self.watched is None else self.watched.get(endpoint)
 
     def _assign(self, context: Context) -> None:
-        """Work out anew what this instance watches, if that may have changed."""
+        """Recompute what this instance watches, if the inputs have changed."""
         zone = context.state.identity.availability_zone
         entries = tuple(
             endpoint.entry
@@ -172,9 +173,10 @@
     ) -> bool:
         """Return whether this zone's instances watch an endpoint.
 
-        A zone of which nothing is heard may have lost its instances, so every other
-        zone watches its endpoints for itself. If it is only cut off, its own
-        instances still do and the probes from here fail, which is then true here.
+        A zone from which nothing is received may have lost its instances, so every
+        other zone watches its endpoints itself. If that zone is only cut off, its own
+        instances still watch them; probes from here fail, and the endpoints are
+        indeed unreachable from here.
         """
         endpoint_zone = entry.availability_zone
         return endpoint_zone == zone or endpoint_zone in self.silent_zones
@@ -183,7 +185,7 @@
 def _watched_by(
     own: InstanceId, assignment: WatchAssignment
 ) -> dict[EndpointId, WatchedEndpoint]:
-    """Return the endpoints that fall to this instance."""
+    """Return the endpoints that are assigned to this instance."""
     watched = {}
     for entry in assignment.endpoints:
         order = ranked(f"watch {entry.endpoint}", assignment.candidates)
--- a/src/mimosafork/policies/quarantine/__init__.py
+++ b/src/mimosafork/policies/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Stopping requests that crash the engines that run them."""
+"""Quarantine of requests that crash the engines that run them."""
 
 from . import sole_run, stage
 
--- a/src/mimosafork/policies/quarantine/crashes.py
+++ b/src/mimosafork/policies/quarantine/crashes.py
@@ -1,4 +1,4 @@
-"""Finding out whether a broken connection was the end of an endpoint's life."""
+"""Detection of whether a broken connection was caused by an endpoint crash."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -9,31 +9,30 @@
 from ...kernel.messages.quarantine import CrashEvidence, EndpointIncarnation
 
 PRESUMED_DEAD_AFTER = timedelta(seconds=10)
-"""An endpoint that nobody reaches for so long, while its neighbours answer, is
-taken for dead."""
+"""An endpoint that is unreachable for this long, while another endpoint of its zone
+answers, counts as crashed."""
 
 BREAK_RETENTION = timedelta(minutes=10)
 
-
 DECODING_WEIGHT = 0.25
-"""Part of its suspicion that a body keeps when it was past its prefill while others
-were in theirs: most deadly requests strike there."""
+"""Share of its suspicion that a body keeps if it was past its prefill while others
+were in theirs: most crashing requests crash the engine during prefill."""
 
 
 @dataclass(slots=True)
 class ConnectionBreak:
-    """Connections to one life of an endpoint broke in mid-answer.
+    """Connections to one incarnation of an endpoint that broke in mid-answer.
 
     Attributes
     ----------
     at : timedelta
         When the first one broke.
     in_progress, in_prefill : int
-        Requests there at that time, as far as is known.
+        Requests on the endpoint at that time, as far as is known.
     bodies : dict of Digest to bool
-        Whose requests the connections carried, and whether past their prefill.
-    heard : set of Digest
-        Bodies of which others have told that they were there too.
+        Bodies that the connections carried, and whether past their prefill.
+    peer_bodies : set of Digest
+        Bodies that peers have reported as in progress there.
     """
 
     endpoint_incarnation: EndpointIncarnation
@@ -44,7 +43,7 @@
     peer_bodies: set[Digest] = field(default_factory=set)
 
     def add(self, digest: Digest, is_prefilled: bool) -> bool:
-        """Add a body; return whether it was not yet among them."""
+        """Add a body; return whether it was new."""
         if digest in self.bodies:
             return False
         self.bodies[digest] = is_prefilled
@@ -54,7 +53,7 @@
         return True
 
     def evidence(self, digest: Digest) -> CrashEvidence:
-        """Return what the break tells about a body."""
+        """Return the evidence of this break against a body."""
         if not self.bodies[digest]:
             weight = 1 / self.in_prefill
         elif self.in_prefill:
@@ -76,7 +75,7 @@
     """Return a break whose first connection has just broken.
 
     The endpoint's report is older than the break and may miss some requests; this
-    instance's own are known exactly. Whichever is more is nearer.
+    instance's own requests are known exactly. The larger count is the better estimate.
     """
     broken = ConnectionBreak(endpoint_incarnation, context.now)
     endpoint = context.state.fleet.endpoints.get(endpoint_incarnation.endpoint)
@@ -94,10 +93,11 @@
 
 
 def incarnation_ended(broken: ConnectionBreak, context: Context) -> bool | None:
-    """Return whether the life has ended; None while that is not known.
+    """Return whether the incarnation has ended; None while that is not known.
 
-    A cut network breaks connections just as a crash does. The endpoint's own word
-    decides: a report of the same life made after the break, or one of a newer life.
+    A network partition breaks connections just as a crash does. The endpoint's own
+    report decides: one of the same incarnation made after the break, or one of a
+    newer incarnation.
     """
     fleet = context.state.fleet
     endpoint = fleet.endpoints.get(broken.endpoint_incarnation.endpoint)
--- a/src/mimosafork/policies/quarantine/isolation.py
+++ b/src/mimosafork/policies/quarantine/isolation.py
@@ -1,4 +1,4 @@
-"""Endpoints that are kept free for suspects, by this instance or by peers."""
+"""Isolation of endpoints for suspects, by this instance or by peers."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -10,19 +10,19 @@
 from ...kernel.messages.quarantine import EndpointIsolation, EndpointIsolationReceived
 
 ISOLATION_TIME = timedelta(seconds=6)
-"""For how long an endpoint is kept free at a time."""
+"""Duration of an isolation unless it is renewed."""
 
 RENEWAL_INTERVAL = timedelta(seconds=2)
 
 PROPAGATION_TIME = timedelta(seconds=1)
-"""Until peers have heard of an isolation, and this instance of theirs."""
+"""Until peers have received an isolation, and this instance theirs."""
 
 MS = timedelta(milliseconds=1)
 
 
 @dataclass(slots=True)
 class OwnIsolation:
-    """An endpoint that this instance keeps free."""
+    """Isolation of an endpoint by this instance."""
 
     since: timedelta
     renewed_at: timedelta
@@ -30,17 +30,18 @@
 
 @dataclass(slots=True)
 class Isolations:
-    """Who keeps which endpoint free.
+    """Isolated endpoints, and the instances that isolate them.
 
-    Several instances may want the same endpoint, as all rank them alike. Each knows
-    of the others before its first run there, and the smallest name goes first.
+    Several instances may isolate the same endpoint, as all rank them identically.
+    Each knows of the others before its first run there, and the smallest id goes
+    first.
     """
 
     own: dict[EndpointId, OwnIsolation] = field(default_factory=dict)
     others: dict[EndpointId, dict[InstanceId, timedelta]] = field(default_factory=dict)
 
     def isolate(self, endpoint: Endpoint, context: Context) -> None:
-        """Keep everybody's new work off an endpoint for a while."""
+        """Exclude an endpoint from the new requests of all instances for a while."""
         name = endpoint.endpoint_id
         known = self.own.get(name)
         lapsed = known is None or context.now - known.renewed_at >= ISOLATION_TIME
@@ -54,24 +55,24 @@
         self._update_endpoint(name, context)
 
     def end(self, name: EndpointId, context: Context) -> None:
-        """Give an endpoint back to all work."""
+        """Return an endpoint to general use."""
         if self.own.pop(name, None) is None:
             return
         context.emit(Publish(name, EndpointIsolation(0), Scope.FLEET, urgent=True))
         self._update_endpoint(name, context)
 
     def receive(self, message: EndpointIsolationReceived, context: Context) -> None:
-        """Note what a peer keeps free, or no longer does."""
-        left = message.isolation.remaining_ms * MS - message.origin.age
-        group = self.others.setdefault(message.endpoint, {})
-        group[message.origin.instance] = context.now + left
+        """Record that a peer has isolated an endpoint, or has ended that."""
+        remaining = message.isolation.remaining_ms * MS - message.origin.age
+        expiries = self.others.setdefault(message.endpoint, {})
+        expiries[message.origin.instance] = context.now + remaining
         self._update_endpoint(message.endpoint, context)
 
     def is_exclusive(self, endpoint: Endpoint, context: Context) -> bool:
-        """Return whether nobody else uses an endpoint that is kept free.
+        """Return whether no other instance uses an isolated endpoint.
 
-        The isolation must have spread, and a report made after that must show
-        nothing. An older report would not show what others sent just before.
+        The isolation must have propagated, and a report made after that must show no
+        requests. An older report would miss what peers sent just before.
         """
         name = endpoint.endpoint_id
         known = self.own.get(name)
@@ -91,15 +92,17 @@
         )
 
     def _update_endpoint(self, name: EndpointId, context: Context) -> None:
-        """Write down at the endpoint until when it is kept free by anybody."""
-        group = self.others.get(name, {})
-        for instance in [each for each, until in group.items() if until <= context.now]:
-            del group[instance]
-        if not group:
+        """Set the endpoint's isolation end to the latest of all instances."""
+        expiries = self.others.get(name, {})
+        for instance in [
+            each for each, until in expiries.items() if until <= context.now
+        ]:
+            del expiries[instance]
+        if not expiries:
             self.others.pop(name, None)
-        ends = list(group.values())
+        end_times = list(expiries.values())
         if name in self.own:
-            ends.append(self.own[name].renewed_at + ISOLATION_TIME)
+            end_times.append(self.own[name].renewed_at + ISOLATION_TIME)
         endpoint = context.state.fleet.endpoints.get(name)
         if endpoint is not None:
-            endpoint.isolated_until = max(ends, default=None)
+            endpoint.isolated_until = max(end_times, default=None)
--- a/src/mimosafork/policies/quarantine/ledger.py
+++ b/src/mimosafork/policies/quarantine/ledger.py
@@ -11,29 +11,29 @@
 from ...kernel.messages.quarantine import CrashEvidence, EndpointIncarnation, Suspicion
 
 EVIDENCE_RETENTION = timedelta(hours=1)
-"""Evidence that has not grown for so long is forgotten."""
+"""Evidence to which nothing was added for this long is dropped."""
 
 MAX_BODIES = 2048
-"""Bodies remembered; beyond, the one without news for longest is forgotten."""
+"""Maximum of tracked bodies; beyond it the least recently changed one is dropped."""
 
 SUSPECT_WEIGHT = 0.25
 """Weight from which a body is a suspect after a single crash: one of four."""
 
 SUSPECT_CRASHES = 2
 MAX_PUBLISHED_CRASHES = 8
-"""Crashes of one body that are told to others; two are enough to condemn it."""
+"""Crashes of one body that are published; two are enough to condemn it."""
 
 CONDEMNING_SOLE_CRASHES = 2
 
 
 class Verdict(Enum):
-    """What is thought of a body."""
+    """Assessment of a body."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
-    """It runs alone until it has come to an end or is condemned."""
+    """It runs alone until it completes or is condemned."""
     CONDEMNED = "condemned"
-    """It has crashed endpoints on which it ran alone: it is not run any more."""
+    """It has crashed endpoints on which it ran alone: it is not run again."""
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     Attributes
     ----------
     dropped : dict of EndpointIncarnation
-        Evidence that counts no more, however often it is heard again.
+        Evidence that no longer counts, however often it is received again.
     """
 
     changed_at: timedelta
@@ -52,11 +52,11 @@
 
     @property
     def verdict(self) -> Verdict:
-        """What the evidence amounts to.
+        """Verdict that follows from the evidence.
 
-        An endpoint that dies by itself with twenty requests in progress makes no
-        suspect of any of them. Only crashes with a body alone condemn it, and only
-        those of lives that surely ended.
+        An endpoint that crashes for other reasons with twenty requests in progress
+        makes none of them a suspect. Only crashes with the body alone condemn it, and
+        only those of incarnations that are confirmed to have ended.
         """
         crashes = self.evidence.values()
         sole = sum(each.is_sole and each.is_confirmed for each in crashes)
@@ -69,10 +69,10 @@
 
     @property
     def may_be_condemned(self) -> bool:
-        """Whether the body is condemned if all that is presumed turns out true.
+        """Whether the body would be condemned if all its evidence were confirmed.
 
-        It is not run while that is so: the next run would cost an endpoint that
-        the news, on its way already, would have spared.
+        It is not run meanwhile: the next run could crash an endpoint although the
+        confirmation is already on its way.
         """
         sole = sum(each.is_sole for each in self.evidence.values())
         return self.verdict is not Verdict.CONDEMNED and sole >= CONDEMNING_SOLE_CRASHES
@@ -84,40 +84,40 @@
 
     @property
     def endpoints(self) -> frozenset[EndpointId]:
-        """Endpoints that have ended a life with the body in progress."""
+        """Endpoints of which an incarnation ended with the body in progress."""
         return frozenset(incarnation.endpoint for incarnation in self.evidence)
 
 
 class EvidenceLedger:
-    """All cases of an instance; joining evidence in any order gives the same."""
+    """All cases of an instance; merging evidence in any order gives the same."""
 
     def __init__(self) -> None:
         self.cases: dict[Digest, BodyCase] = {}
 
     def verdict(self, digest: Digest) -> Verdict:
-        """Return what is thought of a body."""
+        """Return the verdict on a body."""
         case = self.cases.get(digest)
         return Verdict.CLEAR if case is None else case.verdict
 
     def add(self, digest: Digest, evidence: CrashEvidence, at: timedelta) -> bool:
-        """Join evidence with what is known; return whether it was news."""
+        """Merge evidence with what is known; return whether that changed anything."""
         incarnation = evidence.endpoint_incarnation
         case = self.cases.get(digest)
         if case is None:
             case = self.cases[digest] = BodyCase(at)
             self._forget_oldest()
         known = case.evidence.get(incarnation)
-        joined = evidence if known is None else _merged(known, evidence)
-        if incarnation in case.dropped or joined == known:
+        merged = evidence if known is None else _merged(known, evidence)
+        if incarnation in case.dropped or merged == known:
             return False
-        case.evidence[incarnation] = joined
+        case.evidence[incarnation] = merged
         case.changed_at = max(case.changed_at, at)
         return True
 
     def confirm(
         self, digest: Digest, incarnation: EndpointIncarnation, at: timedelta
     ) -> bool:
-        """Note that a life has surely ended; return whether that was news."""
+        """Record that an incarnation has ended; return whether that was new."""
         case = self.cases.get(digest)
         known = None if case is None else case.evidence.get(incarnation)
         if known is None:
@@ -127,7 +127,7 @@
     def drop(
         self, digest: Digest, incarnations: Iterable[EndpointIncarnation], at: timedelta
     ) -> bool:
-        """Drop evidence for good; return whether any had counted."""
+        """Drop evidence permanently; return whether any had counted."""
         case = self.cases.get(digest)
         if case is None:
             case = self.cases[digest] = BodyCase(at)
@@ -139,20 +139,20 @@
         return counted
 
     def suspicion(self, digest: Digest) -> Suspicion:
-        """Return what others should know of a body: the newest of everything."""
+        """Return the newest evidence and drops of a body, for publication."""
         case = self.cases[digest]
         evidence = tuple(case.evidence.values())[-MAX_PUBLISHED_CRASHES:]
         return Suspicion(evidence, tuple(case.dropped)[-MAX_PUBLISHED_CRASHES:])
 
     def merge(self, digest: Digest, suspicion: Suspicion, at: timedelta) -> bool:
-        """Join what another instance knows of a body; return whether it was news."""
+        """Merge a peer's evidence on a body; return whether that changed anything."""
         changed = self.drop(digest, suspicion.dropped, at)
         for evidence in suspicion.evidence:
             changed |= self.add(digest, evidence, at)
         return changed
 
     def forget_old(self, now: timedelta) -> None:
-        """Forget cases without news for their lifetime."""
+        """Drop cases that have not changed within the retention time."""
         old = [
             digest
             for digest, case in self.cases.items()
@@ -168,10 +168,10 @@
 
 
 def _merged(first: CrashEvidence, second: CrashEvidence) -> CrashEvidence:
-    """Join two views of one crash: the more doubtful weight, the surer end.
+    """Merge two views of one crash: the lower weight, confirmed if either one is.
 
-    Each instance counts the requests in progress that it knows of; whoever knew of
-    more is nearer to the truth.
+    Each instance counts the requests in progress that it knows of; the larger count,
+    and so the lower weight, is the better estimate.
     """
     return replace(
         first,
--- a/src/mimosafork/policies/quarantine/sole_run.py
+++ b/src/mimosafork/policies/quarantine/sole_run.py
@@ -1,4 +1,4 @@
-"""Runs suspects alone, on an endpoint that is kept free for them."""
+"""Runs suspects alone, on an endpoint that is isolated for them."""
 
 from collections.abc import Mapping
 from functools import singledispatchmethod
@@ -26,16 +26,16 @@
 from .stage import Quarantine, condemned_problem
 
 MAX_ISOLATED_SHARE = 0.1
-"""Part of a target's endpoints that may be kept free at once; at least one may."""
+"""Share of a target's endpoints that may be isolated at once; at least one may."""
 
 
 @register("sole-run")
 class SoleRun(Placer):
-    """Places suspects where nothing else runs, and nothing else where they run.
+    """Places suspects on endpoints that run nothing else meanwhile.
 
-    All instances rank the endpoints of a target alike, so that they keep the same
-    one free. A body that has ended lives of two endpoints runs on these two only:
-    whatever it is, it never costs a third one.
+    All instances rank the endpoints of a target identically, so that they isolate
+    the same one. A body that has crashed two endpoints runs on these two only, so
+    that it never crashes a third one.
     """
 
     order = 5
@@ -46,14 +46,14 @@
         self.isolations = Isolations()
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Share what the plug-in that gathers the evidence knows."""
+        """Share the ledger and the breaks of the quarantine plug-in."""
         quarantine = find(Quarantine)
         if quarantine is not None:
             self.ledger = quarantine.ledger
             self.breaks = quarantine.breaks
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return a place for a suspect, or that the request is none."""
+        """Place a suspect and refuse a condemned body; not applicable to others."""
         verdict = self.ledger.verdict(record.request.body_digest)
         if verdict is Verdict.CLEAR:
             return NotApplicable()
@@ -65,7 +65,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """React to the ends of sole runs and to peers."""
+        """React to concluded requests and to isolations by peers."""
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
@@ -79,7 +79,7 @@
         self.isolations.receive(message, context)
 
     def _has_waiting_suspect(self, record: RequestRecord, context: Context) -> bool:
-        """Return whether an endpoint should stay free for the next suspect."""
+        """Return whether an endpoint should stay isolated for the next suspect."""
         return any(
             self.ledger.verdict(waiting.request.body_digest) is Verdict.SUSPECT
             for waiting in context.state.waiting.waiting_for(record.request.target)
@@ -113,18 +113,18 @@
         known = context.state.fleet.endpoints
         if not allowed and not any(name in known for name in crashed):
             return None
-        # Another endpoint than before tells more, while one is allowed.
+        # A crash of a different endpoint is stronger evidence, while one is allowed.
         allowed.sort(key=lambda name: name in crashed)
         return [serving[name] for name in allowed if self._is_usable(serving[name])]
 
     def _is_usable(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint may be alive.
+        """Return whether an endpoint may be up.
 
         When a suspect has crashed an endpoint, its last report still shows it up and
-        idle, and it is kept free already: the next suspect went there in the same
-        moment. It shows as a bystander that is given up with its attempts used up
-        though hardly one ran. A life whose connection broke in mid-answer gets no
-        suspect until the endpoint's own word has shown whether that was its end.
+        idle, and it is already isolated. The next suspect would be sent there at
+        once: the symptom is a bystander that fails with its attempts used up although
+        hardly one ran. An incarnation whose connection broke in mid-answer gets no
+        suspect until the endpoint's own report shows whether it has ended.
         """
         if endpoint.leaving or endpoint.unreachable_since is not None:
             return False
@@ -136,9 +136,9 @@
     def _may_isolate(
         self, endpoint: Endpoint, record: RequestRecord, context: Context
     ) -> bool:
-        """Return whether an endpoint can be spared for the suspect.
+        """Return whether an endpoint can be isolated for the suspect.
 
-        The only one that serves is spared only while it has nothing to do.
+        The only serving endpoint is isolated only while it is idle.
         """
         serving = list(context.state.fleet.serving(record.request.target))
         others = [each for each in serving if each is not endpoint]
--- a/src/mimosafork/policies/quarantine/stage.py
+++ b/src/mimosafork/policies/quarantine/stage.py
@@ -1,4 +1,4 @@
-"""Gathers evidence against bodies and refuses the condemned ones."""
+"""Collects evidence against request bodies and refuses condemned ones."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -35,22 +35,23 @@
 logger = getLogger(__name__)
 
 BREAK_CHECK_INTERVAL = timedelta(milliseconds=250)
-"""Between two looks at what has become of endpoints whose connections broke."""
+"""Between two checks of the endpoints whose connections broke."""
 
 MAX_EARLY_PUBLISHED_BODIES = 32
-"""Bodies of one break that are told before it is known to be a crash. When a network
-is cut, thousands of connections break, and the news would not fit the traffic."""
+"""Bodies of one break that are published before it is known to be a crash. A network
+partition breaks thousands of connections, and publishing the bodies of all of them
+would exceed the traffic limits between peers."""
 
 
 @register("quarantine")
 class Quarantine(Stage):
-    """Keeps a body that crashes engines from being run again and again.
+    """Prevents repeated runs of a body that crashes engines.
 
-    Without it, a caller that resends such a request under new ids takes engine
-    after engine down, and everybody's answers with them. It shows as endpoints
-    that restart one after the other. What follows a single body through all ids is
-    its digest; what spares the bystanders is that only crashes with a body alone
-    on the endpoint condemn it.
+    Without it, a caller that resends such a request under new ids crashes engine
+    after engine, and all other answers on them break off. The symptom is endpoints
+    that restart one after the other. The digest identifies a body under any request
+    id. Bystanders are spared because only crashes with a body alone on the endpoint
+    condemn it.
     """
 
     order = 30
@@ -62,7 +63,7 @@
         self.checked_at = timedelta(0)
 
     def review(self, record: RequestRecord, context: Context) -> StageVerdict:
-        """Refuse a condemned body before anything runs."""
+        """Refuse a condemned body before it runs."""
         digest = record.request.body_digest
         if self.ledger.verdict(digest) is Verdict.CONDEMNED:
             return Refuse(condemned_problem())
@@ -70,7 +71,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """React to failures, to peers and to the store."""
+        """React to failed attempts, peers and the store."""
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
@@ -80,8 +81,8 @@
             return
         record = context.state.requests.get(message.request_id)
         if record is None:
-            # It was given up at this failure, and its record comes with the news of
-            # its end, which is handled right after this.
+            # The request was concluded at this failure, and its record comes with
+            # the RequestConcluded message, which is handled right after this.
             self.concluded_request = message.request_id
             return
         for attempt in record.attempts:
@@ -105,7 +106,7 @@
             self._publish_suspicion(message.digest, context)
         for evidence in message.suspicion.evidence:
             if not evidence.is_confirmed:
-                # Its writer may be dead before it can tell how this ended.
+                # The publishing instance may stop before it can settle this break.
                 known = self.breaks.setdefault(
                     evidence.endpoint_incarnation,
                     ConnectionBreak(evidence.endpoint_incarnation, at),
@@ -114,9 +115,9 @@
 
     @handle.register
     def _(self, message: SuspicionsRead, context: Context) -> None:
-        for kept in message.suspicions:
-            for evidence in kept.evidence:
-                self.ledger.add(kept.digest, evidence, context.now - kept.age)
+        for stored in message.suspicions:
+            for evidence in stored.evidence:
+                self.ledger.add(stored.digest, evidence, context.now - stored.age)
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
@@ -130,7 +131,7 @@
     def _record_break(
         self, record: RequestRecord, attempt: Attempt, context: Context
     ) -> None:
-        """Take a request that was cut in mid-answer for a possible culprit."""
+        """Record a request that broke off in mid-answer as a possible cause."""
         endpoint_incarnation = EndpointIncarnation(
             attempt.endpoint, attempt.incarnation
         )
@@ -148,7 +149,7 @@
             self._publish_suspicion(record.request.body_digest, context)
 
     def _resolve_break(self, broken: ConnectionBreak, context: Context) -> None:
-        """Settle a break once it is known whether the endpoint's life ended."""
+        """Settle a break once it is known whether the incarnation has ended."""
         ended = incarnation_ended(broken, context)
         if ended is None and context.now - broken.at < BREAK_RETENTION:
             return
@@ -174,11 +175,11 @@
         return self.ledger.drop(digest, [endpoint_incarnation], context.now)
 
     def _should_republish(self, message: SuspicionReceived, context: Context) -> bool:
-        """Return whether this instance tells again what it has just heard.
+        """Return whether this instance republishes a suspicion that it has received.
 
-        What an instance has told is gone with its life, so that its successor, and
-        all that start later, would not know. One other instance of the writer's
-        zone, the same in everybody's eyes, tells it too.
+        What an instance has published is lost when it stops, so that its successor
+        and all instances that start later would not receive it. One other instance
+        of the publisher's zone, on which all instances agree, publishes it as well.
         """
         zone = context.state.identity.availability_zone
         if message.origin.availability_zone != zone:
@@ -202,7 +203,7 @@
         endpoint_incarnation: EndpointIncarnation,
         context: Context,
     ) -> None:
-        """Log a confirmed crash, and keep it if the body ran alone."""
+        """Log a confirmed crash, and store it if the body ran alone."""
         case = self.ledger.cases[digest]
         evidence = tuple(each for each in case.evidence.values() if each.is_confirmed)
         sole = sum(each.is_sole for each in evidence)
@@ -220,21 +221,21 @@
         )
 
     def _clear(self, digest: Digest, context: Context) -> None:
-        """Drop all evidence against a body that has run to its end."""
+        """Drop all evidence against a body that has completed."""
         case = self.ledger.cases.get(digest)
         if case is None or not case.evidence:
             return
         was_suspect = case.verdict is not Verdict.CLEAR
-        was_kept = any(each.is_sole for each in case.evidence.values())
+        was_stored = any(each.is_sole for each in case.evidence.values())
         self.ledger.drop(digest, list(case.evidence), context.now)
         self._publish_suspicion(digest, context)
-        if was_kept:
+        if was_stored:
             context.emit(DropSuspicion(digest))
         if was_suspect:
             log_event(logger, REQUEST_CLEARED, digest=digest)
 
 
 def condemned_problem() -> Problem:
-    """Return what the caller of a condemned body is told: final, no coming back."""
+    """Return the problem for callers of a condemned body; it is not to be retried."""
     detail = "endpoints stop working whenever they run this request on its own"
     return Problem(ProblemCode.QUARANTINED, detail)
--- a/src/mimosafork/policies/rollout.py
+++ b/src/mimosafork/policies/rollout.py
@@ -1,4 +1,4 @@
-"""Brings the zone's engines to the model versions of the configuration in force."""
+"""Rollout of the configured model versions to the zone's engines."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -27,22 +27,22 @@
 from .rollout_steps import confirming_order, next_order
 
 STATE_READ_INTERVAL = timedelta(seconds=15)
-"""Between two looks at an endpoint's state; it bounds the life of a stale order."""
+"""Between two reads of an endpoint's state; bounds the effect of a stale order."""
 
 LOADING_STATE_READ_INTERVAL = timedelta(seconds=2)
-"""The same while something loads there."""
+"""The same while the endpoint loads a model."""
 
 MAX_LOADING_SHARE = 0.1
-"""Part of the zone's engines that may load at once; at least one may."""
+"""Share of the zone's engines that may load at once; at least one may."""
 
 REFUSAL_BACKOFF = timedelta(seconds=30)
 LOAD_BACKOFF = timedelta(seconds=5)
-"""Before a load that did not show in the endpoint's state is ordered again."""
+"""Delay before a load that did not show in the endpoint's state is ordered again."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeenModels:
-    """Models that one life of an engine has shown since this lease began."""
+    """Models that one incarnation of an engine has shown since this lease began."""
 
     incarnation: Incarnation
     models: frozenset[ModelId]
@@ -52,9 +52,9 @@
 class Rollout(Plugin):
     """Decides orders while this instance holds the zone's lease for them.
 
-    Nothing is remembered from an earlier holder: what endpoints say of themselves
-    is read first, and again after each order. So an order that was lost, or a late
-    one of a holder that woke up, is put right at the next look.
+    No state is taken over from an earlier holder: endpoint states are read first,
+    and again after each order. A lost order, or a late order of a previous holder
+    that resumed after a pause, is therefore corrected at the next read.
     """
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """React to leases, states and answers."""
+        """React to lease changes, endpoint states and order answers."""
 
     @handle.register
     def _(self, message: LeaseChanged, context: Context) -> None:
@@ -111,8 +111,8 @@
         command = self.outstanding.pop(message.endpoint, None)
         if message.result is OrderResult.ACCEPTED:
             self.confirmed.add(message.endpoint)
-        # What was known of the endpoint is no longer true, or perhaps not: only a
-        # new look tells, also after an answer that was lost.
+        # The known state may be outdated, also if the answer was lost: it has to be
+        # read again.
         self.states.pop(message.endpoint, None)
         if message.result is OrderResult.REFUSED:
             self._back_off(message.endpoint, REFUSAL_BACKOFF, context)
@@ -132,8 +132,8 @@
     def _may_act(self, context: Context) -> bool:
         """Return whether orders may be decided now.
 
-        After a takeover the last holder's last order may still be on its way: it
-        began while that lease was good and ends within the order timeout.
+        After a takeover the previous holder's last order may still be in flight: it
+        started while that lease was valid and ends within the order timeout.
         """
         lease = self.lease
         if lease is None or context.state.configuration is None:
@@ -153,7 +153,7 @@
         self.backoff_until[endpoint] = context.now + pause
 
     def _send_orders(self, context: Context) -> None:
-        """Send what is needed and allowed now."""
+        """Send the orders that are needed and allowed now."""
         engines = list(_engines(context))
         if not self._may_act(context) or not self._all_states_known(engines):
             return
@@ -172,8 +172,8 @@
     def _all_states_known(self, engines: Iterable[Endpoint]) -> bool:
         """Return whether each endpoint has been asked for its state.
 
-        A new holder that began before it knew what loads already would start as
-        many loads again.
+        A new holder that sent orders before it knew which engines are loading would
+        start as many loads again.
         """
         return all(
             endpoint.endpoint_id in self.states
@@ -214,10 +214,10 @@
         return SendOrder(name, address, mode, order, self.lease.fencing, fetches)
 
     def _is_unconfirmed(self, endpoint: Endpoint) -> bool:
-        """Return whether an engine that checks numbers may not know this one yet.
+        """Return whether an engine that checks fencing numbers may not know this one.
 
-        It refuses a late order of the last holder only if it has seen a larger
-        number. Where nothing needs to be changed, it would never see one.
+        It refuses a late order of the previous holder only if it has seen a larger
+        number. Where nothing needs to be changed, it would never receive one.
         """
         if self.lease is None or not self.lease.taken_over:
             return False
@@ -234,7 +234,7 @@
 
 
 def _fencing_mode(endpoint: Endpoint) -> FencingMode:
-    """Return what the endpoint does with numbers; unknown counts as ignoring."""
+    """Return how the endpoint treats fencing numbers; ignored if unknown."""
     if endpoint.report is None:
         return FencingMode.IGNORED
     return endpoint.report.fencing
@@ -245,7 +245,7 @@
 
 
 def _engines(context: Context) -> Iterable[Endpoint]:
-    """Return the zone's model engines that can be talked to."""
+    """Return the zone's model engines that are reachable."""
     zone = context.state.identity.availability_zone
     for endpoint in context.state.fleet.endpoints.values():
         entry = endpoint.entry
--- a/tests/support/chaos.py
+++ b/tests/support/chaos.py
@@ -1,4 +1,4 @@
-"""Concurrent callers of real processes, and failures among them."""
+"""Concurrent callers of real processes, with fault injection."""
 
 import json
 import signal
@@ -29,19 +29,20 @@
 RESEND_SHARE = 0.35
 MAX_RESUMES = 3
 RETRY_DELAY_S = 0.1
-"""Between a refusal or a cut and the next call; well below any Retry-After."""
+"""Between a rejection or a broken answer and the next call; well below any
+Retry-After."""
 
 SERVICE_PATH = "/services/filings/drafts/"
 
 
 @dataclass
 class ChaosRun:
-    """Callers and failures on one cluster.
+    """Concurrent callers and injected faults on one cluster.
 
     Parameters
     ----------
     engines, entries : tuple of str
-        Names of the processes that fail.
+        Names of the processes that faults are injected into.
     """
 
     cluster: Cluster
@@ -58,7 +59,7 @@
     errors: list[BaseException] = field(default_factory=list)
 
     def run(self, seconds: float, callers: int) -> None:
-        """Call and fail for some time, then heal all and let the calls end."""
+        """Call and inject faults for some time, then heal all and finish the calls."""
         seeds = [self.random.getrandbits(32) for _ in range(callers)]
         threads = [
             threading.Thread(
@@ -93,7 +94,7 @@
             self._call(work, random)
 
     def _next_work(self, random: Random) -> Work:
-        """Return new work, or some that has been asked for before."""
+        """Return new work, or some that has been requested before."""
         with self.lock:
             if self.issued_work and random.random() < RESEND_SHARE:
                 return random.choice(self.issued_work[-12:])
@@ -106,7 +107,7 @@
             return work
 
     def _call(self, work: Work, random: Random) -> None:
-        """Send a call; come back for the rest if its answer breaks off."""
+        """Send a call; resume the answer if it breaks off."""
         got, offset = "", 0
         for _ in range(1 + MAX_RESUMES):
             operation, end = self._call_once(work, random, offset)
@@ -123,10 +124,10 @@
     def _call_once(
         self, work: Work, random: Random, offset: int
     ) -> tuple[Operation, int | None]:
-        """Make one call; return it and the offset behind what came."""
+        """Make one call; return it and the offset after the received text."""
         name = random.choice(self.entries)
         client = self.cluster.clients[name]
-        hits = self.disruptions[name]
+        disruptions_before = self.disruptions[name]
         start_s = time.monotonic()
         if not work.tokens:
             ending, text, end, detail = self._call_service(client, work)
@@ -142,7 +143,7 @@
             ending=ending,
             text=text,
             offset=offset,
-            excused=self.disruptions[name] != hits,
+            excused=self.disruptions[name] != disruptions_before,
             detail=detail,
         )
         return operation, end
@@ -180,10 +181,10 @@
             return Ending(got.error["outcome"]), got.text, end, str(got.error)
         return (Ending.COMPLETED if got.done else Ending.CUT), got.text, end, ""
 
-    # Failures.
+    # Fault injection.
 
     def _inject_fault(self) -> None:
-        """Have one more thing fail, or come back."""
+        """Inject one more fault, or end all faults."""
         faults: tuple[Callable[[], None], ...] = (
             self._kill_entry,
             self._freeze_entry,
@@ -248,7 +249,7 @@
         self._fault(self.cluster.table, "cut", peers=[name])
 
     def heal(self) -> None:
-        """End the faults of all stand-ins."""
+        """End the faults of all engines and of both stores."""
         engines = [self.cluster.addresses[name] for name in self.engines]
         for address in (self.cluster.table, self.cluster.objects, *engines):
             Client(address).call("DELETE", "/faults")
@@ -261,10 +262,10 @@
         if answer.status != 204:
             raise ProcessError(f"{kind} at {address}: {answer}")
 
-    # What ran.
+    # Executed work.
 
     def starts(self, service: str) -> dict[str, int]:
-        """Return how often the endpoints began the work of each key."""
+        """Return how often the endpoints started the work of each key."""
         bases = {
             _stream_base(work): work.key for work in self.issued_work if work.tokens
         }
@@ -307,7 +308,7 @@
 
 
 def _stream_base(work: Work) -> str:
-    """Return what the ids of a key's streams begin with, in any generation."""
+    """Return the common prefix of a key's stream ids, in any generation."""
     call = ModelCall(ModelId("demo"), None, work.prompt, work.tokens)
     request = Request(
         request_id=RequestId(""),
--- a/tests/support/crashing_fleet.py
+++ b/tests/support/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Kernels and engines in virtual time; a poisoned body crashes what runs it."""
+"""Kernels and engines in virtual time; a poisoned body crashes its engine."""
 
 import heapq
 from collections.abc import Callable
@@ -85,7 +85,7 @@
 
 
 class CrashingFleet:
-    """Several entry instances that gossip, and engines that can crash.
+    """Several instances that gossip, and engines that can crash.
 
     Parameters
     ----------
@@ -95,15 +95,15 @@
     Attributes
     ----------
     poison : set of str
-        Bodies that crash an engine `strike_s` after they have come there.
-    strike_s : float
+        Bodies that crash an engine `crash_after_s` after their run started there.
+    crash_after_s : float
         The length of a prefill unless set; at most that.
     crash_log : list of set
         The bodies that were in progress at each crash, oldest first.
-    unreached : list of str
+    unreached_bodies : list of str
         The bodies whose new runs were sent to an engine that was down.
-    silenced : bool
-        Nothing is heard from peers.
+    gossip_disabled : bool
+        Nothing is received from peers.
     """
 
     def __init__(self, engines: int, kernels: int = 2, seed: int = 4) -> None:
@@ -140,11 +140,11 @@
         return kernel
 
     def at(self, instant_s: float, action: Callable[[], None]) -> None:
-        """Have something done at an instant."""
+        """Schedule an action at an instant."""
         heapq.heappush(self.events, (instant_s, next(self.numbers), action))
 
     def run(self, span_s: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the events that are due."""
         end_s = self.now_s + span_s
         while self.events and self.events[0][0] <= end_s:
             instant_s, _, action = heapq.heappop(self.events)
@@ -153,12 +153,12 @@
         self.clock.instant = timedelta(seconds=end_s)
 
     def submit(self, request: Request, kernel: int = 0) -> None:
-        """Have a caller send a request."""
+        """Submit a request at an instance."""
         self.bodies[request.request_id] = request.body_digest
         self.handle(self.kernels[kernel], Submit(request))
 
     def crash(self, name: str) -> None:
-        """End an engine's life; it comes back after a while, empty."""
+        """Crash an engine; it restarts after a while without any requests."""
         engine = self.engines[name]
         bodies = {run.body for run in engine.runs.values()}
         engine.crashes.append(bodies)
@@ -171,7 +171,7 @@
             self._fail(run, FailureKind.BROKEN, Exposure.POSSIBLE)
 
     def cut(self, name: str, span_s: float) -> None:
-        """Cut the network to an engine, which lives on; its streams are lost."""
+        """Cut the network to an engine, which stays up; its streams are lost."""
         engine = self.engines[name]
         engine.cut_until_s = self.now_s + span_s
         broken, engine.runs = engine.runs, {}
@@ -188,7 +188,7 @@
         ]
 
     def handle(self, kernel: Kernel, message: Message) -> None:
-        """Hand a kernel a message and carry out its effects."""
+        """Pass a message to a kernel and apply its effects."""
         for effect in kernel.handle(message):
             if isinstance(effect, WakeAt):
                 wake = partial(self.handle, kernel, effect.message)
@@ -248,8 +248,8 @@
             self.at(self.now_s + RUN_S, partial(self._finish_run, engine, run))
 
     def _crash_if_poisoned(self, engine: CrashingEngine, run: EngineRun) -> None:
-        is_there = engine.runs.get(run.dispatch.stream_id) is run
-        if is_there and run.body in self.poison:
+        is_running = engine.runs.get(run.dispatch.stream_id) is run
+        if is_running and run.body in self.poison:
             self.crash(engine.name)
 
     def _finish_prefill(self, engine: CrashingEngine, run: EngineRun) -> None:
--- a/tests/support/zones.py
+++ b/tests/support/zones.py
@@ -1,7 +1,7 @@
-"""Kernels that hear of each other, in virtual time.
+"""Kernels that exchange state with each other, in virtual time.
 
-Each instance has the real kernel with the plug-ins of membership and a real
-exchanger; probes and exchanges happen when the test lets time pass.
+Each instance has the real kernel with the membership plug-ins and a real exchanger;
+probes and exchanges happen when the test advances the clock.
 """
 
 from dataclasses import dataclass, field
@@ -59,7 +59,7 @@
     answers: bool = True
 
     def probe(self) -> LoadReport | None:
-        """Return the report of now; None if it does not answer."""
+        """Return the current report; None if the endpoint does not answer."""
         if not self.answers:
             return None
         self.sequence += 1
@@ -92,7 +92,7 @@
         return self.kernel.state.identity.availability_zone
 
     def handle(self, message: Message) -> None:
-        """Handle a message and carry out the effects that matter here."""
+        """Handle a message and apply the effects that the tests need."""
         for effect in self.kernel.handle(message):
             if isinstance(effect, WatchEndpoints):
                 self.watched = effect.endpoints
@@ -104,14 +104,14 @@
                 self.dispatched.append(effect)
 
     def handle_received(self) -> None:
-        """Hand what peers told to the kernel."""
+        """Pass the messages received from peers to the kernel."""
         messages, self.peer.told[:] = list(self.peer.told), []
         for message in messages:
             self.handle(message)
 
 
 class Deployment:
-    """Instances and endpoints with one clock."""
+    """Instances and endpoints that share one clock."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
         return SimulatedInstance(kernel, peer, MembersView(peer.exchanger.store, 0.0))
 
     def named(self, name: str) -> SimulatedInstance:
-        """Return an instance."""
+        """Return the instance of this name."""
         return next(each for each in self.instances if each.name == name)
 
     def list_endpoints(self, *entries: EndpointEntry) -> None:
@@ -148,7 +148,7 @@
             instance.handle(InstancesListed(entries, ()))
 
     def list_all(self, *entries: EndpointEntry) -> None:
-        """Let every instance read a list with the instances too."""
+        """Let every instance read a list that includes the instances."""
         instances = tuple(
             EntryInstance(
                 instance_identity.instance,
@@ -165,7 +165,7 @@
             instance.handle(InstancesListed(entries, instances))
 
     def step(self, exchanges: int = 2) -> None:
-        """Let a second pass: probes, ticks and a few exchanges each."""
+        """Advance by one second, with probes, ticks and some exchanges."""
         self.clock.advance(STEP)
         for instance in self._awake():
             self._probe(instance)
@@ -180,7 +180,7 @@
                 instance.handle(changed)
 
     def steps(self, count: int) -> None:
-        """Let some seconds pass."""
+        """Advance by some seconds."""
         for _ in range(count):
             self.step()
 
@@ -226,7 +226,7 @@
 
 
 def members(*names: str, suspect: tuple[str, ...] = ()) -> MembersChanged:
-    """Return the message that these are the zone's members."""
+    """Return a message that lists these instances as the zone's members."""
     found = []
     for name in names:
         instance_identity = identity(name)
--- a/tests/unit/cache_index/test_cache_index.py
+++ b/tests/unit/cache_index/test_cache_index.py
@@ -1,4 +1,4 @@
-"""What is known of prefix caches, and what is done about gaps."""
+"""The index of prefix caches, and its recovery from missed changes."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -49,7 +49,7 @@
 
 
 def test_longest_cached_prefix_is_found() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 10, SHORT, MIDDLE))
 
         assert _cached(bench) == CachedPrefix(8192, False)
@@ -59,17 +59,17 @@
 
 
 def test_unknown_endpoint_is_maybe_stale() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         assert _cached(bench) == CachedPrefix(0, True)
 
 
 def test_event_gap_marks_cache_stale_until_next_snapshot() -> None:
     """An engine drops one of its cache events, the eviction of a long prefix.
 
-    The index would go on sending that prompt there for ever, and each time the
-    engine would prefill it anew.
+    Without gap detection the prompt would be routed there indefinitely, and the
+    engine would prefill it anew each time.
     """
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 10, LONG))
         bench.clock.advance(timedelta(seconds=30))
 
@@ -82,7 +82,7 @@
 
 
 def test_lost_last_event_is_detected() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 10, LONG))
 
         bench.handle(_events(10, 12, (11, "stored", SHORT)))
@@ -91,7 +91,7 @@
 
 
 def test_snapshot_requests_are_rate_limited() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 0))
         for number in range(0, 40, 2):
             bench.clock.advance(timedelta(seconds=1))
@@ -101,7 +101,7 @@
 
 
 def test_events_older_than_snapshot_are_ignored() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 20, LONG))
 
         bench.handle(_events(10, 12, (11, "evicted", LONG), (12, "stored", SHORT)))
@@ -110,7 +110,7 @@
 
 
 def test_events_of_another_incarnation_are_not_applied() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 10, LONG))
 
         bench.handle(_events(10, 11, (11, "stored", SHORT), incarnation=2))
@@ -120,7 +120,7 @@
 
 
 def test_new_watcher_publishes_summary_then_changes() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 10, SHORT, LONG))
         bench.handle(Tick())
         (summary,) = _published(bench, CacheSummary)
@@ -138,7 +138,7 @@
 
 
 def test_prefix_stored_and_evicted_is_not_published() -> None:
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 10))
         bench.handle(_events(10, 12, (11, "stored", LONG), (12, "evicted", LONG)))
         bench.clock.advance(timedelta(seconds=3))
@@ -148,11 +148,11 @@
 
 
 def test_missed_batch_marks_cache_stale_and_requests_summary() -> None:
-    """A batch of a peer's news is overwritten before this instance hears it.
+    """A batch of a peer's changes is overwritten before this instance receives it.
 
-    Evictions in it would be missed, and prompts sent to where nothing is cached.
+    Evictions in it would be missed, and prompts routed to where nothing is cached.
     """
-    with _receiving() as bench:
+    with _receiving_kernel() as bench:
         bench.handle(_received_summary(4, LONG))
         bench.handle(_received_changes(5, stored=(SHORT,)))
         assert not _cached(bench).maybe_stale
@@ -168,7 +168,7 @@
 
 
 def test_summary_older_than_applied_batch_is_ignored() -> None:
-    with _receiving() as bench:
+    with _receiving_kernel() as bench:
         bench.handle(_received_summary(4, LONG))
         bench.handle(_received_changes(5, evicted=(LONG,)))
 
@@ -178,7 +178,7 @@
 
 
 def test_batch_of_another_watcher_is_not_taken_as_next() -> None:
-    with _receiving() as bench:
+    with _receiving_kernel() as bench:
         bench.handle(_received_summary(4, LONG))
 
         bench.handle(_received_changes(5, stored=(SHORT,), name="i3"))
@@ -187,7 +187,7 @@
 
 
 def test_summary_request_of_peer_is_not_repeated() -> None:
-    with _receiving() as bench:
+    with _receiving_kernel() as bench:
         bench.handle(CacheSummaryRequestReceived(endpoint_key(E1), _origin("i3")))
         bench.clock.advance(timedelta(seconds=10))
         bench.handle(Tick())
@@ -223,11 +223,11 @@
 
 
 def test_routing_uses_the_index() -> None:
-    """Another instance had a dossier read on e1; a clerk asks about it here.
+    """A prompt whose prefix e1 caches for another instance arrives here.
 
-    Sent to another engine, the dossier would be prefilled once more.
+    Routed to another engine, the prefix would be prefilled once more.
     """
-    with _reading() as bench:
+    with _watching_kernel() as bench:
         bench.handle(_snapshot(1, 10, *PROMPT))
         affinity = bench.kernel.plugin(PrefixAffinity)
         request = model_request("r1", prompt_tokens=70_000, prefix_marks=PROMPT)
@@ -257,18 +257,18 @@
 
 
 @contextmanager
-def _reading() -> Iterator[Bench]:
-    """Give a kernel that reads e1's cache events."""
+def _watching_kernel() -> Iterator[Bench]:
+    """Run a kernel that reads e1's cache events."""
     with running_kernel(
         create((*PLUGINS, "cache-index", "prefix-affinity")), [engine_entry("e1")]
-    ) as it:
-        yield it
+    ) as bench:
+        yield bench
 
 
 @contextmanager
-def _receiving() -> Iterator[Bench]:
-    """Give a kernel that hears of e1 from i2 and i3, who watch it."""
-    with _reading() as bench:
+def _receiving_kernel() -> Iterator[Bench]:
+    """Run a kernel that receives e1's cache from its watchers, i2 and i3."""
+    with _watching_kernel() as bench:
         names = [f"i{number}" for number in range(1, 20)]
         bench.handle(members(*names))
         assert bench.kernel.plugin(Membership).watched_endpoint(E1) is None
@@ -302,11 +302,13 @@
     *events: tuple[int, str, PrefixMark],
     incarnation: int = 1,
 ) -> CacheEventsReported:
-    made = tuple(
+    cache_events = tuple(
         CacheEvent(number, CacheEventKind(kind), mark.digest, mark.tokens)
         for number, kind, mark in events
     )
-    return CacheEventsReported(E1, Incarnation(incarnation), after, newest, made)
+    return CacheEventsReported(
+        E1, Incarnation(incarnation), after, newest, cache_events
+    )
 
 
 def _origin(name: str) -> Origin:
--- a/tests/unit/membership/test_endpoint_publisher.py
+++ b/tests/unit/membership/test_endpoint_publisher.py
@@ -1,4 +1,4 @@
-"""What is published of endpoints, when, and by whom."""
+"""What is published about endpoints, when, and by which instance."""
 
 from contextlib import AbstractContextManager
 from datetime import timedelta
@@ -32,7 +32,7 @@
 
 
 def test_primary_watcher_publishes_profile_once_and_load_at_interval() -> None:
-    with _watching() as bench:
+    with _watching_kernel() as bench:
         for _ in range(8):
             bench.clock.advance(timedelta(milliseconds=500))
             bench.report("e1", running=1)
@@ -42,7 +42,7 @@
 
 
 def test_draining_is_published_immediately() -> None:
-    with _watching() as bench:
+    with _watching_kernel() as bench:
         bench.clock.advance(timedelta(milliseconds=100))
 
         bench.report("e1", draining=True)
@@ -52,12 +52,12 @@
 
 
 def test_standby_watcher_publishes_when_primary_is_silent() -> None:
-    """The first watcher of an endpoint can't tell its peers what it sees.
+    """The primary watcher of an endpoint cannot publish to its peers.
 
-    They would route by ever older loads, although a second instance sees the
+    They would route by ever older loads, although the standby watcher probes the
     endpoint as well.
     """
-    with _watching() as bench:
+    with _watching_kernel() as bench:
         second = _endpoint_watched_second(bench)
         bench.handle(members("i1", "i2"))
         origin = _origin("i2")
@@ -77,7 +77,7 @@
 
 
 def test_probe_failure_is_urgent_first_and_after_each_recovery() -> None:
-    with _watching() as bench:
+    with _watching_kernel() as bench:
         for _ in range(2):
             bench.clock.advance(timedelta(seconds=1))
             bench.handle(ProbeFailed(WATCHED.endpoint))
@@ -112,7 +112,7 @@
 
 
 def test_received_reports_are_not_republished() -> None:
-    with _watching() as bench:
+    with _watching_kernel() as bench:
         bench.clock.advance(timedelta(seconds=5))
         report = replace(load_report("e1", 50), running=3)
 
@@ -121,14 +121,14 @@
         assert _published(bench, EndpointLoad) == []
 
 
-def _watching() -> AbstractContextManager[Bench]:
-    """Give a kernel that watches all endpoints alone and has told them once."""
+def _watching_kernel() -> AbstractContextManager[Bench]:
+    """Run a kernel that watches all endpoints alone and has published them once."""
     entries = [WATCHED] + [engine_entry(f"e{number}") for number in range(2, 6)]
     return running_kernel(create(PLUGINS), entries)
 
 
 def _endpoint_watched_second(bench: Bench) -> EndpointId:
-    """Return an endpoint of which i1 is the second watcher beside i2."""
+    """Return an endpoint of which i1 is the standby watcher and i2 the primary."""
     bench.handle(members("i1", "i2"))
     watched = bench.kernel.plugin(Membership).watched or {}
     return next(each.endpoint for each in watched.values() if not each.is_primary)
--- a/tests/unit/membership/test_fleet_merge.py
+++ b/tests/unit/membership/test_fleet_merge.py
@@ -1,4 +1,4 @@
-"""The list, the endpoint's own word and the peers' words, merged."""
+"""Merge of the platform's list, endpoints' own reports and peers' reports."""
 
 from datetime import timedelta
 
@@ -19,7 +19,7 @@
 def test_draining_report_overrides_lagging_list() -> None:
     """The platform drains an endpoint; its list shows it live for 30 s more.
 
-    Requests sent there in that time would be refused, or cut when it goes.
+    Requests sent there in that time would be refused, or break off when it stops.
     """
     fleet = _fleet()
     fleet.apply_report(_report(2, draining=True), _at(10), own=True)
@@ -61,7 +61,7 @@
 def test_older_list_does_not_restore_removed_endpoint() -> None:
     """The platform answers from two copies, one of them a minute behind.
 
-    Every other read would bring back an endpoint that has been removed.
+    Every other read would restore an endpoint that has been removed.
     """
     fleet = _fleet()
     fleet.apply_list(_listed(engine_entry("e2")), _at(100))
@@ -73,10 +73,10 @@
 
 
 def test_empty_list_is_ignored() -> None:
-    """The platform comes back from an outage without its entries.
+    """The platform recovers from an outage without its entries.
 
-    Its empty list, taken at its word, would end all work in every zone, while all
-    endpoints go on answering.
+    Applied as it is, its empty list would stop all work in every zone, although all
+    endpoints still answer.
     """
     fleet = _fleet()
 
@@ -88,8 +88,8 @@
 def test_drain_refusal_overrides_older_report() -> None:
     """An endpoint refuses a request as draining; its load report lags by 2 s.
 
-    The next report still says that it is not draining. Believed, it would send the
-    endpoint work until the report caught up.
+    The next report still shows it as not draining. If that report were applied, the
+    endpoint would get requests until its reports caught up.
     """
     fleet = _fleet()
     fleet.mark_draining(E1, _at(10))
@@ -116,8 +116,8 @@
 def test_peer_reports_do_not_override_own_probe_failures() -> None:
     """One instance is cut off from an endpoint that its peers reach.
 
-    Each report of theirs would make it usable here again, and every second some
-    requests would be sent into the cut.
+    Each of their reports would make it usable here again, and every second some
+    requests would be sent to the unreachable endpoint.
     """
     fleet = _fleet()
     for second in range(10, 20):
@@ -148,10 +148,10 @@
 
 
 def test_restart_without_a_new_incarnation_is_noticed() -> None:
-    """A plain service is restarted and counts its reports from one again.
+    """A plain service restarts and numbers its reports from one again.
 
-    Ordered by number alone its reports would be passed over for hours, and a
-    "draining" from its former life would stand as long.
+    Ordered by number alone its reports would be ignored for hours, and a "draining"
+    from before the restart would remain in effect as long.
     """
     fleet = _fleet()
     fleet.apply_report(_report(9_000, draining=True), _at(10), own=True)
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Who watches which endpoint, and how fast a word spreads."""
+"""Assignment of endpoint watchers, and propagation of endpoint state."""
 
 from msgspec.structs import replace
 
@@ -23,8 +23,8 @@
 def test_new_instance_does_not_watch_whole_zone() -> None:
     """Twenty instances of a zone start together, each knowing only the list.
 
-    Until it has heard of the others each would take itself for alone: probe all
-    endpoints, and tell the whole fleet of them, twenty times over.
+    Until it discovers the others, each would act as the only instance of the zone:
+    probe all endpoints and publish them to the whole fleet, twenty times over.
     """
     entries = [engine_entry(f"e{number}") for number in range(40)]
     zone = Deployment({"az-1": 20}, entries)
@@ -51,8 +51,8 @@
 def test_draining_endpoint_gets_no_requests_while_list_lags() -> None:
     """An endpoint begins to drain; the platform's list shows it live for 30 s more.
 
-    Its watchers see it within a second; the others must hear it from them. Before,
-    every instance went by the list and sent it work all the while.
+    Its watchers see it within a second; the others must receive it from them. An
+    instance that went by the list alone would keep sending requests to it.
     """
     entries = [engine_entry("e1"), engine_entry("e2")]
     zone = _running(Deployment({"az-1": 9}, entries), entries)
@@ -84,9 +84,10 @@
 
 
 def test_restarted_endpoint_is_used_again() -> None:
-    """An endpoint dies that is not watched by the one who speaks for the zone.
+    """An endpoint that the zone publisher does not watch goes down.
 
-    So the others, the speaker among them, know it only from its watchers' word.
+    The other instances, the zone publisher among them, learn of its state only from
+    what its watchers publish.
     """
     entries = [engine_entry(f"e{number}") for number in range(8)]
     zone = _running(Deployment({"az-1": 5}, entries), entries)
@@ -111,8 +112,8 @@
 def test_frozen_watchers_are_replaced() -> None:
     """Both watchers of an endpoint freeze.
 
-    Nobody would probe it: its load would grow old, and its draining go unseen. The
-    others step in once the silence of the two is noticed, and step back after.
+    Nobody would probe it: its load would grow stale, and draining go unnoticed. Other
+    instances take over once the two are suspected, and stop when they resume.
     """
     entries = [engine_entry("e1")]
     zone = _running(Deployment({"az-1": 5}, entries), entries)
@@ -163,7 +164,7 @@
 
 
 def _running(zones: Deployment, entries: list[EndpointEntry]) -> Deployment:
-    """Let the instances read the list, warm up and hear of each other."""
+    """Let the instances read the list, warm up and discover each other."""
     zones.list_endpoints(*entries)
     zones.steps(14)
     return zones
--- a/tests/unit/quarantine/test_poisoned_request.py
+++ b/tests/unit/quarantine/test_poisoned_request.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines is stopped, and nobody else pays for it."""
+"""Quarantine of requests that crash engines, while other requests complete."""
 
 from datetime import timedelta
 from functools import partial
@@ -38,7 +38,7 @@
 
 
 def resend_poison(fleet: CrashingFleet, times: int, span_s: float = 20.0) -> None:
-    """Send the same body under new ids, by one instance and then the other."""
+    """Send the same body under new ids, through each instance in turn."""
     fleet.poison.add(POISON)
     for number in range(times):
         send(fleet, f"p{number}", POISON, number % len(fleet.kernels))
@@ -46,7 +46,7 @@
 
 
 def keep_busy(fleet: CrashingFleet, rate_per_s: float, span_s: float) -> list[str]:
-    """Have innocent requests come in at random; return their ids."""
+    """Schedule unrelated requests at random instants; return their ids."""
     names: list[str] = []
     at_s = 0.0
     while True:
@@ -76,10 +76,10 @@
 
 
 def test_resent_poison_stops_after_two_engines() -> None:
-    """A letter crashes the engine that reads it; its sender tries again and again.
+    """A request crashes the engine that runs it, and its caller keeps resending it.
 
-    Each resend has a new id and may come by another instance. Without a memory of
-    the body, engine after engine goes down with all that runs on it.
+    Each resend has a new id and may arrive at another instance. If the body were not
+    tracked, engine after engine would crash with all that runs on it.
     """
     fleet = CrashingFleet(engines=6)
     resend_poison(fleet, 6)
@@ -94,10 +94,10 @@
 
 
 def test_poison_among_busy_engines_costs_two_and_bystanders_finish() -> None:
-    """The poisoned letter runs next to others when it strikes.
+    """The poisoned request crashes its engine while others run next to it.
 
-    The others are cut with it. They are tried again, and all come to their end;
-    none is refused for having been near.
+    The answers of the others break off as well. They are retried and all complete;
+    none is refused for having shared the engine.
     """
     fleet = CrashingFleet(engines=8)
     names = keep_busy(fleet, rate_per_s=30.0, span_s=110.0)
@@ -112,10 +112,10 @@
 
 
 def test_bystander_hit_twice_still_finishes() -> None:
-    """Three busy engines; some letters meet the poison on one and on the next.
+    """On three busy engines some requests share two crashes with the poisoned one.
 
-    Each time, their next attempt finds the stream's engine gone, which is no run.
-    Counted as one, two accidents used up all three attempts of a bystander.
+    Each time, their next attempt finds the stream's engine down, so nothing runs.
+    If that counted, two crashes would use up all three attempts of a bystander.
     """
     fleet = CrashingFleet(engines=3, kernels=2, seed=5)
     names = keep_busy(fleet, rate_per_s=60.0, span_s=12.0)
@@ -128,11 +128,11 @@
 
 
 def test_suspect_is_not_sent_to_engine_that_just_crashed() -> None:
-    """A letter waits for its sole run while the poison has its own, and strikes.
+    """A suspect waits for its sole run while the poisoned one crashes the engine.
 
-    The engine's last report still shows it up and idle, and it was free for the next
-    suspect in the same moment. The letter's attempt found it gone, and the next one
-    again at the poison's second strike: no attempt was left, nothing had run.
+    The engine's last report still shows it up and idle, so it would be used for the
+    next suspect at once. That attempt would find it down, and so would the next one
+    after the second crash: no attempt would be left although nothing had run.
     """
     fleet = CrashingFleet(engines=3, kernels=1)
     fleet.poison.add(POISON)
@@ -152,7 +152,7 @@
 
 
 def test_unrelated_engine_crash_condemns_nothing() -> None:
-    """An engine fails with twenty requests in progress, for reasons of its own."""
+    """An engine fails for unrelated reasons with twenty requests in progress."""
     fleet = CrashingFleet(engines=4, kernels=1)
     names = [f"n{number}" for number in range(80)]
     for name in names:
@@ -167,7 +167,7 @@
 
 
 def test_innocent_suspect_runs_alone_and_is_cleared() -> None:
-    """An engine dies by itself with a single request, which was not to blame."""
+    """An engine fails for unrelated reasons with a single request in progress."""
     fleet = CrashingFleet(engines=3)
     send(fleet, "n0")
     fleet.run(0.4)
@@ -181,9 +181,9 @@
 
 
 def test_requests_past_prefill_get_little_suspicion() -> None:
-    """Three answers are half written when the poison is read next to them.
+    """Three requests are decoding when the poisoned one is prefilled next to them.
 
-    Run alone one after the other, they would wait for each other's whole answers.
+    As suspects they would run one after the other, each for its whole answer.
     """
     fleet = CrashingFleet(engines=1, kernels=1)
     names = [f"n{number}" for number in range(3)]
@@ -200,9 +200,10 @@
 
 
 def test_suspect_runs_alone_on_its_engine() -> None:
-    """Others beside a suspect would be cut with it, and the crash would tell less.
+    """Requests next to a suspect would break off, and a crash be weaker evidence.
 
-    What other instances have sent just before they heard is not in any report yet.
+    What other instances sent just before they received the isolation does not show
+    in any report yet.
     """
     shared = 0
     for seed in range(4):
@@ -217,7 +218,7 @@
 
 
 def later_shared_crashes(fleet: CrashingFleet) -> int:
-    """Count crashes of others by a body that was a suspect already."""
+    """Count crashes that hit other requests when the body was already a suspect."""
     weight = 0.0
     crashes = 0
     shared = 0
@@ -232,9 +233,9 @@
 
 
 def test_third_engine_is_spared_after_two_crashes_among_many() -> None:
-    """Twice the poison strikes among so many that it is no suspect at once.
+    """Two crashes happen among so many requests that one alone makes no suspect.
 
-    Then it must run alone, and on one of the two engines that it has cost.
+    After the second the body must run alone, on one of the two crashed engines.
     """
     fleet = CrashingFleet(engines=6, kernels=1, seed=2)
     keep_busy(fleet, rate_per_s=120.0, span_s=15.0)
@@ -247,10 +248,10 @@
 
 
 def test_network_partition_condemns_nothing() -> None:
-    """The network to an engine is cut, and then to the next, with one request.
+    """Two engines in turn are partitioned while they run the same request alone.
 
     It looks like two sole crashes: connections break and probes fail. But the
-    engines live on, and their next word takes the suspicion away.
+    engines stay up, and their next reports remove the suspicion.
     """
     fleet = CrashingFleet(engines=3, kernels=1)
     send(fleet, "n0", "letter")
@@ -280,16 +281,17 @@
 
 
 def test_partitioned_instance_learns_from_store() -> None:
-    """The body was condemned in one zone; another zone is cut off from it.
+    """A body was condemned in one zone, from which another zone is cut off.
 
-    Or all instances were replaced meanwhile: the table service keeps the word.
+    The same holds after a replacement of all instances: the table service stores
+    the suspicion.
     """
     fleet = CrashingFleet(engines=4, kernels=1)
     fleet.gossip_disabled = True
     resend_poison(fleet, 3)
-    kept = [each for each in fleet.stored_effects if isinstance(each, StoreSuspicion)]
+    stored = [each for each in fleet.stored_effects if isinstance(each, StoreSuspicion)]
     new_instance = fleet.kernel(7)
-    read = StoredSuspicion(kept[-1].digest, kept[-1].evidence, timedelta(minutes=5))
+    read = StoredSuspicion(stored[-1].digest, stored[-1].evidence, timedelta(minutes=5))
     fleet.handle(new_instance, SuspicionsRead((read,)))
     assert verdict(new_instance, POISON) is Verdict.CONDEMNED
 
@@ -307,7 +309,7 @@
 
 
 def test_suspicion_is_forgotten_after_an_hour() -> None:
-    """An engine's fault may be mended by a new version; bodies get another chance."""
+    """A new engine version may fix the fault, so the body may run again."""
     fleet = CrashingFleet(engines=4, kernels=1)
     resend_poison(fleet, 3)
     ledger = fleet.kernels[0].plugin(Quarantine).ledger
--- a/tests/unit/quarantine/test_stored_suspicions.py
+++ b/tests/unit/quarantine/test_stored_suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions outlive the instances that raised them."""
+"""Suspicions are stored beyond the run of the instances that raised them."""
 
 from datetime import timedelta
 from random import Random
@@ -21,24 +21,24 @@
 
 
 class TaskFixture:
-    """A task that is called by hand."""
+    """A suspicion task that the test calls directly."""
 
     def __init__(self, table: FakeTable, clock: ManualClock | None = None) -> None:
         self.clock = clock or ManualClock()
-        self.told: list[Message] = []
-        self.task = SuspicionTask(table, self.clock, Random(1), self.told.append)
+        self.messages: list[Message] = []
+        self.task = SuspicionTask(table, self.clock, Random(1), self.messages.append)
 
     def read(self) -> list[CrashEvidence]:
         """Have the task read all suspicions now; return the evidence."""
-        self.told.clear()
+        self.messages.clear()
         self.task.read_at = self.clock.monotonic()
         self.task.idle()
         return [
             evidence
-            for message in self.told
+            for message in self.messages
             if isinstance(message, SuspicionsRead)
-            for kept in message.suspicions
-            for evidence in kept.evidence
+            for stored in message.suspicions
+            for evidence in stored.evidence
         ]
 
 
