--- a/tests/support/directories.py
+++ b/tests/support/directories.py
@@ -1,4 +1,4 @@
-"""A directory whose sources answer by a script, for tests that have no store."""
+"""A directory with scripted sources, for tests without a store."""
 
 import asyncio
 from collections.abc import Iterator
@@ -27,14 +27,14 @@
 
 @dataclass
 class ScriptedSource:
-    """Answers each call by the next reply and keeps what was asked.
+    """A source that answers each call with the next reply and records the calls.
 
     Attributes
     ----------
     asked : list of int or None
-        Version after which changes were asked for; None for a whole read.
+        Version after which changes were requested; None for a whole read.
     waits : list of timedelta
-        How long each long poll was to wait.
+        Requested wait of each long poll.
     """
 
     replies: list[Reply] = field(default_factory=list)
@@ -61,10 +61,10 @@
 
 
 class ScriptedConfigurations(ScriptedSource):
-    """A row's value is the number of its configuration."""
+    """A source whose row values are configuration versions."""
 
     def decode(self, row: Row) -> RoutingTable:
-        """Return an empty table of that number."""
+        """Return an empty table of that version."""
         try:
             version = Revision(int(row.value))
         except ValueError as error:
@@ -73,14 +73,14 @@
 
 
 class ScriptedEndpoints(ScriptedSource):
-    """A row's value is its state, the address and the birth, with blanks between."""
+    """A source whose row values are state, address and start time."""
 
     def decode(self, row: Row) -> ListedEndpoint:
-        """Return a listing of that state; the row's version counts the reports."""
-        word, *rest = row.value.decode().split(" ")
-        address, born = [*rest, "", ""][:2]
+        """Return a listing of that state; the row version is its sequence number."""
+        state_name, *rest = row.value.decode().split(" ")
+        address, started = [*rest, "", ""][:2]
         try:
-            state = ListedState(word)
+            state = ListedState(state_name)
         except ValueError as error:
             raise UnreadableRowError(str(error)) from error
         return ListedEndpoint(
@@ -91,12 +91,12 @@
             slots=8,
             state=state,
             sequence=row.version,
-            started_ms=int(born) if born else None,
+            started_ms=int(started) if started else None,
         )
 
 
 class DirectoryWorld:
-    """A directory with its sources, its clock, and what it told."""
+    """A directory with its sources, its clock, and the changes it published."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(timedelta(hours=1))
@@ -109,43 +109,43 @@
         self.directory.add_listener(self.published.append)
 
     def endpoints(self, *replies: Reply) -> timedelta:
-        """Let the endpoints' follower meet replies; return its last pause."""
+        """Run the endpoint follower over replies; return its last pause."""
         return run_steps(self.directory.endpoint_follower, self.listing, replies)
 
     def configuration(self, *replies: Reply) -> timedelta:
-        """Let the configuration's follower meet replies; return its last pause."""
+        """Run the configuration follower over replies; return its last pause."""
         follower = self.directory.configuration_follower
         return run_steps(follower, self.configurations, replies)
 
     def pass_time(self, seconds: float) -> None:
-        """Move the clock."""
+        """Advance the clock."""
         self.clock.advance(timedelta(seconds=seconds))
 
     def outage(self) -> None:
-        """Let calls about the endpoints fail for longer than rows need to expire."""
+        """Fail calls about endpoints for longer than rows take to expire."""
         self.endpoints(StoreUnavailableError("down"))
         self.pass_time(4)
         self.endpoints(StoreUnavailableError("down"))
 
     def state(self, key: str) -> EndpointState | None:
-        """Return what is believed of an endpoint; None if it is not known."""
+        """Return the state of an endpoint; None if it is not known."""
         entry = self.directory.endpoints.get(EndpointId(key))
         return None if entry is None else entry.state
 
     def version(self) -> int | None:
-        """Return the number of the configuration in force."""
+        """Return the version of the active configuration."""
         table = self.directory.table
         return None if table is None else table.version
 
     def summaries(self) -> list[str]:
-        """Return what was told, each in short."""
+        """Return a summary of each published change."""
         return [summary_of(change) for change in self.published]
 
 
 def run_steps(
     follower: TableFollower, source: ScriptedSource, replies: tuple[Reply, ...]
 ) -> timedelta:
-    """Make a step for each reply."""
+    """Run one follower step for each reply; return the last pause."""
     source.replies += replies
     pause = timedelta(0)
 
@@ -159,7 +159,7 @@
 
 
 def summary_of(change: DirectoryChange) -> str:
-    """Return a change in short."""
+    """Return a short summary of a change."""
     if isinstance(change, TableChanged):
         return f"table {change.table.version}"
     assert isinstance(change, EndpointChanged)
@@ -168,12 +168,12 @@
 
 
 def listed(key: str, version: int, state: str = "ready") -> Row:
-    """Return an endpoint's row."""
+    """Return the row of an endpoint."""
     return Row("endpoints", "", key, state.encode(), version)
 
 
 def removed(key: str, version: int) -> Row:
-    """Return the word that an endpoint's row was removed."""
+    """Return the removal of the row of an endpoint."""
     return Row("endpoints", "", key, b"", version, removed=True)
 
 
@@ -183,11 +183,11 @@
 
 
 def page(version: int, *rows: Row) -> RowPage:
-    """Return rows as of a version."""
+    """Return a page of rows as of a version."""
     return RowPage(rows, version)
 
 
 @contextmanager
 def directory_world() -> Iterator[DirectoryWorld]:
-    """Give a directory that has not read anything yet."""
+    """Provide a directory that has not read anything yet."""
     yield DirectoryWorld()
--- a/tests/support/virtual_store.py
+++ b/tests/support/virtual_store.py
@@ -1,4 +1,4 @@
-"""A platform's store in virtual time, with every trouble that it may have."""
+"""A platform store in virtual time, with injected failures."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 
 class Trouble(Enum):
-    """What the store may do to calls."""
+    """Failures that the store can inject."""
 
     NONE = "none"
     SILENT = "silent"
@@ -41,8 +41,8 @@
 
 STATUS = {Trouble.BUSY: 503, Trouble.TOO_MANY: 429}
 QUIET = frozenset({Trouble.SILENT, Trouble.UNREACHABLE})
-"""Troubles in which nothing is answered; one of them takes connections. While it is
-deaf, only the calls that arrive are lost, and those that wait go on."""
+"""Failures without any answer; only SILENT still accepts connections. With DEAF, only
+new calls are lost, and waiting calls continue."""
 
 
 @dataclass
@@ -61,7 +61,7 @@
     Attributes
     ----------
     silent : bool
-        It delivers nothing further, without a reset.
+        Whether the connection delivers nothing more, without a reset.
     """
 
     def __init__(self, store: "VirtualStore", protocol: asyncio.Protocol) -> None:
@@ -72,7 +72,7 @@
         self.ended = False
 
     def write(self, data: Any) -> None:
-        """Take a call."""
+        """Receive a call."""
         if not self.silent:
             self.store.take(self, bytes(data))
 
@@ -81,17 +81,17 @@
         return self.ended
 
     def abort(self) -> None:
-        """End it from the caller's side."""
+        """Close the connection from the side of the caller."""
         self.end(None)
 
     def end(self, why: Exception | None) -> None:
-        """End it."""
+        """Close the connection."""
         if not self.ended:
             self.ended = True
             asyncio.get_running_loop().call_soon(self.protocol.connection_lost, why)
 
     def reply(self, status: int, document: object) -> None:
-        """Deliver an answer, unless the connection delivers nothing."""
+        """Deliver an answer, unless the connection is closed or silent."""
         if self.ended or self.silent:
             return
         body = json.dumps(document).encode()
@@ -101,16 +101,16 @@
 
 @dataclass
 class VirtualStore:
-    """Rows with one counter of versions, feeds, and troubles.
+    """Rows with a common version counter, feeds, and injected failures.
 
     Attributes
     ----------
     delay : timedelta
-        Answers take this much longer.
+        Additional latency of answers.
     behind : int
-        Whole reads leave out so many of the newest versions.
+        Number of newest versions that whole reads leave out.
     oldest : int
-        Changes up to this version are forgotten.
+        Changes up to this version are dropped from the history.
     """
 
     version: int = 1
@@ -126,7 +126,7 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether calls that have arrived are carried out."""
+        """Whether calls that have arrived are processed."""
         return self.trouble in (Trouble.NONE, Trouble.DEAF)
 
     def put(self, table: str, key: str, value: bytes) -> int:
@@ -137,17 +137,17 @@
         return self.version
 
     def configure(self, number: int) -> None:
-        """Write the configuration of a number."""
+        """Write a configuration of a version."""
         put = str(number).encode()
         self.put(names.CONFIGURATION_TABLE, names.CONFIGURATION_KEY, put)
 
     def forget(self) -> None:
-        """Drop the history; feeds that need it are told so."""
+        """Drop the history; feeds that need it get an error."""
         self.oldest = self.version
         self.wake()
 
     def set_trouble(self, trouble: Trouble) -> None:
-        """Begin a trouble, or end it."""
+        """Start or end a failure."""
         self.trouble = trouble
         if trouble in (Trouble.NONE, Trouble.DEAF):
             return
@@ -159,17 +159,17 @@
         self.wake()
 
     def silence_connections(self) -> None:
-        """Let open connections fall silent for good; new ones work."""
+        """Silence open connections for good; new ones work."""
         for each in self.connections:
             each.silent = True
 
     def wake(self) -> None:
-        """Let waiting feeds look again."""
+        """Wake up waiting feeds."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def connect(self, protocol: asyncio.Protocol) -> StoreTransport:
-        """Open a connection; an attempt whose packets are lost hangs for good."""
+        """Open a connection; an attempt whose packets are lost never ends."""
         if self.trouble is Trouble.UNREACHABLE:
             await asyncio.Event().wait()
         if self.trouble is Trouble.CLOSED:
@@ -181,7 +181,7 @@
         return transport
 
     def take(self, transport: StoreTransport, request: bytes) -> None:
-        """Answer a call in its time."""
+        """Receive a call and answer it asynchronously."""
         target = request.split(b" ", 2)[1].decode()
         self.calls.append(target)
         if self.trouble is Trouble.DEAF:
@@ -212,7 +212,7 @@
             self.answer_read(transport, table)
 
     async def until_changed(self, table: str, after: int, wait_s: float) -> None:
-        """Wait for a change, a trouble, or the end of the wait."""
+        """Wait for a change, a failure, or the timeout."""
         loop = asyncio.get_running_loop()
         end = loop.time() + wait_s
         while self.is_serving and after >= self.oldest:
@@ -225,18 +225,18 @@
                 return
 
     def answer_feed(self, transport: StoreTransport, table: str, after: int) -> None:
-        """Tell the changes after a version."""
+        """Answer with the changes after a version."""
         if after < self.oldest:
             transport.reply(410, {})
         else:
             transport.reply(200, self.page(table, after, self.version))
 
     def answer_read(self, transport: StoreTransport, table: str) -> None:
-        """Tell all rows."""
+        """Answer with all rows."""
         transport.reply(200, self.page(table, 0, self.version - self.behind))
 
     def page(self, table: str, after: int, version: int) -> dict[str, object]:
-        """Return a page's document."""
+        """Return the document of a page."""
         rows = [
             {
                 "table": each.table,
@@ -260,15 +260,15 @@
 
 
 class NumberedConfigurations(ConfigurationRows):
-    """A configuration is a number here."""
+    """Configurations that consist of their version only."""
 
     def decode(self, row: Row) -> RoutingTable:
-        """Return an empty table of that number."""
+        """Return an empty table of that version."""
         return RoutingTable(Revision(int(row.value)), (), {}, ClientLimits(), ())
 
 
 class StoreLoop(VirtualLoop):
-    """A loop whose connections all go to one store in virtual time."""
+    """An event loop whose connections all go to one store in virtual time."""
 
     def __init__(self, clock: ManualClock, store: VirtualStore) -> None:
         super().__init__(clock)
@@ -284,7 +284,7 @@
 
 @dataclass
 class Follow:
-    """An instance that follows a store, while a test goes by."""
+    """An instance that follows a store during a test."""
 
     store: VirtualStore
     directory: Directory
@@ -292,12 +292,12 @@
 
     @property
     def version(self) -> int:
-        """Number of the configuration in force; 0 before the first."""
+        """Version of the active configuration; 0 before the first."""
         table = self.directory.table
         return 0 if table is None else int(table.version)
 
     async def until(self, number: int, longest_s: float) -> float:
-        """Return the seconds until a configuration is in force, up to a bound."""
+        """Return the seconds until a configuration is active, up to a bound."""
         began = self.clock.monotonic()
         while self.version < number:
             passed_s = (self.clock.monotonic() - began).total_seconds()
@@ -317,7 +317,7 @@
 
 
 def run_followed(work: Callable[[VirtualStore, ManualClock], Any]) -> None:
-    """Run a coroutine in virtual time, beside a store."""
+    """Run a coroutine in virtual time, with a store."""
     clock, store = ManualClock(timedelta(hours=1)), VirtualStore()
     with asyncio.Runner(loop_factory=lambda: StoreLoop(clock, store)) as runner:
         runner.run(work(store, clock))
--- a/tests/unit/directory/__init__.py
+++ b/tests/unit/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of directory."""
+"""Tests of the endpoint and configuration directory."""
--- a/tests/unit/directory/test_directory_machine.py
+++ b/tests/unit/directory/test_directory_machine.py
@@ -1,4 +1,4 @@
-"""What is believed of endpoints and configuration under any trouble of the store."""
+"""State machine test of the directory under arbitrary failures of the store."""
 
 import asyncio
 from datetime import timedelta
@@ -44,7 +44,7 @@
 DRAIN_WITHIN = timedelta(seconds=2)
 APPLIED_WITHIN = timedelta(seconds=2)
 USED_WITHIN = timedelta(seconds=8)
-"""An endpoint whose row is back is used again after so much calm."""
+"""Time without failures after which an endpoint with a restored row is used again."""
 
 ADDRESSES = st.sampled_from([f"10.0.0.{number}:80" for number in range(1, 5)])
 SERVICES = st.sampled_from(["desks", "pool"])
@@ -55,36 +55,36 @@
 
 
 class ConfigurationRows(StoreSource):
-    """The configuration's row."""
+    """Source of the row of the configuration."""
 
     def __init__(self, store: ModelStore, tables: FakeConfigurationHistory) -> None:
         super().__init__(store, store.configuration)
         self.tables = tables
 
     def decode(self, row: Row) -> RoutingTable:
-        """Return the configuration that a row names."""
+        """Return the configuration that a row refers to."""
         return self.tables.decode(row)
 
 
 class ListedRows(StoreSource):
-    """The endpoints' rows."""
+    """Source of the rows of endpoints."""
 
     def __init__(self, store: ModelStore) -> None:
         super().__init__(store, store.endpoints)
         self.rows = FakeEndpointRows()
 
     def decode(self, row: Row) -> ListedEndpoint:
-        """Return what a row says."""
+        """Return the listing in a row."""
         return self.rows.decode(row)
 
 
 class DirectoryMachine(RuleBasedStateMachine):
-    """Store, endpoints, peers and operator do what they like, in any order.
+    """Model of store, endpoints, peers and operator, acting in any order.
 
     Attributes
     ----------
     late_peers : bool
-        Whether peers may tell rows of endpoints that the store no longer lists.
+        Whether peers may send rows of endpoints that the store no longer lists.
     """
 
     late_peers = True
@@ -99,11 +99,11 @@
 
     @property
     def now(self) -> timedelta:
-        """The instant of all."""
+        """The current time of the model."""
         return self.clock.monotonic()
 
     def boot(self) -> None:
-        """Start the instance's processes, knowing nothing."""
+        """Start the processes of the instance, with an empty directory."""
         self.configurations = ConfigurationRows(self.store, self.tables)
         self.listing = ListedRows(self.store)
         self.directory = Directory(
@@ -116,7 +116,7 @@
         self.store.disturb(self.now)
 
     def heard(self, change: DirectoryChange) -> None:
-        """Keep what listeners go by."""
+        """Record what is published to listeners."""
         if isinstance(change, TableChanged):
             assert change.table.version > self.in_force, "CONFIG: went back"
             self.in_force = change.table.version
@@ -131,7 +131,7 @@
 
     @initialize()
     def deploy(self) -> None:
-        """Begin with a configuration and two endpoints."""
+        """Start with a configuration and two endpoints."""
         self.operator_writes(set())
         self.begins("10.0.0.1:80", "desks")
         self.begins("10.0.0.2:80", "pool")
@@ -139,13 +139,13 @@
     # Endpoints
 
     def life(self, which: int) -> ReportingEndpoint:
-        """Return one of all lives so far."""
+        """Return one of all incarnations of endpoints so far."""
         lives = list(self.store.lives.values())
         return lives[which % len(lives)]
 
     @rule(address=ADDRESSES, service=SERVICES)
     def begins(self, address: str, service: str) -> None:
-        """Start an endpoint at an address that is free, under a new id."""
+        """Start an endpoint at a free address, under a new id."""
         if any(e.alive and e.address == address for e in self.store.lives.values()):
             return
         self.born += 1
@@ -155,14 +155,14 @@
 
     @rule(which=WHICH)
     def drains(self, which: int) -> None:
-        """Let an endpoint say that it leaves, as soon as its report is taken."""
+        """Let an endpoint report that it drains, once the store takes reports."""
         life = self.life(which)
         life.draining = life.alive
         life.heard_at = self.now - STABLE / 2
 
     @rule(which=WHICH, silent=BOTH)
     def ends(self, which: int, silent: bool) -> None:
-        """Let an endpoint exit, its row removed or left to lapse."""
+        """Let an endpoint exit, its row removed or left to expire."""
         life = self.life(which)
         life.alive = False
         removable = life.name in self.store.endpoints.rows
@@ -171,7 +171,7 @@
 
     @rule(which=WHICH)
     def last_report_lands(self, which: int) -> None:
-        """Let a report cross the removal of its endpoint, or its word of leaving."""
+        """Deliver a report after the removal or draining report of its endpoint."""
         leaving = [e for e in self.store.lives.values() if e.draining or not e.alive]
         if self.store.condition is Condition.DOWN or not leaving:
             return
@@ -184,7 +184,7 @@
 
     @rule(which=WHICH, value=OVERWRITTEN, lasts=BOTH)
     def another_writes_over_a_row(self, which: int, value: bytes, lasts: bool) -> None:
-        """Let a row stand that cannot be read, until its endpoint reports or lapses."""
+        """Overwrite a row with an unreadable value, until the next report or expiry."""
         names = sorted(self.store.endpoints.rows)
         if self.store.condition is not Condition.DOWN and names:
             life = self.store.lives[names[which % len(names)]]
@@ -193,14 +193,14 @@
 
     @rule(which=WHICH, connected=BOTH)
     def endpoint_is_cut_off(self, which: int, connected: bool) -> None:
-        """Cut an endpoint off from the store, or mend that."""
+        """Disconnect an endpoint from the store, or reconnect it."""
         self.life(which).connected = connected
 
     # The store
 
     @rule(condition=st.sampled_from(list(Condition)))
     def store_changes(self, condition: Condition) -> None:
-        """Let the store go down, turn this instance away, or answer again."""
+        """Let the store fail, refuse this instance, or answer again."""
         self.store.become(condition, self.now)
 
     @rule(
@@ -209,7 +209,7 @@
         configurations=st.integers(0, 3),
     )
     def store_fails(self, forgets: bool, endpoints: int, configurations: int) -> None:
-        """Let the store forget its history, and lose answers."""
+        """Let the store drop its history, and lose answers."""
         if forgets:
             self.store.forget_history()
         self.listing.lost = endpoints
@@ -218,7 +218,7 @@
 
     @rule()
     def reads_are_late(self) -> None:
-        """Let the next whole reads be answered by the state of now."""
+        """Answer the next whole reads with the current state."""
         for source in (self.listing, self.configurations):
             source.late = self.store.whole(source.table)
         self.store.disturb(self.now)
@@ -227,7 +227,7 @@
 
     @rule(which=WHICH, configuration=BOTH)
     def peer_tells_an_old_row(self, which: int, configuration: bool) -> None:
-        """Let a peer tell a row that was there once, or its removal."""
+        """Let a peer send a row that existed earlier, or its removal."""
         if configuration:
             log = self.store.configuration.log
             self.directory.offer_configuration(log[which % len(log)])
@@ -243,7 +243,7 @@
 
     @rule(which=WHICH)
     def peer_says_that_it_drains(self, which: int) -> None:
-        """Let a peer tell that an endpoint leaves."""
+        """Let a peer report that an endpoint drains."""
         life = self.life(which)
         if life.draining:
             self.directory.offer_draining(EndpointId(life.name))
@@ -272,7 +272,7 @@
             self.the_newest_configuration_is_in_force()
 
     def step(self, follower: TableFollower) -> None:
-        """Make one call of a follower; an answer of an older state is no calm one."""
+        """Run one call of a follower; a stale answer does not count as calm."""
         before = self.store.late_reads
         asyncio.run(follower.step())
         if self.store.late_reads > before:
@@ -280,7 +280,7 @@
 
     @rule(seconds=SPANS)
     def freezes(self, seconds: float) -> None:
-        """Let the process stand still while the store and endpoints go on."""
+        """Suspend the process while the store and endpoints go on."""
         end = self.now + timedelta(seconds=seconds)
         while self.now < end:
             self.clock.advance(STEP)
@@ -289,18 +289,18 @@
 
     @rule()
     def restarts(self) -> None:
-        """Let the instance begin anew."""
+        """Restart the instance."""
         self.boot()
 
-    # What must always hold
+    # Invariants
 
     @property
     def in_touch(self) -> bool:
-        """Whether nothing has been wrong for long enough."""
+        """Whether there has been no failure for long enough."""
         return self.store.is_stable(self.now)
 
     def what_is_used_is_there(self) -> None:
-        """Check what is used against the store's rows, once all is calm."""
+        """Check used endpoints against the rows of the store, once all is calm."""
         if not self.in_touch:
             return
         for name in self.usable:
@@ -314,7 +314,7 @@
             assert self.now - since < DRAIN_WITHIN, ("DRAIN", name, row)
 
     def the_newest_configuration_is_in_force(self) -> None:
-        """Check that no older configuration is used, once all is calm."""
+        """Check that no older configuration is active, once all is calm."""
         (key,) = self.store.configuration.rows
         newest = self.store.configuration.rows[key]
         since = self.store.configuration.changed_at[key]
@@ -323,7 +323,7 @@
 
     @invariant()
     def listeners_know_what_is_believed(self) -> None:
-        """Check that what was told is what the directory holds."""
+        """Check that the published state equals that of the directory."""
         believed = {
             name: entry.listed
             for name, entry in self.directory.endpoints.items()
@@ -338,11 +338,11 @@
 
     @invariant()
     def nothing_draining_is_used(self) -> None:
-        """Check that an endpoint whose leaving was told is never used again."""
+        """Check that an endpoint published as draining is never used again."""
         assert not self.draining & set(self.usable), "DRAIN"
 
     def teardown(self) -> None:
-        """Let all be calm: what is there must be used, and nothing else."""
+        """End all failures: exactly the listed endpoints must be used."""
         self.store.become(Condition.CALM, self.now)
         self.listing.lost = self.configurations.lost = 0
         for life in self.store.lives.values():
@@ -357,7 +357,7 @@
 
 
 class PunctualPeersMachine(DirectoryMachine):
-    """The same with peers that know what the store lists."""
+    """The same model with peers that know the current list of the store."""
 
     late_peers = False
 
@@ -366,16 +366,16 @@
 
 
 def test_what_is_used_is_there_whatever_the_store_does() -> None:
-    """The store is down, loses answers, forgets and tells what was true before.
+    """The store is down, loses answers, drops history and sends stale state.
 
-    Endpoints drain, exit, lapse and return, their addresses are used again, peers tell
-    old words, and the instance freezes and starts anew.
+    Endpoints drain, exit, expire and return, their addresses are reused, peers send old
+    rows, and the instance freezes and restarts.
     """
     explore(DirectoryMachine, EXAMPLES, STEPS)
 
 
 def test_what_is_used_is_there_with_peers_that_are_not_late() -> None:
-    """All of that but late words about endpoints that are gone."""
+    """The same failures, without late rows about removed endpoints."""
     explore(PunctualPeersMachine, EXAMPLES, STEPS)
 
 
--- a/tests/unit/directory/test_endpoints.py
+++ b/tests/unit/directory/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoints' rows: leaving, outages, stale reads and peers."""
+"""Tests of endpoint rows: draining, outages, stale reads and peers."""
 
 from datetime import timedelta
 from unittest import TestCase
@@ -25,7 +25,7 @@
         case.assertEqual(["a ready", "b ready"], world.summaries())
 
 
-def test_reports_that_change_nothing_for_others_are_not_told() -> None:
+def test_reports_without_a_relevant_change_are_not_published() -> None:
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, listed("a", 12)))
         case.assertEqual(["a ready"], world.summaries())
@@ -45,12 +45,12 @@
         case.assertEqual(["a draining", "b gone"], world.summaries()[2:])
 
 
-def test_a_draining_word_is_never_taken_back() -> None:
-    """A ready report crosses the draining one and is heard after it.
+def test_a_draining_state_is_never_reverted() -> None:
+    """A ready report is delivered after the draining report that followed it.
 
-    Taken, calls would reach an endpoint that is about to exit. Neither the store
-    nor a peer may bring it back, with whatever version; nor may an older draining
-    word be lost behind a newer ready one.
+    Applying it would send calls to an endpoint that is about to exit. Neither the store
+    nor a peer may revert the state, with whatever version; nor may an older draining
+    report be lost behind a newer ready one.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4), listed("b", 9)))
@@ -63,7 +63,7 @@
 
 
 def test_an_endpoint_that_is_gone_stays_gone() -> None:
-    """A peer that heard late tells a ready word of an endpoint that is gone.
+    """A peer that is behind sends a ready row of an endpoint that was removed.
 
     Its address may belong to another service by then.
     """
@@ -75,10 +75,10 @@
 
 
 def test_a_late_peer_does_not_bring_back_what_the_store_no_longer_lists() -> None:
-    """An instance starts after an endpoint has left, and reads the list without it.
+    """An instance starts after an endpoint was removed, and reads the list without it.
 
-    A peer that is behind hands over the row as it was. Taken, it stays for good: the
-    store tells of no removal after the read, and its address is another's by then.
+    A peer that is behind sends the old row. If applied, it would stay forever: the
+    store reports no removal after the read, and the address may be reused by then.
     """
     with directory_world() as world:
         world.endpoints(page(20, listed("b", 15)))
@@ -89,10 +89,10 @@
 
 
 def test_an_endpoint_that_was_cut_off_from_the_store_is_used_again() -> None:
-    """A zone is cut off from the store, its endpoints' rows expire, the cut heals.
+    """A zone is partitioned from the store, its rows expire, the partition heals.
 
-    The endpoints serve all the while and report again under the same ids. Left out
-    for good, each cut would cost the fleet a zone's endpoints until they restart.
+    The endpoints serve all the while and report again under the same ids. If they
+    stayed removed, each partition would cost a zone of endpoints until they restart.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, removed("a", 12)))
@@ -107,8 +107,8 @@
 def test_an_endpoint_that_is_back_and_then_leaves_is_not_used_again() -> None:
     """An endpoint was cut off from the store, reports again, and then drains.
 
-    Its row lasts, so after some seconds it seems to be back for good; taken by the
-    word before its last one, it gets new work until it exits.
+    Its row persists, so after some seconds it seems to have returned. If the report
+    before its last one were applied, it would get new work until it exits.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, removed("a", 12)))
@@ -121,10 +121,10 @@
 
 
 def test_a_row_that_came_back_and_went_while_the_feed_was_cut_is_gone() -> None:
-    """Calls go to an endpoint that exited, some seconds after its row expired.
+    """An endpoint exits and must get no calls some seconds after its row expired.
 
-    A last report crosses the removal and is read; the store then drops its history, and
-    the row expires unseen. The whole read that follows lacks it.
+    A last report is written after the removal and is read; the store then drops its
+    history, and the row expires unseen. The whole read that follows lacks it.
     """
     with directory_world() as world:
         world.endpoints(page(1, listed("a", 1)), page(2, removed("a", 2)))
@@ -135,10 +135,11 @@
 
 
 def test_a_late_word_that_one_is_gone_does_not_end_its_return() -> None:
-    """An endpoint that was cut off from the store is back, and gets no calls for good.
+    """An endpoint that was cut off from the store returns and must get calls again.
 
-    Its row is there again and has yet to last. A peer that has not heard of it hands
-    over its list, with the removal before; the store tells an unchanged row once only.
+    Its row exists again but has not yet persisted for long enough. A peer that is
+    behind sends its list with the earlier removal; the store sends an unchanged row
+    only once.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, removed("a", 12)))
@@ -150,28 +151,28 @@
 
 
 def test_one_that_drained_while_its_row_was_missing_is_not_used_again() -> None:
-    """An endpoint drains around an outage, and gets new work for a moment afterwards.
+    """An endpoint drains around an outage and must get no new work afterwards.
 
-    Its row lapses in the outage, and a peer tells that and that it drains. The store's
-    answers then begin with the removal and with the ready row that followed it.
+    Its row expires in the outage, and a peer reports both that and the draining. The
+    answers of the store then begin with the removal and the ready row that followed it.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
         world.outage()
         world.directory.offer_endpoint(removed("a", 12))
         world.directory.offer_draining(EndpointId("a"))
-        told = len(world.published)
+        published_before = len(world.published)
         rows = (removed("a", 12), listed("a", 13), listed("a", 14, "draining"))
         world.endpoints(page(14, *rows))
-        case.assertNotIn("a ready", world.summaries()[told:])
+        case.assertNotIn("a ready", world.summaries()[published_before:])
         case.assertNotEqual(READY, world.state("a"))
 
 
-def test_one_late_report_does_not_bring_an_endpoint_back() -> None:
-    """An endpoint leaves without a word; its last report crosses its removal.
+def test_one_late_report_does_not_restore_an_endpoint() -> None:
+    """An endpoint exits without draining; its last report is written after its removal.
 
-    No further report follows and the row expires again, so that nothing is sent to
-    an address that may be another service's by then.
+    No further report follows and the row expires again, so nothing is sent to an
+    address that may belong to another service by then.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, removed("a", 12)))
@@ -183,7 +184,7 @@
         case.assertIsNone(world.state("a"))
 
 
-def test_a_peers_words_about_leaving_endpoints_count() -> None:
+def test_peer_reports_of_draining_endpoints_are_applied() -> None:
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4), listed("b", 5)))
         world.directory.offer_draining(EndpointId("a"))
@@ -191,7 +192,7 @@
         case.assertEqual(["a draining", "b gone"], world.summaries()[2:])
 
 
-def test_an_old_removal_does_not_end_a_newer_life_of_the_row() -> None:
+def test_an_old_removal_does_not_remove_a_newer_row() -> None:
     with directory_world() as world:
         world.endpoints(page(30, listed("a", 25)))
         world.directory.offer_endpoint(removed("a", 20))
@@ -199,10 +200,10 @@
 
 
 def test_a_row_that_vanished_while_the_store_was_down_comes_back() -> None:
-    """The store goes down, and rows expire as nobody can report.
+    """The store goes down, and rows expire because no endpoint can report.
 
-    At its return the feed tells the removals first, and the endpoints report
-    again within two seconds. Taken at once, all endpoints would be lost.
+    After recovery the feed sends the removals first, and the endpoints report again
+    within two seconds. If removals were applied at once, all endpoints would be lost.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -217,11 +218,11 @@
         case.assertEqual(["a ready", "a ready held", "a ready"], world.summaries())
 
 
-def test_what_is_still_missing_two_seconds_after_the_return_is_gone() -> None:
+def test_rows_still_missing_two_seconds_after_recovery_are_removed() -> None:
     """An endpoint crashes while the store is down, and never reports again.
 
-    Its row vanishes like the others' rows. Two seconds after the store's return it
-    is gone; a late report of its own may still bring it back, an old one may not.
+    Its row expires like the other rows. Two seconds after the recovery of the store it
+    is removed; a late report of its own may still restore it, an old one may not.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -255,11 +256,11 @@
 
 
 def test_no_call_waits_past_the_judgement_of_what_is_missing() -> None:
-    """An endpoint leaves without a word just as the store comes back to an instance.
+    """An endpoint exits without draining just as the store recovers for an instance.
 
-    Its removal is held for two seconds. A long poll begun shortly before they were
-    over waited on for its own 1.6 s: the instance still sent calls 2.8 s after the
-    store had taken the word, to an endpoint that was about to exit.
+    Its removal is held for two seconds. A long poll begun shortly before they were over
+    waited on for its own 1.6 s: the instance still sent calls 2.8 s after the store had
+    taken the removal, to an endpoint that was about to exit.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4), listed("b", 5)))
@@ -268,7 +269,7 @@
         world.pass_time(1.5)
         world.endpoints(page(13))
         case.assertEqual(timedelta(seconds=0.5), world.listing.waits[-1])
-        # The pause between two calls may end after the doubt: the next asks at once.
+        # The pause between two calls may end after the hold: the next polls at once.
         world.pass_time(0.7)
         world.endpoints(page(14))
         case.assertEqual(timedelta(0), world.listing.waits[-1])
@@ -277,13 +278,11 @@
         case.assertEqual(timedelta(seconds=1.6), world.listing.waits[-1])
 
 
-def test_the_return_of_the_store_and_the_doubt_after_it_fit_into_three_seconds() -> (
-    None
-):
-    """A store that turns an instance away comes back between two of its retries.
+def test_recovery_and_the_removal_hold_fit_into_three_seconds() -> None:
+    """A store that refuses an instance recovers between two of its retries.
 
-    Three seconds later the instance counts as well informed. A pause of a second
-    before the retry that finds it, and the two seconds after that, left no room.
+    Three seconds later the instance counts as up to date. A pause of a second before
+    the retry that detects recovery, plus the two-second hold, left no margin.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -292,11 +291,11 @@
         case.assertLess(longest + grace, timedelta(seconds=2.8))
 
 
-def test_an_endpoint_judged_by_a_whole_read_may_come_back_too() -> None:
-    """The feed is cut after an outage, and the whole read comes late.
+def test_an_endpoint_removed_by_a_whole_read_may_return_too() -> None:
+    """The feed is interrupted after an outage, and the whole read comes late.
 
-    It shows the held endpoint as missing still. That is the same doubtful word as
-    before, and a report of the endpoint's own must win over it.
+    It still lacks the held endpoint. This is the same uncertain removal as before, and
+    a report of the endpoint itself must override it.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -309,10 +308,10 @@
         case.assertEqual(READY, world.state("a"))
 
 
-def test_a_second_outage_puts_off_the_judgement() -> None:
-    """The store returns, and goes down again before two seconds have passed.
+def test_a_second_outage_postpones_the_removal() -> None:
+    """The store recovers, and fails again before two seconds have passed.
 
-    The endpoints had no time to report, so their absence says nothing yet.
+    The endpoints had no time to report, so a missing row is no evidence yet.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -334,7 +333,7 @@
         case.assertIsNone(world.state("a"))
 
 
-def test_an_outage_of_the_configurations_feed_casts_no_doubt_on_a_removal() -> None:
+def test_an_outage_of_the_configuration_feed_does_not_hold_a_removal() -> None:
     with directory_world() as world:
         world.configuration(page(9))
         world.endpoints(page(9, listed("a", 4)))
@@ -345,11 +344,11 @@
         case.assertIsNone(world.state("a"))
 
 
-def test_a_silent_connection_casts_no_doubt_on_a_removal() -> None:
-    """An endpoint leaves without a word as the feed's connection falls silent.
+def test_a_silent_connection_does_not_hold_a_removal() -> None:
+    """An endpoint exits without draining as the connection of the feed falls silent.
 
-    The silence is found within two seconds. No row expires wrongly in so short a
-    time; held, the endpoint would get work after it has exited.
+    The silence is detected within two seconds. No row expires wrongly in so short a
+    time; if the removal were held, the endpoint would get work after its exit.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -358,11 +357,11 @@
         case.assertIsNone(world.state("a"))
 
 
-def test_many_short_outages_are_one_long_one() -> None:
-    """The store answers for a moment, again and again, for seconds.
+def test_many_short_outages_count_as_one_long_outage() -> None:
+    """The store answers briefly, again and again, for seconds.
 
-    No single outage is long, but an endpoint that reports seldom meets none of the
-    moments, and its row expires.
+    No single outage is long, but an endpoint that reports seldom misses every such
+    moment, and its row expires.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -385,11 +384,10 @@
         case.assertIsNone(world.state("a"))
 
 
-def test_after_a_cut_feed_the_differences_are_worked_out() -> None:
-    """An endpoint leaves and another comes while the feed hears nothing.
+def test_differences_are_computed_after_a_feed_gap() -> None:
+    """An endpoint leaves and another starts while the feed is interrupted.
 
-    Then the history is dropped. Only a whole read shows the removal, as a row that
-    is not there.
+    Then the history is dropped. Only a whole read shows the removal, as an absent row.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4), listed("b", 5)), CUT)
@@ -399,11 +397,11 @@
 
 
 def test_a_stale_whole_read_after_a_cut_changes_nothing() -> None:
-    """Reads are some seconds behind as the history is dropped.
+    """Reads are some seconds behind when the history is dropped.
 
-    An endpoint left at version 20, which the feed has told. The whole read is as
-    of version 12 and still lists it, and lacks one that came at version 18. Taken,
-    the one would be used and the other lost.
+    An endpoint left at version 20, which the feed has delivered. The whole read is as
+    of version 12: it still lists that endpoint and lacks one added at version 18. If it
+    were applied, the former would be used and the latter lost.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
@@ -418,14 +416,14 @@
 
 
 def test_a_whole_read_with_an_older_row_than_known_changes_nothing() -> None:
-    """A stale read claims the newest version, and its rows give it away."""
+    """A stale read claims the newest version, but its rows are older."""
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 9), listed("b", 8)), CUT)
         world.endpoints(page(30, listed("a", 3)))
         case.assertEqual(READY, world.state("b"))
 
 
-def test_a_read_older_than_a_peers_word_changes_nothing() -> None:
+def test_a_read_older_than_a_peers_row_changes_nothing() -> None:
     with directory_world() as world:
         world.directory.offer_endpoint(listed("a", 20))
         world.endpoints(page(12))
@@ -434,10 +432,10 @@
         case.assertIsNone(world.state("a"))
 
 
-def test_what_is_newer_than_a_whole_read_is_left_alone() -> None:
-    """A peer's word overtakes a whole read that is under way.
+def test_rows_newer_than_a_whole_read_are_kept() -> None:
+    """A row from a peer arrives while a whole read is in flight.
 
-    The read does not have the row yet; its absence says nothing.
+    The read does not include the row yet; its absence is no evidence of removal.
     """
     with directory_world() as world:
         world.endpoints(page(9))
@@ -446,8 +444,8 @@
         case.assertEqual((), missing)
 
 
-def test_an_unreadable_row_rests_its_endpoint_and_leaves_the_others() -> None:
-    """What a row said before it was written over says nothing of now."""
+def test_an_unreadable_row_suspends_its_endpoint_only() -> None:
+    """The content of a row before it was overwritten is no longer valid."""
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)))
         world.endpoints(page(12, listed("a", 11, "odd"), listed("b", 12)))
@@ -458,11 +456,11 @@
         case.assertEqual(READY, world.state("a"))
 
 
-def test_raw_rows_make_another_instance_know_the_same() -> None:
+def test_raw_rows_reproduce_the_state_at_another_instance() -> None:
     """An instance starts while the store cannot be reached.
 
-    A peer hands it the rows that it holds; what is leaving or gone must not be in
-    use at the new instance.
+    A peer sends the rows that it holds; endpoints that are draining or removed must not
+    be used by the new instance.
     """
     with directory_world() as first, directory_world() as second:
         first.endpoints(
@@ -477,7 +475,7 @@
         case.assertIsNone(second.state("c"))
 
 
-def test_words_about_endpoints_long_gone_are_dropped() -> None:
+def test_rows_of_long_removed_endpoints_are_dropped() -> None:
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, removed("a", 12)))
         case.assertEqual(1, len(world.directory.endpoint_registry.removals))
@@ -486,22 +484,22 @@
         case.assertEqual({}, world.directory.endpoint_registry.removals)
 
 
-def born(ms: int, state: str = "ready", address: str = "10.0.0.1:80") -> str:
+def started_value(ms: int, state: str = "ready", address: str = "10.0.0.1:80") -> str:
     return f"{state} {address} {ms}"
 
 
 def test_an_endpoint_that_drained_and_started_again_under_its_id_is_used() -> None:
-    """An endpoint drains and comes back under its id, before its row is removed.
+    """An endpoint drains and restarts under its id, before its row is removed.
 
-    As an id that leaves takes no work again, it would stay out for good. A row of its
-    former life that is heard late must not take it out either.
+    A draining id never takes work again, so it would stay excluded forever. A delayed
+    row of its former incarnation must not exclude it either.
     """
     with directory_world() as world:
-        world.endpoints(page(9, listed("a", 4, born(1000))))
-        world.endpoints(page(11, listed("a", 11, born(1000, "draining"))))
-        world.endpoints(page(13, listed("a", 13, born(2000))))
+        world.endpoints(page(9, listed("a", 4, started_value(1000))))
+        world.endpoints(page(11, listed("a", 11, started_value(1000, "draining"))))
+        world.endpoints(page(13, listed("a", 13, started_value(2000))))
         case.assertEqual(READY, world.state("a"))
-        world.directory.offer_endpoint(listed("a", 14, born(1000, "draining")))
+        world.directory.offer_endpoint(listed("a", 14, started_value(1000, "draining")))
         case.assertEqual(READY, world.state("a"))
         world.directory.offer_draining(EndpointId("a"), 11)
         case.assertEqual(READY, world.state("a"))
@@ -510,51 +508,57 @@
 
 
 def test_an_endpoint_that_crashed_and_started_again_is_used_at_once() -> None:
-    """A crash removes an endpoint's row, and another life under its id comes.
+    """A crash removes the row of an endpoint, and it restarts under the same id.
 
-    A row that is merely there again counts only once it has lasted, as it may be a late
-    report. One with a later birth is no report of the life that is gone.
+    A row that reappears counts only once it has persisted, as it may be a late report.
+    One with a later start time cannot come from the former incarnation.
     """
     with directory_world() as world:
-        world.endpoints(page(9, listed("a", 4, born(1000))), page(11, removed("a", 11)))
+        world.endpoints(
+            page(9, listed("a", 4, started_value(1000))), page(11, removed("a", 11))
+        )
         case.assertIsNone(world.state("a"))
-        world.endpoints(page(13, listed("a", 13, born(1000))))
+        world.endpoints(page(13, listed("a", 13, started_value(1000))))
         case.assertIsNone(world.state("a"))
-        world.endpoints(page(15, listed("a", 15, born(2000, address="10.0.0.7:80"))))
+        world.endpoints(
+            page(15, listed("a", 15, started_value(2000, address="10.0.0.7:80")))
+        )
         case.assertEqual(READY, world.state("a"))
         known = world.directory.endpoints[EndpointId("a")]
         case.assertEqual("10.0.0.7:80", known.listed.address)
 
 
-def test_an_earlier_birth_never_replaces_a_later_one() -> None:
-    """A row of the former life is written last, or an endpoint's clock went back.
+def test_an_earlier_start_never_replaces_a_later_one() -> None:
+    """A row of the former incarnation is written last, or a clock was set back.
 
-    Nobody can tell which; the address of the earlier birth may be another's by now.
+    The two cannot be distinguished; the earlier address may have been reused by now.
     """
     with directory_world() as world:
-        world.endpoints(page(9, listed("a", 4, born(2000))))
-        world.endpoints(page(12, listed("a", 12, born(1000, address="10.0.0.9:80"))))
+        world.endpoints(page(9, listed("a", 4, started_value(2000))))
+        world.endpoints(
+            page(12, listed("a", 12, started_value(1000, address="10.0.0.9:80")))
+        )
         known = world.directory.endpoints[EndpointId("a")]
         case.assertEqual("10.0.0.1:80", known.listed.address)
 
 
-def test_a_missing_birth_changes_nothing() -> None:
+def test_a_missing_start_time_changes_nothing() -> None:
     with directory_world() as world:
-        world.endpoints(page(9, listed("a", 4, born(2000))))
+        world.endpoints(page(9, listed("a", 4, started_value(2000))))
         world.endpoints(page(12, listed("a", 12, "draining")))
         world.endpoints(page(14, listed("a", 14)))
         case.assertEqual(DRAINING, world.state("a"))
 
 
-def test_both_lives_in_one_page_leave_the_later_one() -> None:
+def test_two_incarnations_in_one_page_leave_the_later_one() -> None:
     with directory_world() as world:
         world.endpoints(
-            page(9, listed("a", 4, born(1000))),
+            page(9, listed("a", 4, started_value(1000))),
             page(
                 16,
-                listed("a", 11, born(1000, "draining")),
+                listed("a", 11, started_value(1000, "draining")),
                 removed("a", 12),
-                listed("a", 13, born(2000)),
+                listed("a", 13, started_value(2000)),
             ),
         )
         case.assertEqual(READY, world.state("a"))
--- a/tests/unit/directory/test_following.py
+++ b/tests/unit/directory/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration, of retries, and of the directory's life."""
+"""Tests of the configuration, of retries, and of starting and stopping."""
 
 import asyncio
 from datetime import timedelta
@@ -24,10 +24,10 @@
         case.assertEqual(12, world.directory.raw_configuration.version)  # type: ignore[union-attr]
 
 
-def test_an_older_configuration_is_never_taken() -> None:
-    """A slow peer and a stale read tell the configuration before the newest.
+def test_an_older_configuration_is_never_applied() -> None:
+    """A slow peer and a stale read deliver the configuration before the newest.
 
-    Taken, a route that was moved would go to its old service again.
+    If applied, a route that was moved would go to its old service again.
     """
     with directory_world() as world:
         world.configuration(page(9, configured(8, 9)))
@@ -68,11 +68,11 @@
         case.assertTrue(world.directory.ready_to_serve)
 
 
-def test_failed_calls_are_repeated_soon_and_then_seldom() -> None:
+def test_failed_calls_are_retried_with_backoff() -> None:
     """The store is down for long, for all instances at once.
 
-    Retried at a fixed short pause, all would press on it as it returns; retried
-    seldom from the start, a connection that merely broke would cost a second.
+    With a short fixed retry pause, all would overload it on recovery; with a long one
+    from the start, a connection that merely broke would cost a second.
     """
     with directory_world() as world:
         pauses = [world.endpoints(DOWN) for _ in range(12)]
@@ -107,11 +107,11 @@
         case.assertIsNone(world.directory.table_age)
 
 
-def test_a_fault_while_rows_are_taken_does_not_end_the_following() -> None:
+def test_a_listener_fault_does_not_end_the_follower() -> None:
     """A listener fails on one change.
 
-    Its exception must not end the task: the instance would serve for ever by what
-    it knew. The table is read whole again, so that nothing of the page is missed.
+    Its exception must not end the task: the instance would serve outdated state
+    forever. The table is read whole again, so that no row of the page is missed.
     """
     with directory_world() as world:
         faults = [ValueError("a listener's fault")]
@@ -140,7 +140,7 @@
                 pauses.append(duration)
                 if len(pauses) == 4:
                     both_followed.set()
-                if pauses.count(duration) == 2:  # each table has a pause of its own
+                if pauses.count(duration) == 2:  # each table has its own pause
                     await asyncio.Event().wait()
 
             world.directory.pause = pause
@@ -156,10 +156,10 @@
 
 
 def test_many_instances_ask_seldom_for_a_configuration_that_does_not_change() -> None:
-    """The store's calls are most of what 64 instances cost beside their machines.
+    """Calls to the store are most of the cost of 64 instances beside their machines.
 
-    Each asked every 1.6 s, to find a connection that has fallen silent. Among many, one
-    finds that within this time, and hands its peers what it reads.
+    Each polled every 1.6 s, to detect a connection that has fallen silent. Among many,
+    one detects that within this time, and sends its peers the rows that it reads.
     """
     usual = SECOND * 1.6
     with directory_world() as world:
@@ -178,9 +178,9 @@
 
 
 def test_many_instances_ask_for_endpoints_as_often_as_one() -> None:
-    """An outage that lies within one long wait would not be noticed.
+    """An outage that lies within one long poll would not be noticed.
 
-    Rows that expired in it would be taken for endpoints that have left.
+    Rows that expired in it would be treated as endpoints that have left.
     """
     with directory_world() as world:
         world.directory.peer_count = lambda: 63
--- a/tests/unit/directory/test_lines.py
+++ b/tests/unit/directory/test_lines.py
@@ -1,4 +1,4 @@
-"""The lines of the directory say what changed and how old their word is."""
+"""Tests of log lines of the directory: what changed, and the age of the data."""
 
 from typing import Any
 
@@ -29,8 +29,8 @@
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def test_a_configuration_has_the_age_of_the_stores_word_as_a_number() -> None:
-    """A tool that adds up ages met a question mark where a number was due."""
+def test_a_configuration_has_the_age_of_the_store_data_as_a_number() -> None:
+    """A tool that sums up ages found a question mark in place of a number."""
     with directory_world() as world, caught_lines() as caught:
         world.configuration(page(9, configured(3, 4)), DOWN)
         world.pass_time(1.5)
@@ -50,9 +50,9 @@
 
 
 def test_a_configuration_says_which_one_it_replaces() -> None:
-    """An instance that was cut off takes the eleventh version after the second.
+    """An instance that was cut off applies the eleventh version after the second.
 
-    What refuses its callers may stand in any version between.
+    A change that makes it reject calls may be in any version between.
     """
     with directory_world() as world, caught_lines() as caught:
         world.configuration(page(9, configured(2, 4)))
@@ -73,8 +73,8 @@
 def test_a_gone_endpoint_says_whether_it_was_draining() -> None:
     """Streams break at the moment at which their endpoint leaves the list.
 
-    One that had said before that it leaves was stopped as planned; one that was ready
-    was lost, and its neighbours may be next.
+    An endpoint that was draining stopped as planned; one that was ready was lost, and
+    its neighbours may be next.
     """
     with directory_world() as world:
         planned = gone_line(world, listed("a", 11, "draining"), removed("a", 12))
@@ -96,7 +96,7 @@
 
 
 def test_a_lost_store_has_the_age_of_its_last_answer() -> None:
-    """A call fails at once, or after seconds of silence: the ages behind it differ."""
+    """Calls that fail at once and calls that time out leave different ages."""
     with directory_world() as world, caught_lines() as caught:
         world.endpoints(DOWN)
         world.endpoints(page(9))
@@ -108,7 +108,7 @@
 
 
 def test_a_regained_store_says_how_its_calls_failed() -> None:
-    """A return noticed late by few long calls must not look like one of refusals."""
+    """A recovery detected late by few long calls must not look like refusals."""
     with directory_world() as world, caught_lines() as caught:
         world.endpoints(page(9))
         world.endpoints(DOWN, StoreUnavailableError("no answer within 4.8 s"))
--- a/tests/unit/directory/test_over_store.py
+++ b/tests/unit/directory/test_over_store.py
@@ -1,4 +1,4 @@
-"""Tests of the directory over the store's client and its stand-in on loopback."""
+"""Tests of the directory with the client of the store and a loopback deployment."""
 
 import asyncio
 from base64 import b64encode
@@ -28,7 +28,7 @@
 case = TestCase()
 
 PATIENCE_S = 20.0
-"""Longest time that a change may take to be seen on a busy machine."""
+"""Maximum time for a change to be applied on a busy machine."""
 QUICK = FollowSettings(
     pause=timedelta(milliseconds=5),
     wait=timedelta(milliseconds=100),
@@ -47,7 +47,7 @@
 
 
 class Following:
-    """A directory that follows a stand-in, and waits until it believes something."""
+    """A directory that follows a deployment, and waits for a state."""
 
     def __init__(self, address: str) -> None:
         self.store = PreparedStore(address, TIMEOUTS)
@@ -62,24 +62,24 @@
         self.directory.add_listener(self.wake)
 
     def wake(self, _: DirectoryChange) -> None:
-        """Let those who wait look again."""
+        """Let waiting coroutines check again."""
         self.changed.set()
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until something is believed."""
+        """Wait until a condition holds."""
         async with asyncio.timeout(PATIENCE_S):
             while not holds():
                 self.changed.clear()
                 await self.changed.wait()
 
     async def until_lost(self) -> None:
-        """Wait until the directory has noticed an outage; no message tells it."""
+        """Wait until the directory detects an outage; no message reports it."""
         async with asyncio.timeout(PATIENCE_S):
             while self.directory.endpoint_follower.health.lost_at is None:
                 await asyncio.sleep(0.001)
 
     async def until_both_feeds_told(self, running: Deployment) -> None:
-        """Wait until a change has come over each feed's own connection."""
+        """Wait until each feed has delivered a change over its connection."""
         await self.until(lambda: self.directory.ready_to_serve)
         version = running.configure(USUAL_CONFIG)
         await self.until(lambda: self.version() == version)
@@ -87,19 +87,19 @@
         await self.until(lambda: self.state(desk.id) is EndpointState.READY)
 
     def version(self) -> int:
-        """Return the number of the configuration in force."""
+        """Return the version of the active configuration."""
         table = self.directory.table
         return 0 if table is None else table.version
 
     def state(self, endpoint: str) -> EndpointState | None:
-        """Return what is believed of an endpoint."""
+        """Return the state of an endpoint in the directory."""
         entry = self.directory.endpoints.get(EndpointId(endpoint))
         return None if entry is None else entry.state
 
 
 @asynccontextmanager
 async def following(running: Deployment) -> AsyncIterator[Following]:
-    """Follow a stand-in until the block ends."""
+    """Follow a deployment until the block ends."""
     own = Following(running.store.address)
     own.directory.start()
     try:
@@ -110,7 +110,7 @@
 
 
 def with_deployment(work: Callable[[Deployment], Awaitable[None]]) -> None:
-    """Run a coroutine with a stand-in."""
+    """Run a coroutine with a deployment."""
 
     async def whole(running: Deployment) -> None:
         await work(running)
@@ -135,10 +135,10 @@
     with_deployment(work)
 
 
-def test_a_row_that_another_wrote_over_rests_its_endpoint_until_it_reports() -> None:
-    """A tool writes over one endpoint's row what is no document at all.
+def test_an_overwritten_row_suspends_its_endpoint_until_it_reports() -> None:
+    """A tool overwrites the row of one endpoint with a malformed document.
 
-    The endpoint gets no new work, its neighbour does; its next report brings it back.
+    The endpoint gets no new work, its neighbour does; its next report restores it.
     """
 
     async def work(running: Deployment) -> None:
@@ -161,11 +161,11 @@
     with_deployment(work)
 
 
-def test_silent_connections_are_found_and_changes_are_heard() -> None:
+def test_silent_connections_are_detected_and_changes_received() -> None:
     """All open connections to the store fall silent for good, without a reset.
 
-    New ones work. A new configuration and the word of an endpoint that leaves lie
-    in the store, and the long polls that should tell them never end.
+    New ones work. A new configuration and the draining report of an endpoint are in the
+    store, and the long polls that should deliver them never end.
     """
 
     async def work(running: Deployment) -> None:
@@ -181,11 +181,11 @@
     with_deployment(work)
 
 
-def test_history_dropped_after_a_silent_change_is_made_up_for() -> None:
+def test_history_dropped_after_a_silent_change_is_recovered() -> None:
     """An endpoint leaves while the feed is silent, and the history is dropped.
 
-    The feed is cut, and reads are behind for a while. Taken, a stale read would
-    follow from a state in which the endpoint is there.
+    The feed is interrupted, and reads are behind for a while. If a stale read were
+    applied, the feed would resume from a state that still lists the endpoint.
     """
 
     async def work(running: Deployment) -> None:
@@ -206,8 +206,8 @@
 def test_an_outage_of_the_store_costs_no_endpoint() -> None:
     """Rows expire while the store is down, though their endpoints serve.
 
-    One reports again after the return and stays in use all the while; the other
-    has crashed and is gone some time after the return.
+    One reports again after the recovery and stays in use all the while; the other has
+    crashed and is removed some time after the recovery.
     """
 
     async def work(running: Deployment) -> None:
--- a/tests/unit/directory/test_peer_feed.py
+++ b/tests/unit/directory/test_peer_feed.py
@@ -1,4 +1,4 @@
-"""Tests of following the endpoints by peers' words that nothing has changed."""
+"""Tests of following endpoints by feed updates from peers."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -31,8 +31,8 @@
 
 
 @contextmanager
-def hearing_world() -> Iterator[DirectoryWorld]:
-    """Give a directory that has read up to version 9 and goes by peers' words."""
+def receiving_world() -> Iterator[DirectoryWorld]:
+    """Provide a directory at version 9 that relies on feed updates of peers."""
     with directory_world() as world:
         world.directory.peer_feed.is_reader = False
         world.endpoints(page(9, listed("a", 4)))
@@ -41,31 +41,31 @@
 
 @contextmanager
 def reading_world() -> Iterator[tuple[DirectoryWorld, list[FeedUpdate]]]:
-    """Give a directory that reads for others, and what it tells them."""
-    told: list[FeedUpdate] = []
+    """Provide a directory that reads for its peers, and its feed updates."""
+    updates: list[FeedUpdate] = []
     with directory_world() as world:
         world.directory.peer_feed.has_followers = True
-        world.directory.peer_feed.publish = told.append
+        world.directory.peer_feed.publish = updates.append
         world.endpoints(page(9, listed("a", 4)))
-        yield world, told
+        yield world, updates
 
 
-def hear(world: DirectoryWorld, since: int, followed: int) -> None:
-    """Let a peer tell that nothing has changed between two versions."""
+def receive_update(world: DirectoryWorld, since: int, followed: int) -> None:
+    """Deliver a feed update: nothing has changed between two versions."""
     world.directory.peer_feed.receive(PEER, FeedUpdate(since, followed), NOW)
 
 
 def covered_steps(world: DirectoryWorld, count: int = 1) -> None:
-    """Make steps for which the store has no answer, as none is asked for."""
+    """Run steps that need no call; the store has no scripted answer."""
     for _ in range(count):
         world.endpoints(page(0))
         world.listing.replies.clear()
 
 
 def test_eight_of_a_large_fleet_read_and_all_agree_which() -> None:
-    """195 instances, each asking the store twice a second, are most of its calls.
+    """195 instances, each polling the store twice a second, are most of its load.
 
-    Each works out for itself whether it is one of those that ask for all.
+    Each instance computes for itself whether it is one of the readers.
     """
     readers = []
     for own in FLEET:
@@ -92,41 +92,41 @@
     case.assertEqual(FEED_READERS, len(after))
 
 
-def test_all_of_a_small_fleet_read_and_tell_nobody() -> None:
-    told: list[FeedUpdate] = []
+def test_all_of_a_small_fleet_read_and_publish_no_updates() -> None:
+    updates: list[FeedUpdate] = []
     feed = PeerFeed(ManualClock())
-    feed.publish = told.append
+    feed.publish = updates.append
     feed.select_readers(FLEET[0], FLEET[1:FEED_READERS])
     case.assertTrue(feed.is_reader)
     feed.publish_answer(FeedUpdate(4, 9), feed.clock.monotonic(), SECOND)
-    case.assertEqual([], told)
+    case.assertEqual([], updates)
 
 
-def test_a_fresh_word_spares_the_call() -> None:
-    with hearing_world() as world:
-        hear(world, 4, 12)
+def test_a_fresh_update_saves_the_call() -> None:
+    with receiving_world() as world:
+        receive_update(world, 4, 12)
         covered_steps(world, 3)
         case.assertEqual([None], world.listing.asked)
         case.assertEqual(12, world.directory.endpoint_follower.position)
 
 
-def test_a_change_that_was_not_heard_is_asked_for() -> None:
-    with hearing_world() as world:
-        hear(world, 11, 12)
+def test_a_change_that_was_not_received_is_polled() -> None:
+    with receiving_world() as world:
+        receive_update(world, 11, 12)
         world.endpoints(page(12, listed("b", 11)))
         case.assertEqual([None, 9], world.listing.asked)
         covered_steps(world)
         case.assertEqual([None, 9], world.listing.asked)
 
 
-def test_the_store_is_asked_when_the_word_grows_old() -> None:
-    """All readers die at once, and an endpoint leaves just then.
+def test_the_store_is_polled_when_updates_are_old() -> None:
+    """All readers exit at once, and an endpoint leaves at the same time.
 
-    An instance that waited for their next words would send it calls for as long as
-    it takes to notice their silence, some seconds.
+    An instance that waited for their next updates would send the endpoint calls for as
+    long as it takes to detect their silence, some seconds.
     """
-    with hearing_world() as world:
-        hear(world, 4, 9)
+    with receiving_world() as world:
+        receive_update(world, 4, 9)
         world.pass_time((MAX_UPDATE_AGE - SECOND / 10).total_seconds())
         pause = world.endpoints(page(0))
         case.assertLessEqual(pause, SECOND / 9)
@@ -137,19 +137,19 @@
         case.assertIsNone(world.state("a"))
 
 
-def test_a_frozen_readers_answer_is_not_told() -> None:
-    """A reader stands still with an answer unread, and an endpoint leaves meanwhile.
+def test_a_frozen_readers_answer_is_not_published() -> None:
+    """A reader freezes with an answer unread, and an endpoint leaves meanwhile.
 
-    Told as fresh when it wakes, the old answer would have its peers use the endpoint.
+    Published as fresh when it resumes, the old answer would keep the endpoint in use.
     """
-    with reading_world() as (world, told):
+    with reading_world() as (world, updates):
         world.endpoints(page(9))
-        case.assertEqual([FeedUpdate(9, 9)], told)
+        case.assertEqual([FeedUpdate(9, 9)], updates)
         stand_still_in_a_call(world, 5)
         world.endpoints(page(12))
-        case.assertEqual([FeedUpdate(9, 9)], told)
+        case.assertEqual([FeedUpdate(9, 9)], updates)
         world.endpoints(page(13))
-        case.assertEqual([FeedUpdate(9, 9), FeedUpdate(9, 13)], told)
+        case.assertEqual([FeedUpdate(9, 9), FeedUpdate(9, 13)], updates)
 
 
 def stand_still_in_a_call(world: DirectoryWorld, seconds: float) -> None:
@@ -157,7 +157,7 @@
     changes = world.listing.changes
 
     async def slowly(after: int, wait: timedelta) -> RowPage:
-        """Answer after a while."""
+        """Answer with a delay."""
         world.listing.changes = changes  # type: ignore[method-assign]
         world.pass_time(seconds)
         return await changes(after, wait)
@@ -165,50 +165,51 @@
     world.listing.changes = slowly  # type: ignore[method-assign]
 
 
-def test_a_reader_in_doubt_tells_nothing() -> None:
-    """The store was out, rows expired in it, and their endpoints serve on.
+def test_a_reader_with_held_removals_publishes_nothing() -> None:
+    """Rows expired during an outage of the store, and their endpoints still serve.
 
-    A reader that holds them would have its peers believe that all is as it was.
+    A reader that holds the removals would signal to its peers that nothing has changed.
     """
-    with reading_world() as (world, told):
+    with reading_world() as (world, updates):
         world.outage()
         world.endpoints(page(11, removed("a", 10)))
-        case.assertEqual([], told)
+        case.assertEqual([], updates)
         world.pass_time(2.5)
         world.endpoints(page(11), page(11))
-        case.assertEqual([FeedUpdate(10, 11)] * 2, told)
+        case.assertEqual([FeedUpdate(10, 11)] * 2, updates)
 
 
-def test_one_in_doubt_asks_the_store_whatever_peers_say() -> None:
-    """A row vanished in an outage; the endpoint has left, and must go after the doubt.
+def test_an_instance_with_held_removals_polls_the_store() -> None:
+    """A row expired in an outage; its endpoint left and must be removed after the hold.
 
-    By a peer's word that nothing changed it would be held for ever.
+    If feed updates of peers replaced the call, it would be held forever.
     """
-    with hearing_world() as world:
+    with receiving_world() as world:
         world.outage()
         world.endpoints(page(11, removed("a", 10)))
-        hear(world, 10, 11)
+        receive_update(world, 10, 11)
         world.pass_time(1)
         world.endpoints(page(11))
         case.assertEqual([None, 9, 9, 9, 11], world.listing.asked)
 
 
 def test_one_that_has_lost_the_store_is_not_told_that_it_answers() -> None:
-    with hearing_world() as world:
+    with receiving_world() as world:
         world.endpoints(DOWN)
-        hear(world, 4, 9)
+        receive_update(world, 4, 9)
         world.endpoints(DOWN)
         case.assertEqual([None, 9, 9], world.listing.asked)
 
 
 def test_an_outage_that_only_the_readers_met_costs_no_endpoint() -> None:
-    """The store is out for four seconds, and the rows of sound endpoints expire.
+    """The store is down for four seconds, and the rows of healthy endpoints expire.
 
-    One who goes by peers' words asks as these grow old. Its call waits out the rest of
-    the outage and is answered at its end, with removals, and no call has failed.
+    An instance that relies on peers polls when their updates get old. Its call waits
+    out the rest of the outage and is answered at its end, with removals, and no call
+    has failed.
     """
-    with hearing_world() as world:
-        hear(world, 4, 9)
+    with receiving_world() as world:
+        receive_update(world, 4, 9)
         covered_steps(world)
         world.pass_time(MAX_UPDATE_AGE.total_seconds())
         stand_still_in_a_call(world, 2)
--- a/tests/unit/directory/test_reader_machine.py
+++ b/tests/unit/directory/test_reader_machine.py
@@ -1,4 +1,4 @@
-"""What is believed by one who follows the endpoints by peers' words, in any trouble."""
+"""State machine test of a directory that relies on feed updates of peers."""
 
 from collections.abc import Coroutine, Generator
 from datetime import timedelta
@@ -33,7 +33,7 @@
 
 
 class Parked:
-    """Stands still once, until it is sent on."""
+    """An awaitable that suspends once, until it is resumed."""
 
     def __await__(self) -> Generator[None, None, None]:
         """Yield once."""
@@ -41,26 +41,26 @@
 
 
 class ReaderRows(ListedRows):
-    """The endpoints' rows, as a reader asks for them whose process may stand still.
+    """Endpoint rows as requested by a reader whose process may freeze.
 
     Attributes
     ----------
     cut : bool
-        Its calls get no answer.
+        Whether its calls get no answer.
     frozen : bool
-        Its process stands still from when the answer has come.
+        Whether its process is suspended once the answer has arrived.
     """
 
     cut = False
     frozen = False
 
     def refuse_if_down(self) -> None:
-        """Raise what a caller meets whose call gets no answer."""
+        """Raise the error of a call that gets no answer."""
         if self.cut or self.store.condition is Condition.DOWN:
             raise StoreUnavailableError("down")
 
     async def changes(self, after: int, wait: timedelta) -> RowPage:
-        """Answer at once, and take the answer when the process runs again."""
+        """Answer at once; the answer is processed when the process runs again."""
         page = await super().changes(after, wait)
         while self.frozen:
             await Parked()
@@ -68,12 +68,12 @@
 
 
 class Reader:
-    """A peer that follows the feed and tells of it.
+    """A peer that follows the feed and publishes updates of it.
 
     Attributes
     ----------
     dead : bool
-        It neither runs nor tells.
+        Whether it is stopped: it neither runs nor publishes.
     """
 
     def __init__(self, machine: "ReaderMachine", number: int) -> None:
@@ -94,7 +94,7 @@
         self.directory.add_listener(partial(machine.endpoint_told, self))
 
     def run(self) -> None:
-        """Go on as far as the process may."""
+        """Run as far as the process can."""
         if self.dead:
             return
         if self.step is None:
@@ -105,7 +105,7 @@
             self.step = None
 
     def die(self) -> None:
-        """End the process."""
+        """Stop the process."""
         if self.step is not None:
             self.step.close()
             self.step = None
@@ -113,24 +113,24 @@
 
 
 class ReaderMachine(DirectoryMachine):
-    """The same troubles for one whose peers read the feed, and have troubles too."""
+    """The same failures for an instance whose peers read the feed, and may fail."""
 
     late_peers = False
 
     def boot(self) -> None:
-        """Start the instance anew, and its peers with it."""
+        """Restart the instance, and its peers with it."""
         super().boot()
         self.words_lost = False
         self.directory.peer_feed.is_reader = False
         self.readers = [Reader(self, number) for number in range(READERS)]
 
     def feed_told(self, reader: Reader, word: FeedUpdate) -> None:
-        """Hand over a reader's word that nothing has changed."""
+        """Deliver a feed update of a reader: nothing has changed."""
         if not self.words_lost:
             self.directory.peer_feed.receive(reader.name, word, timedelta(0))
 
     def endpoint_told(self, reader: Reader, change: DirectoryChange) -> None:
-        """Hand over a reader's word that an endpoint takes no new work."""
+        """Deliver a message of a reader: an endpoint takes no new work."""
         if self.words_lost or isinstance(change, TableChanged):
             return
         endpoint = EndpointId(change.endpoint)
@@ -149,17 +149,17 @@
 
     @rule(which=WHICH, frozen=st.booleans())
     def reader_freezes(self, which: int, frozen: bool) -> None:
-        """Let a reader stand still with an answer in hand, or wake."""
+        """Freeze a reader with an unprocessed answer, or resume it."""
         self.readers[which].rows.frozen = frozen
 
     @rule(which=WHICH, cut=st.booleans())
     def reader_is_cut_off(self, which: int, cut: bool) -> None:
-        """Cut a reader off from the store, or mend that."""
+        """Disconnect a reader from the store, or reconnect it."""
         self.readers[which].rows.cut = cut
 
     @rule(which=WHICH)
     def reader_dies(self, which: int) -> None:
-        """End a reader, or start it anew."""
+        """Stop a reader, or restart it."""
         reader = self.readers[which]
         if reader.dead:
             self.readers[which] = Reader(self, which)
@@ -168,11 +168,11 @@
 
     @rule(lost=st.booleans())
     def words_are_lost(self, lost: bool) -> None:
-        """Lose all words between the readers and this instance, or none."""
+        """Lose all messages between the readers and this instance, or none."""
         self.words_lost = lost
 
     def teardown(self) -> None:
-        """Let the readers be sound as well at the end."""
+        """End the failures of the readers as well."""
         for reader in self.readers:
             reader.rows.frozen = reader.rows.cut = False
         super().teardown()
@@ -181,10 +181,10 @@
 
 
 def test_what_is_used_is_there_for_one_who_goes_by_peers_words() -> None:
-    """Readers freeze with an answer in hand, die, lose the store, and are not heard.
+    """Readers freeze with an answer, exit, lose the store, and lose messages.
 
-    One who takes their word that nothing has changed uses no endpoint that has left,
-    and loses none, whatever the store does meanwhile.
+    An instance that relies on their feed updates uses no endpoint that has left, and
+    loses none, whatever the store does meanwhile.
     """
     explore(ReaderMachine, EXAMPLES, STEPS)
 
--- a/tests/unit/directory/test_store_return.py
+++ b/tests/unit/directory/test_store_return.py
@@ -1,4 +1,4 @@
-"""Tests of how soon an instance follows the store again after a trouble."""
+"""Tests of how soon an instance follows the store again after a failure."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,21 +21,21 @@
 case = TestCase()
 
 Scenario = Callable[[VirtualStore, ManualClock, float], Awaitable[float]]
-"""Has an outage of some seconds; returns the time from its end to the newest change."""
+"""Runs an outage of some seconds; returns the time from its end to the last change."""
 
 LONG_OUTAGES_S = (2.7, 3.3, 4.1, 5.6, 7.4, 9.8)
 SHORT_OUTAGES_S = (0.2, 0.6, 1.1, 1.9, 2.3)
 LONGEST_RETURN_S = 1.5
-"""From the store's return to the configuration in force, once the store is missed."""
+"""Bound from recovery to the active configuration, if the outage was detected."""
 LONGEST_UNNOTICED_S = 2.7
-"""The same if its return comes before it is missed: what finds a silent connection."""
+"""The same for an undetected outage: the time to find a silent connection."""
 SLOW_STORE_S = 6.0
 GIVEN_UP_S = 20.0
 INSTANCES = 7
 
 
 def slowest_return(scenario: Scenario, outages_s: tuple[float, ...]) -> float:
-    """Return the slowest of the returns after some outages."""
+    """Return the longest recovery time over several outages."""
     seen: list[float] = []
 
     async def work(outage_s: float, store: VirtualStore, clock: ManualClock) -> None:
@@ -49,7 +49,7 @@
 async def followed_since(
     store: VirtualStore, clock: ManualClock, seconds: float
 ) -> Follow:
-    """Return an instance that has been following a store for some seconds."""
+    """Return an instance that has followed a store for some seconds."""
     own = following_instance(store, clock, seed=1)
     store.configure(1)
     own.directory.start()
@@ -65,7 +65,7 @@
     outage_s: float,
     begins_s: float = 1.0,
 ) -> float:
-    """Have a trouble, and a change at its end."""
+    """Inject a failure, and write a change at its end."""
     own = await followed_since(store, clock, begins_s)
     store.set_trouble(trouble)
     await asyncio.sleep(outage_s)
@@ -79,12 +79,12 @@
 async def after_lost_history(
     store: VirtualStore, clock: ManualClock, outage_s: float, behind_s: float = 0.0
 ) -> float:
-    """Have a silence in which a change is made and the history is dropped.
+    """Run a silence in which a change is written and the history is dropped.
 
     Parameters
     ----------
     behind_s : float
-        For how long whole reads lack the change after it.
+        How long whole reads lack the change after the silence.
     """
     own = await followed_since(store, clock, 0.0)
     store.set_trouble(Trouble.SILENT)
@@ -101,14 +101,14 @@
 
 
 def test_return_of_a_silent_store_is_noticed_soon() -> None:
-    """A call sent into the silence must not put off the next one by its time-out."""
+    """A call sent during the silence must not delay the next by its timeout."""
     for trouble in (Trouble.SILENT, Trouble.UNREACHABLE):
         slowest = slowest_return(partial(after, trouble), LONG_OUTAGES_S)
         case.assertLess(slowest, LONGEST_RETURN_S)
 
 
 def test_return_of_a_refusing_store_is_noticed_soon() -> None:
-    """Pauses between refused calls must not grow past the time to apply a change."""
+    """Retry pauses must not grow past the time limit for applying a change."""
     for trouble in (
         Trouble.BUSY,
         Trouble.TOO_MANY,
@@ -120,7 +120,7 @@
 
 
 def test_silence_that_ends_before_it_is_noticed_is_bounded_too() -> None:
-    """A call that a short silence swallowed must end within its own time-out."""
+    """A call lost in a short silence must end within its own timeout."""
     for begins_s in (0.05, 0.3, 1.0):
         scenario = partial(after, Trouble.SILENT, begins_s=begins_s)
         slowest = slowest_return(scenario, SHORT_OUTAGES_S)
@@ -128,7 +128,7 @@
 
 
 def test_a_start_in_a_silence_ends_soon_after_it() -> None:
-    """An instance that starts while the store is silent must not wait out a read."""
+    """An instance started while the store is silent must not wait out a read."""
 
     async def start_in(
         store: VirtualStore, clock: ManualClock, outage_s: float
@@ -147,19 +147,19 @@
 
 
 def test_history_lost_in_a_silence_is_read_whole_soon() -> None:
-    """Refused history after a long silence must not cost another long pause."""
+    """A history error after a long silence must not add another long pause."""
     slowest = slowest_return(after_lost_history, LONG_OUTAGES_S)
     case.assertLess(slowest, LONGEST_RETURN_S)
 
 
 def test_reads_that_are_behind_after_a_silence_are_made_again_soon() -> None:
-    """Whole reads from an older state must not be paced by the silence before."""
+    """Retries of stale whole reads must not inherit the backoff of the silence."""
     scenario = partial(after_lost_history, behind_s=2.0)
     case.assertLess(slowest_return(scenario, LONG_OUTAGES_S), LONGEST_RETURN_S)
 
 
 def test_a_store_slower_than_any_time_out_is_still_followed() -> None:
-    """Calls sent again must not give up the answer that is on its way."""
+    """Repeated calls must not discard an answer that is in flight."""
 
     async def slowed_by(
         store: VirtualStore, clock: ManualClock, delay_s: float
@@ -176,7 +176,7 @@
 
 
 def fleet_of(store: VirtualStore, clock: ManualClock) -> list[Follow]:
-    """Return instances of a fleet that hand nothing to each other."""
+    """Return instances of a fleet that share no rows with each other."""
     fleet = [following_instance(store, clock, seed) for seed in range(INSTANCES)]
     for own in fleet:
         own.directory.peer_count = lambda: INSTANCES - 1
@@ -185,12 +185,12 @@
 
 
 async def all_until(fleet: list[Follow], number: int) -> list[float]:
-    """Return the seconds until each instance has a configuration in force."""
+    """Return the seconds until each instance applies a configuration."""
     return await asyncio.gather(*(own.until(number, GIVEN_UP_S) for own in fleet))
 
 
 def test_a_short_silence_right_after_a_change_is_bounded_without_peers() -> None:
-    """Calls that one change sent together must not all wait long in one silence."""
+    """Polls synchronized by one change must not all wait out one silence."""
     took: list[float] = []
 
     async def work(store: VirtualStore, clock: ManualClock) -> None:
@@ -213,7 +213,7 @@
 
 
 def test_instances_that_a_change_woke_together_ask_apart() -> None:
-    """Peers that wait at the same instants would find a silent connection together."""
+    """Peers that poll in phase would all detect a silent connection together."""
     took: list[float] = []
 
     async def work(store: VirtualStore, clock: ManualClock) -> None:
--- a/tests/unit/directory/test_unreadable_rows.py
+++ b/tests/unit/directory/test_unreadable_rows.py
@@ -1,4 +1,4 @@
-"""Rows that cannot be read: their endpoints rest until the next readable row."""
+"""Tests of unreadable rows: endpoints are suspended until a readable row."""
 
 from unittest import TestCase
 
@@ -39,7 +39,7 @@
 
 
 def told(world: DirectoryWorld) -> set[str]:
-    """Return which endpoints listeners believe to get new work."""
+    """Return which endpoints get new work according to published changes."""
     last = {
         str(change.endpoint): change.entry.takes_new_work
         for change in world.published
@@ -53,11 +53,11 @@
 
 
 def test_an_endpoint_whose_row_is_overwritten_gets_no_new_work() -> None:
-    """A tool of the operator's writes over an endpoint's row by mistake.
+    """An operator tool overwrites the row of an endpoint by mistake.
 
-    What the row had said stayed in force, and calls went on to an endpoint whose word
-    was no longer there: whether it drains or where it listens, nobody knew. Its next
-    row of its own brings it back at once; the rest of the page holds all the while.
+    The former row stayed in force, and calls went on to an endpoint whose state and
+    address were no longer known. Its own next row restores it at once; the rest of the
+    page stays valid all the while.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4), listed("b", 5)))
@@ -78,7 +78,7 @@
 
 
 def test_an_older_row_of_a_peer_does_not_bring_it_back() -> None:
-    """A peer that has not heard of the overwritten row yet tells the one before."""
+    """A peer that has not received the overwritten row sends the one before."""
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, odd("a", 11)))
         world.directory.offer_endpoint(listed("a", 4))
@@ -89,8 +89,8 @@
         case.assertEqual(set(), used(world))
 
 
-def test_a_row_that_a_peer_mangled_is_taken_as_the_store_tells_it() -> None:
-    """A peer hands over a row of which it lost a part; the store has it whole."""
+def test_a_row_truncated_by_a_peer_is_applied_as_stored() -> None:
+    """A peer sends a truncated row; the store has it whole."""
     with directory_world() as world, caught_lines() as caught:
         world.endpoints(page(9, listed("a", 4)))
         world.directory.offer_endpoint(odd("a", 11))
@@ -113,9 +113,9 @@
 
 
 def test_an_endpoint_that_drains_goes_on_draining_behind_any_row() -> None:
-    """The row of one that leaves is overwritten, and then its last ready row lands.
+    """The row of a draining endpoint is overwritten; its last ready row arrives late.
 
-    It has said that it leaves, whatever stands in its row afterwards.
+    It has reported that it drains, whatever its row contains afterwards.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(11, listed("a", 11, "draining")))
@@ -133,8 +133,8 @@
         case.assertEqual(EndpointState.DRAINING, world.state("a"))
 
 
-def test_one_that_is_back_is_not_used_by_the_word_before_an_overwritten_row() -> None:
-    """A gone endpoint's row is there again, and is overwritten before it has lasted."""
+def test_a_returned_endpoint_is_not_used_by_the_row_before_an_overwritten_one() -> None:
+    """A row reappears after removal and is overwritten before it has persisted."""
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(12, removed("a", 12)))
         world.endpoints(page(20, listed("a", 20)), page(21, odd("a", 21)))
@@ -148,9 +148,9 @@
 
 
 def test_an_overwritten_row_that_expires_around_an_outage_may_come_back() -> None:
-    """The store goes down, a row that cannot be read expires, the endpoint reports.
+    """The store fails, an unreadable row expires, the endpoint reports.
 
-    Taken for gone for sure, it would wait for seconds until its row has lasted.
+    Treated as a certain removal, it would wait for seconds until its row has persisted.
     """
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4)), page(11, odd("a", 11)))
@@ -171,7 +171,7 @@
         case.assertIsNone(world.state("b"))
 
 
-def test_a_later_life_begins_over_an_overwritten_row() -> None:
+def test_a_later_incarnation_replaces_an_overwritten_row() -> None:
     with directory_world() as world:
         world.endpoints(page(9, listed("a", 4, "ready 10.0.0.1:80 50")))
         world.endpoints(page(11, odd("a", 11)))
@@ -182,9 +182,9 @@
 
 
 def test_a_change_has_one_line_of_bounded_length() -> None:
-    """A tool writes over a row each second, and the row stands for a day.
+    """A tool overwrites a row each second, and the row stays for a day.
 
-    Each writing, each whole read and each peer's hand-over wrote a line, as long as
+    Each write, each whole read and each transfer from a peer logged a line, as long as
     the row.
     """
     with directory_world() as world, caught_lines() as caught:
@@ -200,7 +200,7 @@
     case.assertLess(max(len(str(line)) for line in caught.lines), 1000)
 
 
-def test_a_configuration_that_cannot_be_read_is_told_once() -> None:
+def test_an_unreadable_configuration_is_logged_once() -> None:
     with directory_world() as world, caught_lines() as caught:
         world.configuration(page(9, configured(3, 4)))
         bad = Row("configuration", "", "it", LONG.encode(), 10)
@@ -220,7 +220,7 @@
 def test_the_newest_row_says_who_gets_new_work(
     writes: list[tuple[str, str]], data: st.DataObject
 ) -> None:
-    """Whatever is written in which order, told in whichever pages, with old words."""
+    """Rows arrive in any order and in any pages, with old rows among them."""
     rows = [
         removed(key, at) if word == "gone" else listed(key, at, word)
         for at, (key, word) in enumerate(writes, 1)
