--- a/src/mimosafork/directory/directory.py
+++ b/src/mimosafork/directory/directory.py
@@ -70,8 +70,8 @@
     of all instances stall at once, the first to detect it reads the configuration and
     sends it to its peers. The polls of the instances are spread over time, so with this
     timeout one of them detects it within the usual time, except with a probability of
-    `MISSED_DETECTION_PROBABILITY`. Longer polls save calls to the store: 0.6 of them
-    for 64 instances.
+    `MISSED_DETECTION_PROBABILITY`. Longer polls save calls to the store; with 64
+    instances they save a share of 0.6.
 
     Parameters
     ----------
--- a/src/mimosafork/directory/endpoint_registry.py
+++ b/src/mimosafork/directory/endpoint_registry.py
@@ -22,7 +22,8 @@
 """Listing fields whose change alone is not published, with fixed values to compare."""
 
 ROW_EXPIRY = timedelta(milliseconds=3900)
-"""Longer than the time after which a row without new reports expires."""
+"""Time for which the row of a removed endpoint must exist again before the endpoint is
+restored; longer than the time after which a row without new reports expires."""
 
 
 class Removal(msgspec.Struct, frozen=True):
@@ -116,16 +117,16 @@
         if origin is UpdateOrigin.PEER and self.is_stale_peer_row(endpoint, row):
             return None
         removal = self.removals.get(endpoint)
-        # Guard: a stale read, or a last report that crossed the removal, arrives
-        # after the endpoint is gone. Applied, it would send calls to an address that
+        # A stale read, or a last report that crossed the removal, may arrive after the
+        # endpoint is gone. Without this check, it would send calls to an address that
         # may have been reused. Rows that disappeared around an outage are restored
         # immediately, others only after their row has persisted.
         if removal is not None and row.version <= removal.row.version:
             return None
         listed = self.source.decode(row)
-        # Guard: a late row of a previous incarnation may say that it drains, or that
-        # it is ready at an address that has been reused. It must not affect the
-        # current incarnation.
+        # A late row of a previous incarnation may say that it drains, or that it is
+        # ready at an address that has been reused. Without this check, it would affect
+        # the current incarnation.
         started_ms = self.latest_start_ms(endpoint)
         if listed.started_before(started_ms):
             return None
@@ -154,8 +155,8 @@
     def record_unreadable(self, row: Row) -> bool:
         """Record a row that cannot be decoded; return whether the endpoint had none.
 
-        Guard: a row that is overwritten every second, read again in a snapshot or sent
-        by all peers would otherwise be logged each time.
+        Without this record, a row that is overwritten every second, read again in a
+        snapshot or sent by all peers would be logged each time.
         """
         endpoint = EndpointId(row.key)
         known, before = self.entries.get(endpoint), self.unreadable.get(endpoint)
@@ -168,9 +169,9 @@
     def suspend(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
         """Suspend an endpoint whose row was replaced by one that cannot be decoded.
 
-        Guard: the previous row no longer tells whether the endpoint drains or whose
-        address it has. The endpoint must not be used by its previous row, nor by the
-        row with which it reappeared. A draining endpoint keeps draining.
+        The previous row no longer tells whether the endpoint drains or whose address it
+        has. Without this, the endpoint would still be used by its previous row, or by
+        the row with which it reappeared. A draining endpoint keeps draining.
 
         Returns
         -------
@@ -220,9 +221,9 @@
     def is_stale_peer_row(self, endpoint: EndpointId, row: Row) -> bool:
         """Return whether a peer's row is of an endpoint that the store no longer lists.
 
-        Guard: a peer that is behind may send the row of an endpoint that left before
-        this instance read the list. Applied, it would stay forever, as the store sends
-        no removal after the read, and its address may have been reused.
+        A peer that is behind may send the row of an endpoint that left before this
+        instance read the list. Without this check, the endpoint would stay forever, as
+        the store sends no removal after the read, and its address may have been reused.
         """
         return endpoint not in self.entries and row.version <= self.followed_up_to
 
@@ -234,9 +235,9 @@
         """Record that the row of a removed endpoint exists again.
 
         An endpoint that is partitioned from the store, but not from its callers, is
-        removed when its row expires and reports again after the partition; excluded
-        for good, each partition would cost the endpoints of its zone. A late report
-        of an endpoint that has really left is its last one, and the row expires
+        removed when its row expires and reports again after the partition. If it were
+        excluded for good, each partition would cost the endpoints of its zone. A late
+        report of an endpoint that has really left is its last one, and the row expires
         again. A reappeared endpoint that drains is treated as removed for good.
         """
         if listed.state is not ListedState.READY:
@@ -271,7 +272,7 @@
         known = self.entries.get(endpoint)
         if known is None or known.state is EndpointState.DRAINING:
             return None
-        # Guard: a late update of a previous incarnation would drain the current one.
+        # Without this, a late update of an earlier incarnation would drain this one.
         if version < known.started_version:
             return None
         entry = replace(known, state=EndpointState.DRAINING)
@@ -291,9 +292,9 @@
             self.removals.pop(listed.endpoint, None)
             self.entries[listed.endpoint] = entry
             return EndpointChanged(entry, origin)
-        # Guard: a ready update written before the draining one may arrive after it.
-        # Applied, it would send calls to an endpoint that is about to exit. A draining
-        # id never gets new work again.
+        # A ready update written before the draining one may arrive after it. Without
+        # this, it would send calls to an endpoint that is about to exit. A draining id
+        # never gets new work again.
         if known.state is EndpointState.DRAINING:
             return None
         if known.state is EndpointState.UNREADABLE:
@@ -330,9 +331,9 @@
         """Apply the update that a row was removed."""
         endpoint = EndpointId(row.key)
         known = self.entries.get(endpoint)
-        # Guard: a peer may send a removal that is older than the row that reappeared.
-        # The store sends an unchanged row only once, so nothing would ever restore
-        # the endpoint.
+        # A peer may send a removal that is older than the row that reappeared. Without
+        # the comparison of versions, nothing would ever restore the endpoint, as the
+        # store sends an unchanged row only once.
         reappeared = self.reappeared.get(endpoint)
         if reappeared is not None and row.version >= reappeared.row.version:
             del self.reappeared[endpoint]
@@ -342,9 +343,9 @@
             return None
         if row.version < known.row.version:
             return None
-        # Guard: rows expire while the store is down although their endpoints serve.
-        # Applied immediately, an outage would remove all endpoints. Those that were
-        # ready stay in use until `resolve_missing` finds them still missing.
+        # Rows expire while the store is down although their endpoints serve. Without
+        # this, an outage would remove all endpoints. Those that were ready stay in use
+        # until `resolve_missing` finds them still missing.
         if known.takes_new_work and self.health.is_uncertain:
             return self.keep_missing(known, row, origin)
         confirmed = known.missing_version is None
@@ -369,8 +370,8 @@
     ) -> EndpointChanged:
         """Mark an endpoint as gone.
 
-        Guard: the removal of a draining endpoint is confirmed, also if its row was
-        missing. Otherwise a late ready row from before would restore it immediately.
+        The removal of a draining endpoint is confirmed, also if its row was missing.
+        Otherwise a late ready row from before would restore it immediately.
         """
         del self.entries[known.listed.endpoint]
         confirmed = confirmed or known.state is EndpointState.DRAINING
@@ -407,9 +408,10 @@
 
         Endpoints with an update newer than the snapshot are not affected.
 
-        Guard: this includes reappeared endpoints whose rows have yet to persist. If
-        such a row was removed while the feed was interrupted, only its absence from the
-        snapshot shows it; otherwise the endpoint would be used after it has exited.
+        The removals include those of reappeared endpoints whose rows have yet to
+        persist. If such a row was removed while the feed was interrupted, only its
+        absence from the snapshot shows it; otherwise the endpoint would be used after
+        it has exited.
         """
         present = {row.key for row in rows}
         known = dict(self.unreadable)
--- a/src/mimosafork/directory/follower.py
+++ b/src/mimosafork/directory/follower.py
@@ -53,7 +53,7 @@
         ...
 
     def longest_wait(self, usual: timedelta) -> timedelta:
-        """Return the timeout of the next long poll."""
+        """Return the longest timeout of the next long poll, given the usual one."""
         ...
 
     def apply_no_change(self, version: int) -> None:
--- a/src/mimosafork/endpoints/connector.py
+++ b/src/mimosafork/endpoints/connector.py
@@ -150,7 +150,7 @@
         Raises
         ------
         OpenError
-            With NEVER_SENT only if no connection was made.
+            With NEVER_SENT only if no byte of the request was sent.
         """
         dispatch = job.dispatch
         self._time_left(job)
--- a/src/mimosafork/gateway/call_log.py
+++ b/src/mimosafork/gateway/call_log.py
@@ -96,7 +96,7 @@
         refusal: CallRefusal,
         table: RoutingTable | None,
     ) -> None:
-        """Log a call that matches no route or key."""
+        """Log a call that is refused before it is submitted to the kernel."""
         if self.meter is not None:
             self.meter.count_rejected_call(refusal.reason)
         inputs = self.instance_view.inputs(ServiceId(""))
--- a/src/mimosafork/gateway/gauges.py
+++ b/src/mimosafork/gateway/gauges.py
@@ -58,7 +58,7 @@
     Parameters
     ----------
     gateway : Gateway
-    instance_view : Outlook
+    instance_view : LiveInstanceView
         Current state of endpoints and peers.
     store : StoreCallCounts or None
     """
--- a/src/mimosafork/gateway/policies/placing.py
+++ b/src/mimosafork/gateway/policies/placing.py
@@ -98,7 +98,7 @@
         self.placed_attempts: dict[RequestId, AttemptNumber] = {}
         """Number of each call's attempt whose load is tracked."""
         self.hedged_attempts: dict[RequestId, AttemptNumber] = {}
-        """Number of each call's stalled attempt that stays open beside a hedged one."""
+        """Number of each call's hedged attempt, open beside the next one."""
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
         """Look up the plug-ins that this one uses."""
@@ -295,7 +295,7 @@
             self._end_load(request_id, context)
 
     def _forget_hedged(self, request_id: RequestId) -> bool:
-        """Stop tracking the stalled attempt of a hedged call; return if there was one.
+        """Stop tracking the hedged attempt of a call; return whether there was one.
 
         It occupies a slot of its engine until it ends, and is tracked under its own id.
         """
@@ -344,7 +344,7 @@
 
 
 def hedged_id(request_id: RequestId) -> RequestId:
-    """Return the tracking id of a call's stalled attempt beside a hedged one."""
+    """Return the tracking id of a call's hedged attempt."""
     return RequestId(f"{request_id} hedged")
 
 
--- a/src/mimosafork/gateway/policies/reserving.py
+++ b/src/mimosafork/gateway/policies/reserving.py
@@ -56,9 +56,9 @@
 renewal is due."""
 
 RENEWAL_MARGIN = timedelta(milliseconds=1100)
-"""A reservation is renewed when this much of its time is left. Late, because an order
-that is executed seconds after its arrival counts from its arrival and undoes later
-renewals; but early enough to repeat an order that got no answer."""
+"""A reservation is renewed when this much of its time is left. Not earlier, because an
+order that is executed seconds after its arrival counts from its arrival and undoes
+later renewals; not later, so that an order without an answer can be repeated."""
 
 RENEWAL_RETRY_DELAY = timedelta(milliseconds=200)
 """Delay before a failed renewal is repeated."""
--- a/src/mimosafork/gateway/policies/retry_budget.py
+++ b/src/mimosafork/gateway/policies/retry_budget.py
@@ -94,13 +94,15 @@
     """Requests and retries of one service at this instance, within a sliding window.
 
     In each span of up to a window that ends now, retries are limited to the burst plus
-    what the requests of that same span earn. Counting the requests of the window before
-    each retry instead would let every instance send most after its own busiest seconds;
-    these differ, so the fleet would exceed what any one of its windows earns.
-
-    Without a burst there could never be a first retry. An instance whose requests of
-    the last window earn several may save one, and then earns at half the ratio: the
-    other half of that window's earnings pays for the saved retry across the fleet.
+    what the requests of that same span earn. If the requests of the window before each
+    retry were counted instead, every instance would send most after its own busiest
+    seconds; these differ, so the fleet would send more than any one window earns.
+
+    Without a burst there could never be a first retry. An instance without one
+    therefore gets a burst of one retry if its requests of the last window earn at least
+    `MIN_EARNED_TO_SAVE`. It then earns at half the ratio; the other half pays for the
+    saved retry. In its first window after a restart it gets the burst at the full
+    ratio, as only what it has earned since the restart is sent.
 
     A retry is reserved when it is decided and keeps its reservation until it is sent,
     as it may wait for an endpoint and later reservations must not displace it. It is
--- a/src/mimosafork/gateway/policies/retrying.py
+++ b/src/mimosafork/gateway/policies/retrying.py
@@ -47,7 +47,7 @@
 
 @register("budgeted-retry")
 class BudgetedRetry(RetryPolicy):
-    """Retries repeatable calls, limited by attempts, time and a budget.
+    """Retries calls that may run again, limited by attempts, time and a budget.
 
     In each window, the retries of the whole fleet are limited to a ratio of its
     requests plus a slack. Each instance may use the ratio of its own requests and its
@@ -128,7 +128,9 @@
             allowance.reserve(record.request_id)
 
     def charge_retry(self, request: Request, context: Context) -> bool:
-        """Count a call that is about to be sent; return whether the budget allows it.
+        """Count a call that is about to be sent if it is a retry.
+
+        Returns whether it may be sent: False if it is a retry beyond the budget.
 
         A retry may have waited for capacity or for a reachable endpoint, and the
         requests that earned it may have left the window. It is counted at this time.
@@ -178,7 +180,7 @@
         )
 
     def limits(self) -> RetryLimits:
-        """Return the retry limits of this instance for a service."""
+        """Return this instance's retry limits, the same for each service."""
         share = self.slack_share()
         return RetryLimits(self.ratio, share.portion_of(self.slack), share.restarted_at)
 
--- a/src/mimosafork/gateway/pool.py
+++ b/src/mimosafork/gateway/pool.py
@@ -27,9 +27,9 @@
 
     Attributes
     ----------
-    fresh_within : timedelta or None
+    max_idle : timedelta or None
         Maximum idle time of a pooled connection; None for any.
-    proven : bool
+    proven_since_break : bool
         Whether a pooled connection must have carried a response since the last time
         that any connection broke.
     """
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    broke_at : timedelta or None
+    last_broken_at : timedelta or None
         Monotonic time at which a connection last broke under a call.
     """
 
--- a/src/mimosafork/gateway/response_reader.py
+++ b/src/mimosafork/gateway/response_reader.py
@@ -89,7 +89,7 @@
 
         Raises
         ------
-        BadAnswerError
+        BadResponseError
             If a response is expected and the bytes are malformed.
         """
         self.non_body_bytes += len(data)
--- a/src/mimosafork/kernel/core.py
+++ b/src/mimosafork/kernel/core.py
@@ -61,7 +61,7 @@
 
     Parameters
     ----------
-    identity : Identity
+    identity : InstanceIdentity
     clock : Clock
     random : random.Random
         Seeded by the caller.
@@ -93,8 +93,9 @@
             finishers=_all_of(plugins, Finisher),
         )
         # Bound once: each attribute access of a singledispatchmethod creates a new
-        # function, which costs as much as the dispatch. With Gateway and Gossip this
-        # was 7,972 of 66,152 function calls a second under overload with 64 instances
+        # function, which costs as much as the dispatch. Together with the
+        # handlers of the gateway and the gossip this was 7,972 of 66,152 function calls
+        # a second under overload with 64 instances
         # (`python -m benchmarks.instance_cost`).
         self.step: Callable[[Message, Context], None] = self.advance
         self.listeners: dict[type[Message], list[Callable[..., None]]] = {}
--- a/src/mimosafork/kernel/fleet.py
+++ b/src/mimosafork/kernel/fleet.py
@@ -65,7 +65,7 @@
         The endpoint reports that it is draining.
     draining_at : timedelta
         Time of that report.
-    own : dict of RequestId to OwnDispatch
+    own_requests : dict of RequestId to OwnDispatch
         This instance's in-flight requests there.
     """
 
--- a/src/mimosafork/kernel/lifecycle.py
+++ b/src/mimosafork/kernel/lifecycle.py
@@ -1,7 +1,7 @@
 """Request lifecycle: review, queue, attempts, conclusion.
 
-The only module that changes a record's state. The decisions at each step are made by
-plug-ins.
+Only this module and `hedging`, which it calls, change a record's state. The decisions
+at each step are made by plug-ins.
 """
 
 from collections import Counter
--- a/src/mimosafork/kernel/messages/dispatch.py
+++ b/src/mimosafork/kernel/messages/dispatch.py
@@ -34,9 +34,9 @@
 
     Attributes
     ----------
-    first : timedelta
+    first_event : timedelta
         Time until the first event of the answer.
-    further : timedelta
+    between_events : timedelta
         Time between two later events.
     """
 
--- a/src/mimosafork/kernel/messages/peers.py
+++ b/src/mimosafork/kernel/messages/peers.py
@@ -22,7 +22,7 @@
 class PeerValue:
     """Base class of the values that instances exchange.
 
-    A subclass is a frozen slotted dataclass; its codec registers itself in
+    A subclass is a frozen `msgspec.Struct`; its codec registers itself in
     `mimosafork.peers.kinds`.
     """
 
--- a/src/mimosafork/kernel/messages/quarantine.py
+++ b/src/mimosafork/kernel/messages/quarantine.py
@@ -69,7 +69,7 @@
 
     Attributes
     ----------
-    left_ms : int
+    remaining_ms : int
         Remaining time when the value was written; 0 ends the isolation.
     """
 
--- a/src/mimosafork/kernel/messages/routing.py
+++ b/src/mimosafork/kernel/messages/routing.py
@@ -47,7 +47,7 @@
 
     Attributes
     ----------
-    works : tuple of Work
+    works : tuple of InFlightRequest
         In times of this instance's clock.
     ended : tuple of RequestId
     """
--- a/src/mimosafork/kernel/plugins.py
+++ b/src/mimosafork/kernel/plugins.py
@@ -105,7 +105,7 @@
 class Wait(msgspec.Struct, frozen=True):
     """No endpoint should run the request now; it stays queued.
 
-    `reason` names the queue limit that was reached, for metrics.
+    `reason` is a short label of why it waits.
     """
 
     reason: str
--- a/src/mimosafork/kernel/records.py
+++ b/src/mimosafork/kernel/records.py
@@ -66,7 +66,7 @@
 
     Attributes
     ----------
-    settled : bool
+    confirmed : bool
         The store has confirmed the claim.
     """
 
@@ -127,7 +127,7 @@
 
     @property
     def current(self) -> Attempt | None:
-        """The newest attempt."""
+        """The newest attempt, or the hedged one that was restored; None before any."""
         return self.attempts[-1] if self.attempts else None
 
     @property
--- a/src/mimosafork/placement/admission.py
+++ b/src/mimosafork/placement/admission.py
@@ -11,7 +11,8 @@
 """Share of the expected answer length that is counted, as the expectation is often far
 off."""
 MIN_TAKEN_SLOT_SHARE = 0.5
-"""Nothing is rejected while less than this share of all slots is taken."""
+"""While less than this share of all slots is taken, only expensive reruns are
+rejected."""
 
 EXPENSIVE_PREFILL_MS = 2_000.0
 """Prefill time, over all engines together, that delays other requests too much to be
@@ -24,7 +25,7 @@
     step_ms: float,
     figures: EngineFigures,
 ) -> float:
-    """Return the milliseconds from now until an answer can be complete at best."""
+    """Return a low estimate of the milliseconds until an answer is complete."""
     steps = max(0.0, request.answer_tokens * COUNTED_ANSWER_SHARE - figures.stride)
     return first_token_ms + steps * step_ms
 
@@ -45,7 +46,7 @@
     Returns
     -------
     timedelta or None
-        None if there is time, or if most slots are free.
+        None if there is time, or if the request is placed anyway.
     """
     left_ms = request.time_left.total_seconds() * 1e3
     done_ms = finish_ms(
--- a/src/mimosafork/placement/choice.py
+++ b/src/mimosafork/placement/choice.py
@@ -141,18 +141,18 @@
 
 
 class WaitForCapacity(msgspec.Struct, frozen=True):
-    """Nothing is free now; to be placed again when a running request ends."""
+    """The request can't be placed now and is to be tried again later."""
 
     reason: Shortage
 
 
 class RejectRequest(msgspec.Struct, frozen=True):
-    """The request can't finish in time and is rejected at once.
+    """The request can't finish in time, or never fits, and is rejected at once.
 
     Attributes
     ----------
     retry_after : timedelta
-        Time after which there should be capacity.
+        Time after which the caller may try again.
     """
 
     retry_after: timedelta
--- a/src/mimosafork/placement/load_tracker.py
+++ b/src/mimosafork/placement/load_tracker.py
@@ -102,7 +102,7 @@
     committed_tokens : int
         Tokens of prompts and expected answers that it holds or will hold.
     context_tokens : int
-        Tokens that its decoding requests attend to in each step.
+        Prompt tokens of its decoding requests, which each step attends to.
     pause_limits : tuple of PauseLimit
         Of the requests that it hosts and that have a longest pause.
     """
--- a/src/mimosafork/placement/overload.py
+++ b/src/mimosafork/placement/overload.py
@@ -24,7 +24,7 @@
 none, must neither make a rejection meaningless nor keep an engine idle."""
 
 MIN_SLOT_RELEASE_TIME = timedelta(milliseconds=100)
-"""Rejections of one call that are closer together count as one observation."""
+"""Lower bound of `slot_release_time`; two rejections closer together show the same."""
 
 
 class OverloadReport(msgspec.Struct, frozen=True):
@@ -35,7 +35,8 @@
     unreported : int
         Requests that ran there beyond the reported ones.
     answer_time : timedelta
-        Duration of a typical answer; after it, the requests of that moment have ended.
+        Time after which the requests of that moment are assumed to have ended: the
+        duration of a typical answer, or longer after repeated reports.
     """
 
     received_at: timedelta
@@ -51,12 +52,12 @@
 class OverloadReports(msgspec.Struct):
     """The latest overload report of each engine that was overloaded recently.
 
-    Guard: an engine that seems the least loaded would get call after call, each finding
-    out for itself that the engine is overloaded and taking a retry from the budget of
-    all instances. A report counts as running requests for all calls of this instance.
-    It decays linearly over a typical answer time, as the ends of unreported requests
-    aren't reported either, and by one with each older request there that is reported
-    after all.
+    Without them, an engine that seems the least loaded would get call after call, each
+    finding out for itself that the engine is overloaded and taking a retry from the
+    budget of all instances. A report counts as running requests for all calls of this
+    instance. It decays linearly over its answer time, as the ends of unreported
+    requests aren't reported either, and by one with each older request there that is
+    reported after all.
     """
 
     by_endpoint: dict[EndpointId, OverloadReport] = msgspec.field(default_factory=dict)
@@ -64,8 +65,9 @@
     def record(self, endpoint: EndpointId, report: OverloadReport) -> None:
         """Record an overload report, which replaces an earlier one of the engine.
 
-        A second report soon after the engine seemed to have capacity means that more is
-        queued there than was estimated, so the report is kept for twice as long.
+        A report that replaces one that still counts means that more is queued there
+        than was estimated, so it lasts twice as long as the earlier one, up to
+        `MAX_ANSWER_TIME`.
         """
         now = report.received_at
         self.by_endpoint = {
@@ -134,10 +136,10 @@
 ) -> LoadCeiling:
     """Return the load ceiling of a call after a further engine has rejected it.
 
-    Guard: the unreported requests that filled one engine have filled those that seemed
-    as busy. A call that tries one after the other spends a retry each time without a
-    chance. After a first rejection, engines that seem idle are still tried, as an
-    engine may also reject calls without being overloaded.
+    The unreported requests that filled one engine have filled those that seemed as
+    busy. Without a ceiling, a call would try one after the other and spend a retry each
+    time without a chance. After a first rejection, engines that seem idle are still
+    tried, as an engine may also reject calls without being overloaded.
 
     Parameters
     ----------
--- a/src/mimosafork/placement/plan.py
+++ b/src/mimosafork/placement/plan.py
@@ -174,7 +174,11 @@
         return EngineCosts(done_ms, costs, ranks)
 
     def plan(self, size: int) -> Plan | None:
-        """Return the cheapest plan for a given number of engines, or None."""
+        """Return a plan for a given number of engines, or None.
+
+        Only the engines that cost least are tried: None if there are too few helpers,
+        or if the prompt doesn't fit into the memory of these engines.
+        """
         if len(self.helpers) < size - 1:
             return None
         costs_by_engine = self.costs_by_engine(self.prefill_ms(size))
@@ -212,7 +216,7 @@
         ]
 
     def cheapest(self) -> Plan | None:
-        """Return the cheapest plan, or None if no gang has enough memory."""
+        """Return the cheapest of the plans of all sizes; None if no size has one."""
         bounds = CostBounds(self)
         lower_bounds = {size: bounds.least_cost(size) for size in self.sizes()}
         best: Plan | None = None
@@ -262,7 +266,7 @@
     races: tuple[float, ...] = (),
     spread: float = NOISE_COST,
 ) -> Plan | None:
-    """Return the cheapest plan, or None if no engine has room.
+    """Return the cheapest plan found, or None if there is none.
 
     Parameters
     ----------
--- a/src/mimosafork/placement/prefill_time.py
+++ b/src/mimosafork/placement/prefill_time.py
@@ -9,8 +9,8 @@
 from .load_tracker import InFlightRequest, prefill_of
 
 OVERRUN_SHARE = 0.3
-"""Share by which prefill may exceed its prediction, which includes neither the steps of
-decoding requests nor the slowdown of the engine."""
+"""Share by which prefill may exceed its prediction, which includes the slowdown of the
+engine but not the steps of decoding requests."""
 
 
 class PrefillSpan(msgspec.Struct, frozen=True):
--- a/src/mimosafork/placement/race.py
+++ b/src/mimosafork/placement/race.py
@@ -19,10 +19,11 @@
 def race_costs(per_s: float, figures: EngineFigures) -> tuple[float, ...]:
     """Return the cost of a host by its free slots, from one to `MAX_CONTESTED_SLOTS`.
 
-    Guard: under high load, calls that start at several instances within one report
-    delay all choose the engine with one free slot. One gets the slot; the others queue
-    inside the engine until an answer ends, a second or more, and are late. The cost is
-    the probability that others take the free slots, times the loss of a late call.
+    Without this cost, calls that start under high load at several instances within one
+    report delay would all choose the engine with one free slot. One would get the slot;
+    the others would queue inside the engine until an answer ends, a second or more, and
+    be late. The cost is the probability that others take the free slots, times the loss
+    of a late call.
     """
     expected_others = per_s * REPORT_DELAY_S * SAME_ENGINE_SHARE
     lost = LATE_LOSS * value_of(figures.mean_prompt_tokens)
--- a/src/mimosafork/placement/spread.py
+++ b/src/mimosafork/placement/spread.py
@@ -22,8 +22,8 @@
 ) -> float:
     """Return the maximum random cost of an engine.
 
-    Guard: under high load, with reports a tenth of a second late or missing behind a
-    network partition, all instances fill one engine after the other: the latest
+    Without it, under high load, with reports a tenth of a second late or missing behind
+    a network partition, all instances would fill one engine after the other: the latest
     requests are unknown to all, and each engine seems the least loaded until it rejects
     calls. Where reports are on time and no engine is overloaded, the cost is
     `NOISE_COST`.
--- a/src/mimosafork/placement/subset.py
+++ b/src/mimosafork/placement/subset.py
@@ -18,8 +18,8 @@
 
 SUBSET_SIZE = 10
 """Engines that an instance uses: enough to prefill a prompt of 260,000 tokens in time.
-With 195 instances and 112 engines each engine is shared with some 35 other instances,
-so that an instance sends its reports to 35 peers instead of 194."""
+With 195 instances and 112 engines an instance shares engines with some 35 others, so
+that it sends its reports to 35 peers instead of 194."""
 MIN_ENGINES_FOR_SUBSETS = 2 * SUBSET_SIZE
 """With fewer engines, subsets would hardly be smaller than the whole."""
 
@@ -43,10 +43,10 @@
 def subset_rank(endpoint: EndpointId) -> tuple[int, EndpointId]:
     """Return the sort key of an engine in the order that subsets are cut from.
 
-    Guard: short prompts go to the front of an instance's engines and long ones to the
-    back, which keeps prefill away from decoding. With one order for both, an engine at
-    the front of one subset is at the back of its neighbour's, and each engine prefills
-    long prompts between the events of short answers.
+    Short prompts go to the front of an instance's engines and long ones to the back,
+    which keeps prefill away from decoding. Without a second order, an engine at the
+    front of one subset would be at the back of its neighbour's, and each engine would
+    prefill long prompts between the events of short answers.
     """
     return crc32(endpoint.encode(), SUBSET_CRC_SEED), endpoint
 
--- a/src/mimosafork/policies/cache_publisher.py
+++ b/src/mimosafork/policies/cache_publisher.py
@@ -21,13 +21,13 @@
 MAX_BATCH_MARKS = 128
 
 MAX_PUBLISHED_MARKS = 1024
-"""Limit on the marks of one engine that are published at a time."""
+"""Limit on the published marks of one engine."""
 
 INITIAL_PUBLISHED_MARKS = 256
 """Marks that a new watcher publishes at once, in its first summary."""
 
 BATCH_SLOTS = 8
-"""Batches that are kept under separate keys until all peers have received them."""
+"""Newest batches that are kept under separate keys, for peers that are behind."""
 SUMMARY_INTERVAL = timedelta(seconds=10)
 
 
@@ -37,9 +37,9 @@
 
     Attributes
     ----------
-    waiting : dict of int to int
+    pending : dict of int to int
         Marks stored since the last batch, with their tokens.
-    gone : set of int
+    evicted : set of int
         Published marks that were evicted since the last batch.
     """
 
--- a/src/mimosafork/policies/fair_shares.py
+++ b/src/mimosafork/policies/fair_shares.py
@@ -59,8 +59,9 @@
     """Penalizes the rank of requests of accounts that exceed their fair share.
 
     The fair share of an account is its weight's part of all work that is queued or
-    running on this instance. A sole account has no penalty, and neither has an
-    account's only request here, however long it is.
+    running on this instance; long and short prompts are counted separately. A sole
+    account has no penalty, and neither has an account's only long or only short prompt
+    here, however long it is.
     """
 
     order = 41
--- a/src/mimosafork/policies/gangs/placer.py
+++ b/src/mimosafork/policies/gangs/placer.py
@@ -61,8 +61,9 @@
 """Mean pause before a failed gang is retried."""
 
 MIN_RESERVATION_TTL = timedelta(seconds=10)
-"""Minimum time to live of a reservation, on top of the predicted time until its segment
-is prefilled. After it an engine frees the reservations of a crashed instance."""
+"""Time to live of a reservation, on top of twice the predicted time until the prefill
+of its segment begins; it ends with the deadline at the latest. After it an engine frees
+the reservations of a crashed instance."""
 
 
 @register("gangs")
--- a/src/mimosafork/policies/membership.py
+++ b/src/mimosafork/policies/membership.py
@@ -30,8 +30,8 @@
 """Watchers of an endpoint: with two, it stays watched when one of them fails."""
 
 WARM_UP = timedelta(seconds=10)
-"""Until then a new instance counts the listed instances as live. Without this, it
-would start by probing its whole zone alone."""
+"""Time after its start in which an instance counts the listed instances as live.
+Without this, it would start by probing its whole zone alone."""
 
 ZONE_PUBLISH_INTERVAL = timedelta(seconds=1)
 
--- a/src/mimosafork/policies/prediction.py
+++ b/src/mimosafork/policies/prediction.py
@@ -202,7 +202,10 @@
         return min(most_s, request.max_tokens * known.token_s)
 
     def _factor(self, request: Request) -> float:
-        """Return the learned factor of a length, or of the next shorter one."""
+        """Return the logarithm of the learned factor of a prompt length.
+
+        Without one, it is that of the next shorter length, or 0.
+        """
         factors = self.learned(request.target).factors
         band = band_of(request.prompt_tokens)
         found = factors.get(band)
--- a/src/mimosafork/policies/quarantine/isolation.py
+++ b/src/mimosafork/policies/quarantine/isolation.py
@@ -15,7 +15,7 @@
 RENEWAL_INTERVAL = timedelta(seconds=2)
 
 PROPAGATION_TIME = timedelta(seconds=1)
-"""Until peers have received an isolation, and this instance theirs."""
+"""Time until peers have received an isolation, and this instance has theirs."""
 
 MS = timedelta(milliseconds=1)
 
--- a/src/mimosafork/policies/quarantine/sole_run.py
+++ b/src/mimosafork/policies/quarantine/sole_run.py
@@ -113,18 +113,18 @@
         known = context.state.fleet.endpoints
         if not allowed and not any(name in known for name in crashed):
             return None
-        # A crash of a different endpoint is stronger evidence, while one is allowed.
+        # Other endpoints first: a crash of a further one is stronger evidence.
         allowed.sort(key=lambda name: name in crashed)
         return [serving[name] for name in allowed if self._is_usable(serving[name])]
 
     def _is_usable(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint may be up.
+        """Return whether a suspect may be sent to an endpoint that may be up.
 
         When a suspect has crashed an endpoint, its last report still shows it up and
-        idle, and it is already isolated. The next suspect would be sent there at
-        once: the symptom is a bystander that fails with its attempts used up although
-        hardly one ran. An incarnation whose connection broke in mid-answer gets no
-        suspect until the endpoint's own report shows whether it has ended.
+        idle, and it is already isolated. Without this check, the next suspect would be
+        sent there at once, and a harmless one would use up its attempts although hardly
+        one ran. An incarnation whose connection broke in mid-answer gets no suspect
+        until the endpoint's own report shows whether it has ended.
         """
         if endpoint.leaving or endpoint.unreachable_since is not None:
             return False
--- a/src/mimosafork/policies/recovery.py
+++ b/src/mimosafork/policies/recovery.py
@@ -47,10 +47,11 @@
 class Recovery(Plugin):
     """Decides which holdings to free while this instance has the cleaning lease.
 
-    Without it, the memory of streams, reservations and exported KV whose owner was
-    killed would stay taken. An owner that is only silent may be partitioned and still
-    serving, so its holdings stay until their deadline. The reasons to free a holding
-    never cease to apply, so an instance that lost its lease frees nothing wrongly.
+    If none were freed, the memory of streams, reservations and exported KV whose owner
+    was killed would stay taken. An owner that is only silent may be partitioned and
+    still serving, so its holdings stay until their deadline. The reasons to free a
+    holding never cease to apply, so an instance that lost its lease frees nothing
+    wrongly.
     """
 
     def __init__(self) -> None:
--- a/src/mimosafork/policies/retry.py
+++ b/src/mimosafork/policies/retry.py
@@ -103,7 +103,7 @@
     def decide(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> RetryDecision:
-        """Return a jittered backoff, or the final problem."""
+        """Return a retry after a jittered backoff, or the final problem."""
         if not self._may_run_again(record, failure, context):
             return GiveUp(Problem(ProblemCode.ENDPOINT_FAILED, failure.kind.value))
         reason = failure.refusal or failure.kind.value
@@ -136,9 +136,9 @@
     ) -> bool:
         """Return whether a retry adds no load to working endpoints.
 
-        The budget limits repeated work. An endpoint that redirects or has crashed did
-        none; charging its requests would fail all but the first twenty of those that
-        a crash interrupts.
+        The budget limits repeated work. An endpoint that redirects a request or can't
+        be reached has done none. If such retries were charged, all but the first twenty
+        of the requests that find an endpoint crashed would fail.
         """
         if failure.kind is FailureKind.UNREACHED or failure.refusal in REDIRECTING:
             return True
--- a/src/mimosafork/policies/rollout.py
+++ b/src/mimosafork/policies/rollout.py
@@ -170,7 +170,7 @@
             context.emit(command)
 
     def _all_states_known(self, engines: Iterable[Endpoint]) -> bool:
-        """Return whether each endpoint has been asked for its state.
+        """Return whether each state is known, unreadable, or being changed by an order.
 
         A new holder that sent orders before it knew which engines are loading would
         start as many loads again.
--- a/src/mimosafork/policies/rollout_steps.py
+++ b/src/mimosafork/policies/rollout_steps.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    had : frozenset of ModelId
+    seen : frozenset of ModelId
         Models that this incarnation of the engine has reported. One that is missing
         now was unloaded by a late order of an earlier lease holder and is loaded
         again.
--- a/src/mimosafork/recovery/task.py
+++ b/src/mimosafork/recovery/task.py
@@ -65,7 +65,7 @@
         self.send_to_kernel = send_to_kernel
 
     def receive(self, message: ListHoldings | FreeHolding) -> None:
-        """Make the call and report or log its result."""
+        """Make the call; report a listing, and log what was freed."""
         try:
             if isinstance(message, ListHoldings):
                 self._list(message)
--- a/src/mimosafork/routing/listing.py
+++ b/src/mimosafork/routing/listing.py
@@ -21,7 +21,8 @@
     Attributes
     ----------
     endpoint : EndpointId
-        New with most starts; one that restarts under its id has a later `started_ms`.
+        Usually a new one for each start; an endpoint that restarts under the same id
+        has a later `started_ms`.
     address : str
         ``IP:PORT``; reused by others after the endpoint is gone.
     slots : int
--- a/src/mimosafork/storage/instances.py
+++ b/src/mimosafork/storage/instances.py
@@ -282,7 +282,7 @@
         return self.next_read - self.clock.monotonic()
 
     def idle(self) -> None:
-        """Read the list once."""
+        """Read the list, post it and schedule the next read."""
         spread = 1 + JITTER * (2 * self.random.random() - 1)
         self.next_read = self.clock.monotonic() + self.period * spread
         try:
--- a/src/mimosafork/watch/task.py
+++ b/src/mimosafork/watch/task.py
@@ -107,7 +107,7 @@
         return min(min(due, default=now + LONGEST_IDLE) - now, LONGEST_IDLE)
 
     def idle(self) -> None:
-        """Start the calls that are due."""
+        """Start the probes and cache reads that are due."""
         now = self.clock.monotonic()
         for watch in self.watches.values():
             if not watch.probe_in_flight and watch.due <= now:
--- a/tests/support/call_rules.py
+++ b/tests/support/call_rules.py
@@ -44,8 +44,6 @@
         False once it is certain that it has not run.
     arrived : bool
         Whether its request has reached an endpoint, which may have rejected it.
-    events : int
-        Events of the whole call that its caller has received.
     hedged : bool
         Whether it is silent and stays open until another attempt answers.
     """
@@ -67,6 +65,8 @@
 
     Attributes
     ----------
+    events : int
+        Events that the caller has received.
     status : int or None
         Status of the final answer; None if the connection was cut or closed.
     failure_status : int or None
--- a/tests/support/model_store.py
+++ b/tests/support/model_store.py
@@ -164,7 +164,7 @@
         return RowPage(tuple(rows), self.version)
 
     def changes(self, table: StoredTable, after: int) -> RowPage:
-        """Return what changed after a version; raises `HistoryGoneError`."""
+        """Return what changed after a version; raises `HistoryExpiredError`."""
         if after < table.kept_from:
             raise HistoryExpiredError("forgotten")
         rows = tuple(row for row in table.log if row.version > after)
--- a/tests/support/retrying_fleet.py
+++ b/tests/support/retrying_fleet.py
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    fleet : RepeatingFleet
+    fleet : RetryingFleet
         Counts the calls that arrive at endpoints.
     """
 
--- a/tests/support/simulated_gateway.py
+++ b/tests/support/simulated_gateway.py
@@ -164,8 +164,8 @@
     ----------
     endpoint_by_address : dict
         The endpoint that listens at each address.
-    fates : dict
-        All attempts that have not ended, by their request.
+    open : list of SimulatedAttempt
+        All attempts that have not ended.
     """
 
     def __init__(self, seed: int = 1) -> None:
--- a/tests/support/virtual_callers.py
+++ b/tests/support/virtual_callers.py
@@ -167,12 +167,12 @@
 
     Parameters
     ----------
-    front : Front
+    handler : RequestHandler
         Handles their requests.
 
     Attributes
     ----------
-    accepting : callable
+    connection_factory : callable
         Returns the protocol of an accepted connection.
     """
 
