--- /dev/null
+++ b/src/mimosafork/directory/endpoint_registry.py
@@ -0,0 +1,477 @@
+"""The known endpoints, and the rules by which updates about them take precedence."""
+
+from collections.abc import Iterable
+from datetime import timedelta
+
+import msgspec
+from msgspec.structs import replace
+
+from ..clock import Clock
+from ..ids import EndpointId
+from ..routing.listing import ListedEndpoint, ListedState
+from .health import StoreHealth
+from .messages import DirectoryEntry, EndpointChanged, EndpointState, UpdateOrigin
+from .rows import Row
+from .sources import EndpointSource
+
+UNREPORTED_FIELDS = {
+    "sequence": 0,
+    "cold_remaining": timedelta(0),
+    "state": ListedState.READY,
+}
+"""Listing fields whose change alone is not published, with fixed values to compare."""
+
+ROW_EXPIRY = timedelta(milliseconds=3900)
+"""Time for which the row of a removed endpoint must exist again before the endpoint is
+restored; longer than the time after which a row without new reports expires."""
+
+
+class Removal(msgspec.Struct, frozen=True):
+    """An endpoint that is gone.
+
+    Attributes
+    ----------
+    row : Row
+        The update in raw form, for peers.
+    confirmed : bool
+        False if the row disappeared around an outage of the store, so that a newer
+        update of the endpoint itself restores it immediately.
+    learned_at : timedelta
+        Monotonic instant at which the removal was learned.
+    started_ms : int or None
+        Start time of the removed incarnation, if it was reported.
+    """
+
+    row: Row
+    confirmed: bool
+    learned_at: timedelta
+    started_ms: int | None = None
+
+
+class Reappearance(msgspec.Struct, frozen=True):
+    """A removed endpoint whose row exists again, and the instant it was seen."""
+
+    row: Row
+    listed: ListedEndpoint
+    seen_at: timedelta
+
+
+class EndpointRegistry:
+    """Derives the state of each endpoint from its rows.
+
+    The strictest update wins: gone over draining over ready. Versions order the updates
+    of one id; an endpoint usually gets a new id with each start.
+
+    Parameters
+    ----------
+    source : EndpointSource
+        Decodes the values of rows.
+    health : StoreHealth
+        Tells whether rows may be missing only because of an outage.
+    clock : Clock
+        Its monotonic scale is used.
+    removal_retention : timedelta
+        How long removals are kept.
+    """
+
+    def __init__(
+        self,
+        source: EndpointSource,
+        health: StoreHealth,
+        clock: Clock,
+        removal_retention: timedelta,
+    ) -> None:
+        self.source = source
+        self.health = health
+        self.clock = clock
+        self.removal_retention = removal_retention
+        self.entries: dict[EndpointId, DirectoryEntry] = {}
+        self.removals: dict[EndpointId, Removal] = {}
+        self.reappeared: dict[EndpointId, Reappearance] = {}
+        self.unreadable: dict[EndpointId, Row] = {}
+        """The newest rows that cannot be decoded, without their values."""
+        self.followed_up_to = 0
+        """Version up to which all changes were received from the store itself."""
+
+    @property
+    def has_missing(self) -> bool:
+        """Whether an endpoint is in use although its row is missing."""
+        return any(each.missing_version is not None for each in self.entries.values())
+
+    def apply(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
+        """Apply one update.
+
+        Returns
+        -------
+        EndpointChanged or None
+            None if nothing changes that is published.
+
+        Raises
+        ------
+        UnreadableRowError
+            If the row's value cannot be decoded.
+        """
+        if row.removed:
+            return self.apply_removal(row, origin)
+        endpoint = EndpointId(row.key)
+        if origin is UpdateOrigin.PEER and self.is_stale_peer_row(endpoint, row):
+            return None
+        removal = self.removals.get(endpoint)
+        # A stale read, or a last report that crossed the removal, may arrive after the
+        # endpoint is gone. Without this check, it would send calls to an address that
+        # may have been reused. Rows that disappeared around an outage are restored
+        # immediately, others only after their row has persisted.
+        if removal is not None and row.version <= removal.row.version:
+            return None
+        listed = self.source.decode(row)
+        # A late row of a previous incarnation may say that it drains, or that it is
+        # ready at an address that has been reused. Without this check, it would affect
+        # the current incarnation.
+        started_ms = self.latest_start_ms(endpoint)
+        if listed.started_before(started_ms):
+            return None
+        self.clear_unreadable(row)
+        if listed.started_after(started_ms):
+            return self.start_incarnation(row, listed, origin)
+        if removal is not None and removal.confirmed:
+            self.record_reappearance(row, listed)
+            return None
+        if listed.state is ListedState.DRAINING:
+            return self.apply_draining(row, listed, origin)
+        if endpoint in self.unreadable:
+            return None
+        return self.apply_ready(row, listed, origin)
+
+    def clear_unreadable(self, row: Row) -> None:
+        """Drop an unreadable row that a row of the same or a newer version replaces.
+
+        The version may be the same if a peer sent the row corrupted and the store then
+        returned it intact.
+        """
+        unreadable = self.unreadable.get(EndpointId(row.key))
+        if unreadable is not None and row.version >= unreadable.version:
+            del self.unreadable[EndpointId(row.key)]
+
+    def record_unreadable(self, row: Row) -> bool:
+        """Record a row that cannot be decoded; return whether the endpoint had none.
+
+        Without this record, a row that is overwritten every second, read again in a
+        snapshot or sent by all peers would be logged each time.
+        """
+        endpoint = EndpointId(row.key)
+        known, before = self.entries.get(endpoint), self.unreadable.get(endpoint)
+        if known is not None and row.version <= known.row.version:
+            return False
+        if before is None or row.version > before.version:
+            self.unreadable[endpoint] = replace(row, value=b"")
+        return before is None
+
+    def suspend(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
+        """Suspend an endpoint whose row was replaced by one that cannot be decoded.
+
+        The previous row no longer tells whether the endpoint drains or whose address it
+        has. Without this, the endpoint would still be used by its previous row, or by
+        the row with which it reappeared. A draining endpoint keeps draining.
+
+        Returns
+        -------
+        EndpointChanged or None
+            None if it got no new work before.
+        """
+        endpoint = EndpointId(row.key)
+        reappeared, known = self.reappeared.get(endpoint), self.entries.get(endpoint)
+        if reappeared is not None and row.version > reappeared.row.version:
+            del self.reappeared[endpoint]
+        if known is None or known.state is EndpointState.DRAINING:
+            return None
+        if row.version <= max(known.row.version, known.missing_version or 0):
+            return None
+        entry = replace(
+            known, row=row, state=EndpointState.UNREADABLE, missing_version=None
+        )
+        self.entries[endpoint] = entry
+        if known.state is EndpointState.UNREADABLE:
+            return None
+        return EndpointChanged(entry, origin, known)
+
+    def latest_start_ms(self, endpoint: EndpointId) -> int | None:
+        """Return the start time of the latest known incarnation of an id."""
+        known, removal = self.entries.get(endpoint), self.removals.get(endpoint)
+        if known is not None:
+            return known.listed.started_ms
+        return None if removal is None else removal.started_ms
+
+    def start_incarnation(
+        self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
+    ) -> EndpointChanged:
+        """Start a new incarnation of an id and discard the state of the previous one.
+
+        Otherwise an endpoint that drained and restarted under the same id would never
+        be used, as a draining id gets no new work again.
+        """
+        former = self.entries.get(listed.endpoint)
+        self.removals.pop(listed.endpoint, None)
+        self.reappeared.pop(listed.endpoint, None)
+        drains = listed.state is ListedState.DRAINING
+        state = EndpointState.DRAINING if drains else EndpointState.READY
+        entry = DirectoryEntry(listed, row, state, started_version=row.version)
+        self.entries[listed.endpoint] = entry
+        return EndpointChanged(entry, origin, former)
+
+    def is_stale_peer_row(self, endpoint: EndpointId, row: Row) -> bool:
+        """Return whether a peer's row is of an endpoint that the store no longer lists.
+
+        A peer that is behind may send the row of an endpoint that left before this
+        instance read the list. Without this check, the endpoint would stay forever, as
+        the store sends no removal after the read, and its address may have been reused.
+        """
+        return endpoint not in self.entries and row.version <= self.followed_up_to
+
+    def record_followed(self, version: int) -> None:
+        """Record the version up to which all changes were received from the store."""
+        self.followed_up_to = max(self.followed_up_to, version)
+
+    def record_reappearance(self, row: Row, listed: ListedEndpoint) -> None:
+        """Record that the row of a removed endpoint exists again.
+
+        An endpoint that is partitioned from the store, but not from its callers, is
+        removed when its row expires and reports again after the partition. If it were
+        excluded for good, each partition would cost the endpoints of its zone. A late
+        report of an endpoint that has really left is its last one, and the row expires
+        again. A reappeared endpoint that drains is treated as removed for good.
+        """
+        if listed.state is not ListedState.READY:
+            self.reappeared.pop(listed.endpoint, None)
+            self.record_removal(row, confirmed=True)
+            return
+        if listed.endpoint not in self.reappeared:
+            now = self.clock.monotonic()
+            self.reappeared[listed.endpoint] = Reappearance(row, listed, now)
+
+    def restore_reappeared(self, origin: UpdateOrigin) -> list[EndpointChanged]:
+        """Restore reappeared endpoints whose rows have persisted without expiring."""
+        now = self.clock.monotonic()
+        stable = [
+            each
+            for each in self.reappeared.values()
+            if now - each.seen_at >= ROW_EXPIRY
+        ]
+        restored = []
+        for each in stable:
+            del self.reappeared[each.listed.endpoint]
+            self.removals.pop(each.listed.endpoint, None)
+            changed = self.apply_ready(each.row, each.listed, origin)
+            if changed is not None:
+                restored.append(changed)
+        return restored
+
+    def mark_draining(
+        self, endpoint: EndpointId, origin: UpdateOrigin, version: int
+    ) -> EndpointChanged | None:
+        """Apply an update without a row that an endpoint is draining."""
+        known = self.entries.get(endpoint)
+        if known is None or known.state is EndpointState.DRAINING:
+            return None
+        # Without this, a late update of an earlier incarnation would drain this one.
+        if version < known.started_version:
+            return None
+        entry = replace(known, state=EndpointState.DRAINING)
+        self.entries[endpoint] = entry
+        return EndpointChanged(entry, origin)
+
+    def apply_ready(
+        self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
+    ) -> EndpointChanged | None:
+        """Apply the update that an endpoint is ready."""
+        known = self.entries.get(listed.endpoint)
+        started_version = 0 if known is None else known.started_version
+        entry = DirectoryEntry(
+            listed, row, EndpointState.READY, started_version=started_version
+        )
+        if known is None:
+            self.removals.pop(listed.endpoint, None)
+            self.entries[listed.endpoint] = entry
+            return EndpointChanged(entry, origin)
+        # A ready update written before the draining one may arrive after it. Without
+        # this, it would send calls to an endpoint that is about to exit. A draining id
+        # never gets new work again.
+        if known.state is EndpointState.DRAINING:
+            return None
+        if known.state is EndpointState.UNREADABLE:
+            # Rows older than the unreadable one were rejected before.
+            self.entries[listed.endpoint] = entry
+            return EndpointChanged(entry, origin, known)
+        if row.version <= max(known.row.version, known.missing_version or 0):
+            return None
+        self.entries[listed.endpoint] = entry
+        if known.missing_version is None and equal_except_unreported(
+            known.listed, listed
+        ):
+            return None
+        return EndpointChanged(entry, origin)
+
+    def apply_draining(
+        self, row: Row, listed: ListedEndpoint, origin: UpdateOrigin
+    ) -> EndpointChanged | None:
+        """Apply the update that an endpoint is draining, whatever its version."""
+        known = self.entries.get(listed.endpoint)
+        started_version = 0 if known is None else known.started_version
+        entry = DirectoryEntry(
+            listed, row, EndpointState.DRAINING, started_version=started_version
+        )
+        if known is None or known.state is not EndpointState.DRAINING:
+            self.removals.pop(listed.endpoint, None)
+            self.entries[listed.endpoint] = entry
+            return EndpointChanged(entry, origin)
+        if row.version > known.row.version:
+            self.entries[listed.endpoint] = entry
+        return None
+
+    def apply_removal(self, row: Row, origin: UpdateOrigin) -> EndpointChanged | None:
+        """Apply the update that a row was removed."""
+        endpoint = EndpointId(row.key)
+        known = self.entries.get(endpoint)
+        # A peer may send a removal that is older than the row that reappeared. Without
+        # the comparison of versions, nothing would ever restore the endpoint, as the
+        # store sends an unchanged row only once.
+        reappeared = self.reappeared.get(endpoint)
+        if reappeared is not None and row.version >= reappeared.row.version:
+            del self.reappeared[endpoint]
+        self.clear_unreadable(row)
+        if known is None:
+            self.record_removal(row, confirmed=not self.health.is_uncertain)
+            return None
+        if row.version < known.row.version:
+            return None
+        # Rows expire while the store is down although their endpoints serve. Without
+        # this, an outage would remove all endpoints. Those that were ready stay in use
+        # until `resolve_missing` finds them still missing.
+        if known.takes_new_work and self.health.is_uncertain:
+            return self.keep_missing(known, row, origin)
+        confirmed = known.missing_version is None
+        if known.state is EndpointState.UNREADABLE and self.health.is_uncertain:
+            # It got no new work, so it need not be kept in use; it may still run.
+            confirmed = False
+        return self.mark_gone(known, row, origin, confirmed=confirmed)
+
+    def keep_missing(
+        self, known: DirectoryEntry, row: Row, origin: UpdateOrigin
+    ) -> EndpointChanged | None:
+        """Keep an endpoint in use whose row disappeared around an outage."""
+        version = max(row.version, known.missing_version or 0)
+        entry = replace(known, missing_version=version)
+        self.entries[known.listed.endpoint] = entry
+        if known.missing_version is not None:
+            return None
+        return EndpointChanged(entry, origin)
+
+    def mark_gone(
+        self, known: DirectoryEntry, row: Row, origin: UpdateOrigin, *, confirmed: bool
+    ) -> EndpointChanged:
+        """Mark an endpoint as gone.
+
+        The removal of a draining endpoint is confirmed, also if its row was missing.
+        Otherwise a late ready row from before would restore it immediately.
+        """
+        del self.entries[known.listed.endpoint]
+        confirmed = confirmed or known.state is EndpointState.DRAINING
+        self.record_removal(
+            row, confirmed=confirmed, started_ms=known.listed.started_ms
+        )
+        gone = replace(known, state=EndpointState.GONE, missing_version=None)
+        return EndpointChanged(gone, origin, known)
+
+    def record_removal(
+        self, row: Row, *, confirmed: bool, started_ms: int | None = None
+    ) -> None:
+        """Record the removal of an endpoint; a confirmed one stays confirmed."""
+        endpoint = EndpointId(row.key)
+        removal = self.removals.get(endpoint)
+        if removal is not None:
+            confirmed = confirmed or removal.confirmed
+            row = max(row, removal.row, key=lambda each: each.version)
+            started_ms = removal.started_ms if started_ms is None else started_ms
+        self.removals[endpoint] = Removal(
+            row, confirmed, self.clock.monotonic(), started_ms
+        )
+
+    def is_newer_than(self, rows: Iterable[Row]) -> bool:
+        """Whether the known state of an endpoint is newer than one of the rows."""
+        for row in rows:
+            known = self.entries.get(EndpointId(row.key))
+            if known is not None and row.version < known.row.version:
+                return True
+        return False
+
+    def missing_from(self, rows: Iterable[Row], version: int) -> tuple[Row, ...]:
+        """Return the removals implied by a snapshot as of a version.
+
+        Endpoints with an update newer than the snapshot are not affected.
+
+        The removals include those of reappeared endpoints whose rows have yet to
+        persist. If such a row was removed while the feed was interrupted, only its
+        absence from the snapshot shows it; otherwise the endpoint would be used after
+        it has exited.
+        """
+        present = {row.key for row in rows}
+        known = dict(self.unreadable)
+        known |= {each.listed.endpoint: each.row for each in self.reappeared.values()}
+        known |= {each.listed.endpoint: each.row for each in self.entries.values()}
+        return tuple(
+            replace(row, value=b"", version=version, removed=True)
+            for row in known.values()
+            if row.key not in present and row.version <= version
+        )
+
+    def resolve_missing(self, origin: UpdateOrigin) -> tuple[EndpointChanged, ...]:
+        """Mark endpoints as gone that are still missing after the grace period.
+
+        Must be called after an answer about the endpoints was applied, so that rows
+        that returned in time are known.
+        """
+        if self.health.is_uncertain:
+            return ()
+        self.prune_removals()
+        restored = self.restore_reappeared(origin)
+        missing = [
+            entry
+            for entry in self.entries.values()
+            if entry.missing_version is not None
+        ]
+        gone = [
+            self.mark_gone(entry, removal_of(entry), origin, confirmed=False)
+            for entry in missing
+        ]
+        return tuple(gone + restored)
+
+    def prune_removals(self) -> None:
+        """Drop removals that are older than the retention time."""
+        oldest = self.clock.monotonic() - self.removal_retention
+        self.removals = {
+            endpoint: removal
+            for endpoint, removal in self.removals.items()
+            if removal.learned_at >= oldest
+        }
+
+    def raw_rows(self) -> tuple[Row, ...]:
+        """Return all updates in raw form, for peers.
+
+        Unconfirmed removals are omitted: a peer could not distinguish them from
+        confirmed ones.
+        """
+        listed = [entry.row for entry in self.entries.values()]
+        removed = [
+            removal.row for removal in self.removals.values() if removal.confirmed
+        ]
+        return tuple(listed + removed)
+
+
+def equal_except_unreported(first: ListedEndpoint, second: ListedEndpoint) -> bool:
+    """Whether two listings differ at most in fields that are not published."""
+    return replace(first, **UNREPORTED_FIELDS) == replace(second, **UNREPORTED_FIELDS)
+
+
+def removal_of(entry: DirectoryEntry) -> Row:
+    """Return the removal of an entry that was kept in use without its row."""
+    version = entry.missing_version or entry.row.version
+    return replace(entry.row, value=b"", version=version, removed=True)
--- a/src/mimosafork/gateway/gossip_adapter.py
+++ b/src/mimosafork/gateway/gossip_adapter.py
@@ -197,8 +197,8 @@
             notice = EndpointWord(Word.LEAVING, change.entry.row.version)
             self.gossip.publish_endpoint_word(change.endpoint, notice)
             return
-        removal = self.directory.book.gone.get(change.endpoint)
-        if removal is not None and removal.sure:
+        removal = self.directory.endpoint_registry.removals.get(change.endpoint)
+        if removal is not None and removal.confirmed:
             notice = EndpointWord(Word.GONE, removal.row.version)
             self.gossip.publish_endpoint_word(change.endpoint, notice)
 
@@ -276,7 +276,7 @@
         if notice.word is Word.LEAVING:
             self.directory.offer_draining(endpoint, notice.version)
         else:
-            self.directory.offer_gone(endpoint, notice.version)
+            self.directory.offer_removal(endpoint, notice.version)
 
     def receive_suspicion(self, digest: bytes, known: Suspicion) -> None:
         """Receive the merged suspicion of a request that may crash endpoints."""
@@ -294,7 +294,7 @@
             self.synced_peers.discard(instance)
             self.post(PeerWorkUnknown(instance))
         self.live_peers = live
-        self.directory.peer_feed.choose(self.gossip.instance, live)
+        self.directory.peer_feed.select_readers(self.gossip.instance, live)
         self.subset_selector.update_peers(live, self.gossip.is_large)
 
     def peer_restarted(self, instance: InstanceId) -> None:
--- a/src/mimosafork/gateway/server.py
+++ b/src/mimosafork/gateway/server.py
@@ -184,9 +184,9 @@
             instance=self.settings.instance.id,
             zone=self.settings.instance.availability_zone,
         )
-        self.directory.listen(self._directory_changed)
-        self.directory.listen(self.gossip_adapter.directory_changed)
-        self.directory.peers = self.gossip_adapter.live_peer_count
+        self.directory.add_listener(self._directory_changed)
+        self.directory.add_listener(self.gossip_adapter.directory_changed)
+        self.directory.peer_count = self.gossip_adapter.live_peer_count
         self.directory.peer_feed.publish = self.gossip_adapter.publish_feed_state
         self.gossip_adapter.gossip = self._new_gossip()
         self.gateway.zone_watch.silent_zones = self.gossip_adapter.gossip.silent_zones
--- a/src/mimosafork/policies/admission.py
+++ b/src/mimosafork/policies/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is let in at all."""
+"""Rejects requests for unknown targets and requests to an instance that is stopping."""
 
 from datetime import timedelta
 
@@ -10,12 +10,12 @@
 from ..kernel.records import RequestRecord
 from ..kernel.registry import register
 
-COME_BACK = timedelta(seconds=5)
+RETRY_AFTER = timedelta(seconds=5)
 
 
 @register("known-target")
 class KnownTarget(Stage):
-    """Refuses requests for targets that the configuration does not have."""
+    """Refuses requests for targets that are missing from the configuration."""
 
     order = 10
 
@@ -45,5 +45,5 @@
         return Proceed()
 
 
-def _refuse(code: ProblemCode, detail: str, come_back: bool = False) -> Refuse:
-    return Refuse(Problem(code, detail, COME_BACK if come_back else None))
+def _refuse(code: ProblemCode, detail: str, retryable: bool = False) -> Refuse:
+    return Refuse(Problem(code, detail, RETRY_AFTER if retryable else None))
--- a/src/mimosafork/policies/claims/pending.py
+++ b/src/mimosafork/policies/claims/pending.py
@@ -6,8 +6,8 @@
 from ...kernel.messages.claims import Claim
 
 
-class Phase(Enum):
-    """What a held request waits for."""
+class ClaimPhase(Enum):
+    """Operation that a held request waits for."""
 
     CLAIMING = "claiming"
     SEARCHING = "searching"
@@ -15,17 +15,17 @@
 
 
 @dataclass(slots=True)
-class Pending:
-    """How far the stage has come with one request.
+class PendingClaim:
+    """Progress of the claim stage with one request.
 
     Attributes
     ----------
     existing : Claim or None
         Another call's claim on the key, when there is one.
     takeovers : int
-        Claims of ended calls that this one has tried to replace.
+        Number of claims of ended calls that this request has tried to replace.
     """
 
-    phase: Phase = Phase.CLAIMING
+    phase: ClaimPhase = ClaimPhase.CLAIMING
     existing: Claim | None = None
     takeovers: int = 0
--- a/src/mimosafork/policies/claims/search.py
+++ b/src/mimosafork/policies/claims/search.py
@@ -1,4 +1,4 @@
-"""Whom to ask for a stream that another call has started."""
+"""Candidates in the search for a stream that another call has started."""
 
 from ...ids import StreamId
 from ...kernel.configuration import FleetPolicy
@@ -8,14 +8,14 @@
 from ...kernel.records import RequestRecord
 from .keys import FIRST_GENERATION, stream_base_of, stream_ids
 
-MOST_ENDPOINTS = 128
-"""More would make one caller's return cost the fleet thousands of calls."""
+MAX_SEARCHED_ENDPOINTS = 128
+"""Bounds the search: without it one resend could cost the fleet thousands of calls."""
 
 
-def ids_to_ask(
+def candidate_stream_ids(
     record: RequestRecord, existing: Claim | None, context: Context
 ) -> tuple[StreamId, ...]:
-    """Return the ids that the stream may have."""
+    """Return the possible ids of the stream."""
     generation = existing.generation if existing else FIRST_GENERATION
     configuration = context.state.configuration
     fleet = configuration.fleet if configuration else FleetPolicy()
@@ -23,10 +23,10 @@
     return stream_ids(base, fleet.max_attempts)
 
 
-def endpoints_to_ask(
+def candidate_endpoints(
     record: RequestRecord, context: Context
 ) -> tuple[CandidateEndpoint, ...]:
-    """Return the engines that serve the model, leaving ones too."""
+    """Return the engines that serve the model, including leaving ones."""
     found = []
     for endpoint in context.state.fleet.serving(record.request.target):
         if endpoint.entry.kind is not EndpointKind.MODEL_ENGINE:
@@ -36,4 +36,4 @@
             entry.incarnation, report.incarnation if report else entry.incarnation
         )
         found.append(CandidateEndpoint(entry.endpoint, incarnation, entry.address))
-    return tuple(found[:MOST_ENDPOINTS])
+    return tuple(found[:MAX_SEARCHED_ENDPOINTS])
--- a/src/mimosafork/policies/ejection.py
+++ b/src/mimosafork/policies/ejection.py
@@ -1,7 +1,7 @@
-"""Takes endpoints out of use that answer, but far more slowly than their like.
+"""Ejects endpoints that answer, but far more slowly than their peers.
 
-Each instance judges by its own requests. A probe does not show such an endpoint: it
-answers probes in time, and its load report says nothing of a failing link or card.
+Each instance judges by its own requests. Probes do not detect such an endpoint: it
+answers them in time, and its load report does not show a failing link or card.
 """
 
 from collections import deque
@@ -19,84 +19,89 @@
 from ..kernel.messages.fleet import InstancesListed
 from ..kernel.plugins import Plugin, PluginFinder, RequestConcluded
 from ..kernel.registry import register
-from .prediction import SHORTEST_S, Prediction, fleet_policy
+from .prediction import MIN_FIRST_TOKEN_S, Prediction, fleet_policy
 
-SLOW = 5.0
-"""An endpoint is slow if it takes so many times the median of its peers. Queues that
-are told late make differences of two; a failing card or link, of ten and more."""
+SLOW_RATIO = 5.0
+"""An endpoint is slow if it takes this many times the median of its peers. Queues that
+are reported late make a factor of two; a failing card or link, of ten and more."""
 
-KEPT = 16
-"""Newest observations that count."""
+MAX_OBSERVATIONS = 16
+"""Newest observations that are kept of each kind."""
 
 QUARTERS = 4
-"""An endpoint counts by its lower quartile and is compared with its peers' medians: a
-sick one is slow for all, while callers that read slowly and prompts that met a queue
+"""An endpoint's lower quartile is compared with its peers' medians: a faulty endpoint
+is slow for all requests, while callers that read slowly and prompts that were queued
 make only some of its requests slow."""
 
-ENOUGH = 6
-ENOUGH_ON_TRIAL = 3
-"""Observations before an endpoint is judged, and when it has come back."""
+MIN_OBSERVATIONS = 6
+MIN_PROBATION_OBSERVATIONS = 3
+"""Observations before an endpoint is judged, normally and after an ejection."""
 
-ENOUGH_PEERS = 2
-"""Peers with observations of their own; against one alone nobody knows which of
-the two is the odd one."""
+MIN_PEERS = 2
+"""Peers that need observations of their own; of two endpoints alone it is unknown
+which one is the outlier."""
 
-OLD = timedelta(minutes=2)
-"""Age from which an observation does not count."""
+OBSERVATION_TTL = timedelta(minutes=2)
+"""Age at which an observation is discarded."""
 
-FIRST_PAUSE = timedelta(seconds=10)
-LONGEST_PAUSE = timedelta(minutes=5)
-"""The pause doubles each time."""
+BASE_EJECTION_TIME = timedelta(seconds=10)
+MAX_EJECTION_TIME = timedelta(minutes=5)
+"""The ejection time doubles with each ejection, up to the maximum."""
 
-FORGIVEN = timedelta(minutes=10)
-"""An endpoint that was not ejected for so long begins with the first pause again."""
+EJECTION_RESET_AFTER = timedelta(minutes=10)
+"""The ejection time restarts from the base when an endpoint was not ejected for this
+time beyond the maximum ejection time."""
 
-USUAL_RATE = 30_000.0
-"""Tokens a second at which work is counted; only ratios between endpoints matter."""
+REFERENCE_RATE = 30_000.0
+"""Tokens per second that normalize work; only ratios between endpoints matter."""
 
-LOOK = timedelta(seconds=1)
+CHECK_INTERVAL = timedelta(seconds=1)
 
-FEWEST_TOKENS = 8
-"""A shorter answer tells nothing of the time between tokens."""
+MIN_ANSWER_TOKENS = 8
+"""Shorter answers are too short to measure the time between tokens."""
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One measured time, made comparable between requests."""
+    """One measured time, normalized to be comparable between requests."""
 
     at: timedelta
     value: float
 
 
 @dataclass(slots=True)
-class History:
-    """What is known of one life of an endpoint.
+class LatencyHistory:
+    """Latency observations of one incarnation of an endpoint.
 
     Attributes
     ----------
     first_tokens : deque of Observation
-        Seconds to the first token over those that the work ahead needs at one token
-        a second: the reported rate is left out, since a slow endpoint may report
-        a low one.
+        Observed time to first token over the time that the work ahead would take at
+        `REFERENCE_RATE`. The reported rate is left out, since a slow endpoint may
+        report a low one.
     gaps : deque of Observation
         Seconds between two tokens.
     """
 
     incarnation: Incarnation
-    first_tokens: deque[Observation] = field(default_factory=lambda: deque(maxlen=KEPT))
-    gaps: deque[Observation] = field(default_factory=lambda: deque(maxlen=KEPT))
+    first_tokens: deque[Observation] = field(
+        default_factory=lambda: deque(maxlen=MAX_OBSERVATIONS)
+    )
+    gaps: deque[Observation] = field(
+        default_factory=lambda: deque(maxlen=MAX_OBSERVATIONS)
+    )
     ejections: int = 0
     ejected_at: timedelta = DISTANT_PAST
 
     @property
-    def on_trial(self) -> bool:
-        """Whether it was ejected and has not been forgiven."""
+    def on_probation(self) -> bool:
+        """Whether it was ejected before."""
         return self.ejections > 0
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """When an attempt's last token came, and how many there were."""
+class FinishedAttempt:
+    """When an attempt's last token arrived, and the number of its tokens."""
 
     at: timedelta
     tokens: int
@@ -104,21 +109,21 @@
 
 @register("slow-endpoint-ejection")
 class SlowEndpointEjection(Plugin):
-    """Ejects endpoints for a growing pause, never too many at once."""
+    """Ejects endpoints for a growing time, up to a share of each target's endpoints."""
 
     def __init__(self) -> None:
         self.prediction: Prediction | None = None
-        self.histories: dict[EndpointId, History] = {}
-        self.ended: dict[RequestId, Ended] = {}
-        self.looked_at = DISTANT_PAST
+        self.histories: dict[EndpointId, LatencyHistory] = {}
+        self.ended: dict[RequestId, FinishedAttempt] = {}
+        self.checked_at = DISTANT_PAST
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the prediction."""
+        """Look up the prediction."""
         self.prediction = find(Prediction)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Observe, and look at what was observed."""
+        """Record latencies and evaluate them periodically."""
 
     @handle.register
     def _(self, message: InstancesListed, context: Context) -> None:
@@ -140,9 +145,9 @@
             return
         observed_s = context.now.total_seconds() - expected.at_s
         rate = self.prediction.load_of(endpoint).rate
-        # The fixed part keeps requests that need next to no work comparable.
-        work = max(0.0, expected.plain_s - SHORTEST_S) * rate
-        usual_s = SHORTEST_S + work / USUAL_RATE
+        # The fixed part keeps requests with almost no work comparable.
+        work = max(0.0, expected.plain_s - MIN_FIRST_TOKEN_S) * rate
+        usual_s = MIN_FIRST_TOKEN_S + work / REFERENCE_RATE
         value = observed_s / usual_s
         history = self._history_of(endpoint)
         history.first_tokens.append(Observation(context.now, value))
@@ -151,7 +156,7 @@
     def _(self, message: AttemptFinished, context: Context) -> None:
         if message.usage is not None:
             tokens = message.usage.completion_tokens
-            self.ended[message.request_id] = Ended(context.now, tokens)
+            self.ended[message.request_id] = FinishedAttempt(context.now, tokens)
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
@@ -162,7 +167,7 @@
         endpoint = context.state.fleet.endpoints.get(current.endpoint)
         if endpoint is None or endpoint.entry.incarnation != current.incarnation:
             return
-        if ended.tokens >= FEWEST_TOKENS:
+        if ended.tokens >= MIN_ANSWER_TOKENS:
             taken_s = (ended.at - current.first_token_at).total_seconds()
             gap_s = taken_s / (ended.tokens - 1)
             history = self._history_of(endpoint)
@@ -170,15 +175,15 @@
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
-        if context.now - self.looked_at < LOOK:
+        if context.now - self.checked_at < CHECK_INTERVAL:
             return
-        self.looked_at = context.now
-        self._forget_former_lives(context)
+        self.checked_at = context.now
+        self._reset_restarted(context)
         for target, group in context.state.fleet.by_target.items():
-            self._look_at(target, list(group.values()), context)
+            self._check_target(target, list(group.values()), context)
 
-    def _forget_former_lives(self, context: Context) -> None:
-        """Let an endpoint that was started again begin without its past."""
+    def _reset_restarted(self, context: Context) -> None:
+        """Drop history and ejection of endpoints that have restarted."""
         endpoints = context.state.fleet.endpoints
         for name, history in list(self.histories.items()):
             endpoint = endpoints.get(name)
@@ -187,68 +192,72 @@
             endpoint.ejected_until = None
             del self.histories[name]
 
-    def _history_of(self, endpoint: Endpoint) -> History:
+    def _history_of(self, endpoint: Endpoint) -> LatencyHistory:
         name = endpoint.endpoint_id
         known = self.histories.get(name)
         if known is None or known.incarnation != endpoint.entry.incarnation:
-            known = self.histories[name] = History(endpoint.entry.incarnation)
+            known = self.histories[name] = LatencyHistory(endpoint.entry.incarnation)
         return known
 
-    def _look_at(
+    def _check_target(
         self, target: ModelId | ServiceId, group: list[Endpoint], context: Context
     ) -> None:
-        """Eject the slowest of a target's endpoints that are slow."""
-        seen = {
+        """Eject slow endpoints of a target, the slowest first."""
+        histories = {
             each.endpoint_id: self.histories[each.endpoint_id]
             for each in group
             if each.endpoint_id in self.histories
             and each.accepts_new_requests(context.now)
         }
-        if len(seen) <= ENOUGH_PEERS:
+        if len(histories) <= MIN_PEERS:
             return
         slowness: dict[EndpointId, float] = {}
-        firsts = {name: each.first_tokens for name, each in seen.items()}
-        gaps = {name: each.gaps for name, each in seen.items()}
+        firsts = {name: each.first_tokens for name, each in histories.items()}
+        gaps = {name: each.gaps for name, each in histories.items()}
         for series in (firsts, gaps):
-            for name, times in self._compare(series, seen, context.now):
+            for name, times in self._compare(series, histories, context.now):
                 slowness[name] = max(times, slowness.get(name, 0.0))
         for name in sorted(slowness, key=lambda each: slowness[each], reverse=True):
             endpoint = context.state.fleet.endpoints[name]
-            if slowness[name] >= SLOW and _may_eject(endpoint, context):
+            if slowness[name] >= SLOW_RATIO and _may_eject(endpoint, context):
                 self._eject(endpoint, context)
 
     def _compare(
         self,
         series: dict[EndpointId, deque[Observation]],
-        histories: dict[EndpointId, History],
+        histories: dict[EndpointId, LatencyHistory],
         now: timedelta,
     ) -> Iterable[tuple[EndpointId, float]]:
-        """Return how many times the median of its peers each endpoint takes."""
+        """Return each endpoint's latency as a multiple of the median of its peers."""
         medians = {}
         quartiles = {}
         for name, kept in series.items():
-            while kept and now - kept[0].at > OLD:
+            while kept and now - kept[0].at > OBSERVATION_TTL:
                 kept.popleft()
-            enough = ENOUGH_ON_TRIAL if histories[name].on_trial else ENOUGH
+            enough = (
+                MIN_PROBATION_OBSERVATIONS
+                if histories[name].on_probation
+                else MIN_OBSERVATIONS
+            )
             if len(kept) >= enough:
                 values = sorted(each.value for each in kept)
                 medians[name] = median(values)
                 quartiles[name] = values[len(values) // QUARTERS]
-        if len(medians) <= ENOUGH_PEERS:
+        if len(medians) <= MIN_PEERS:
             return
         ordered = sorted(medians.values())
         for name, own in medians.items():
             peers = list(ordered)
             peers.remove(own)
-            usual = median(peers)
-            if usual > 0:
-                yield name, quartiles[name] / usual
+            peer_median = median(peers)
+            if peer_median > 0:
+                yield name, quartiles[name] / peer_median
 
     def _eject(self, endpoint: Endpoint, context: Context) -> None:
         history = self._history_of(endpoint)
-        if context.now - history.ejected_at > FORGIVEN + LONGEST_PAUSE:
+        if context.now - history.ejected_at > EJECTION_RESET_AFTER + MAX_EJECTION_TIME:
             history.ejections = 0
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2**history.ejections)
+        pause = min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**history.ejections)
         history.ejections = min(history.ejections + 1, 10)
         history.ejected_at = context.now
         history.first_tokens.clear()
@@ -257,10 +266,10 @@
 
 
 def _may_eject(endpoint: Endpoint, context: Context) -> bool:
-    """Return whether the models of an endpoint can spare it.
+    """Return whether all targets of an endpoint keep enough others without it.
 
-    A load that makes many endpoints slow must not take the rest of them away: the
-    others would get their load and be slow in turn.
+    A load that makes many endpoints slow must not eject many of them: the others
+    would get their load and become slow in turn.
     """
     share = fleet_policy(context).ejected_share
     for group in context.state.fleet.by_target.values():
--- a/src/mimosafork/policies/limits/telling.py
+++ b/src/mimosafork/policies/limits/demand_publisher.py
@@ -1,4 +1,4 @@
-"""Telling the peers what accounts want here, within the traffic budget."""
+"""Publishes the demand of accounts to peers, within the traffic budget."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,78 +13,78 @@
     AccountKey,
 )
 from ...kernel.messages.peers import Publish, Scope
-from .shares import EVEN_PART, Shares
+from .shares import EVEN_SHARE, Shares
 
-MOST_ACCOUNTS = 12
-"""Accounts that an instance tells of: those that want most of their limits."""
+MAX_ACCOUNTS = 12
+"""Accounts that an instance publishes: those with most demand relative to limit."""
 
-MOST_ZONE_ACCOUNTS = 150
+MAX_ZONE_ACCOUNTS = 150
 
 ZONE_PACE_PER_INSTANCE = timedelta(milliseconds=40)
-"""A zone's instances together write 25 values a second at most, of about 150 bytes:
+"""A zone's instances together publish at most 25 values per second of about 150 bytes:
 under 4 KB/s, whatever the number of instances and accounts."""
 
-SHORTEST_PACE = timedelta(seconds=1)
+MIN_PACE = timedelta(seconds=1)
 FLEET_PACE = timedelta(seconds=3)
-"""A zone's sums are 1.4 KB at most: under 0.5 KB/s for each zone."""
+"""A zone's sums are at most 1.4 KB: under 0.5 KB/s per zone."""
 
-WORTH_TELLING = 0.5
-"""Demand, over the even part of an instance, from which it is told."""
+MIN_PUBLISHED_PART = 0.5
+"""Minimum published demand, relative to the even share of an instance."""
 
-NOTHING = AccountDemand((), ())
+NO_DEMAND = AccountDemand((), ())
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What an account asks this instance for, in tokens a second."""
+class LocalDemand:
+    """An account's demand at this instance and its limit, in tokens per second."""
 
     account: AccountKey
     demand: float
     limit: float
 
 
-class DemandTelling:
-    """Publishes this instance's demand, and its zone's if it speaks for it."""
+class DemandPublisher:
+    """Publishes the demand of this instance, and of its zone if it is responsible."""
 
     def __init__(self, shares: Shares) -> None:
         self.shares = shares
-        self.own = NOTHING
+        self.own = NO_DEMAND
         self.own_at = DISTANT_PAST
-        self.zone = NOTHING
+        self.zone = NO_DEMAND
         self.zone_at = DISTANT_PAST
 
-    def tell_own(self, wanted: Iterable[Wanted], context: Context) -> None:
-        """Publish the demand here, if it is time."""
+    def publish_own(self, wanted: Iterable[LocalDemand], context: Context) -> None:
+        """Publish this instance's demand, if the interval has passed."""
         zone = context.state.identity.availability_zone
         pace = ZONE_PACE_PER_INSTANCE * self.shares.listed[zone]
-        if context.now - self.own_at < max(SHORTEST_PACE, pace):
+        if context.now - self.own_at < max(MIN_PACE, pace):
             return
         count = max(1, self.shares.listed.total())
-        least = WORTH_TELLING * EVEN_PART / count
+        least = MIN_PUBLISHED_PART * EVEN_SHARE / count
         parts = [(each.demand / each.limit, each) for each in wanted]
-        worth = [pair for pair in parts if pair[0] > least]
-        worth.sort(key=lambda pair: pair[0], reverse=True)
-        first = [each for _, each in worth[:MOST_ACCOUNTS]]
+        eligible = [pair for pair in parts if pair[0] > least]
+        eligible.sort(key=lambda pair: pair[0], reverse=True)
+        selected = [each for _, each in eligible[:MAX_ACCOUNTS]]
         demand = AccountDemand(
-            tuple(each.account for each in first),
-            tuple(max(1, round(min(each.demand, each.limit))) for each in first),
+            tuple(each.account for each in selected),
+            tuple(max(1, round(min(each.demand, each.limit))) for each in selected),
         )
-        if demand == self.own == NOTHING:
+        if demand == self.own == NO_DEMAND:
             return
         self.own = demand
         self.own_at = context.now
         self.shares.note_own(demand, context)
         context.emit(Publish(INSTANCE_DEMAND, demand, Scope.ZONE))
 
-    def tell_zone(self, context: Context) -> None:
-        """Publish the sums of the zone, if it is time."""
+    def publish_zone(self, context: Context) -> None:
+        """Publish the zone's sums, if the interval has passed."""
         if context.now - self.zone_at < FLEET_PACE:
             return
-        sums = self.shares.zone_sums().most_common(MOST_ZONE_ACCOUNTS)
+        sums = self.shares.zone_sums().most_common(MAX_ZONE_ACCOUNTS)
         demand = AccountDemand(
             tuple(account for account, _ in sums), tuple(each for _, each in sums)
         )
-        if demand == self.zone == NOTHING:
+        if demand == self.zone == NO_DEMAND:
             return
         self.zone = demand
         self.zone_at = context.now
--- a/src/mimosafork/policies/limits/shares.py
+++ b/src/mimosafork/policies/limits/shares.py
@@ -1,14 +1,15 @@
-"""Which part of an account's limit this instance may give out.
-
-An instance's weight is its published demand and a small even part; its share is
-its weight over all weights. The shares of all instances never sum up to more than
-the limit although words take time: each counts itself by the least that it has
-published within `SETTLE`, and the others by the most. If words arrive within
-`SETTLE`, the demands of that long ago lie within everybody's bounds; by them the
-shares would sum up to one, and each is at most what it would be by them.
-
-The same is done twice: among the instances of an availability zone, and among the
-zones by the sums that their speakers publish.
+"""Computes the part of an account's limit that this instance may grant.
+
+An instance's weight is its published demand plus a small even share; its share is
+its weight over the sum of all weights. The shares of all instances never exceed the
+limit in total, although messages are delayed: each instance counts its own demand by
+the least value that it has published within `PROPAGATION_LIMIT`, and the others by
+their largest. If messages arrive within `PROPAGATION_LIMIT`, the demands of that long
+ago lie within the bounds of every instance. Shares computed from these demands would
+sum to one, and each actual share is at most that.
+
+This is done twice: among the instances of an availability zone, and among the zones,
+using the sums that the publishing instance of each zone sends.
 """
 
 from collections import Counter, deque
@@ -22,23 +23,23 @@
 from ...kernel.messages.limits import AccountDemand, AccountDemandReceived, AccountKey
 from ...kernel.messages.peers import MemberState
 
-SETTLE = timedelta(seconds=10)
-"""Longest time that a word is thought to take to all that it concerns."""
+PROPAGATION_LIMIT = timedelta(seconds=10)
+"""Assumed maximum time in which a published value reaches all its receivers."""
 
-FORGET = timedelta(seconds=30)
-"""A silent instance or zone is not counted any more after so long."""
+DEMAND_TTL = timedelta(seconds=30)
+"""Time after which the demand of a silent instance or zone is dropped."""
 
-EVEN_PART = 0.1
-"""Weight of the even split, as part of the limit: what an account can take at an
-instance that has not told of it yet, and what of it is never used if all of its
-requests come to one instance."""
+EVEN_SHARE = 0.1
+"""Weight of the even split, as part of the limit. It is what an account can use at an
+instance that has not published its demand yet, and what stays unused if all of its
+requests arrive at one instance."""
 
 Demands = Mapping[AccountKey, int]
 
 
 @dataclass(slots=True)
-class Told:
-    """What one instance, or one zone's speaker, has published.
+class PublishedDemand:
+    """Demand that one instance, or one zone, has published.
 
     Attributes
     ----------
@@ -50,30 +51,30 @@
     at: timedelta = DISTANT_PAST
     past: deque[tuple[timedelta, Demands]] = field(default_factory=deque)
 
-    def renew(self, demand: AccountDemand, now: timedelta) -> None:
-        """Take over the newest value."""
+    def replace_current(self, demand: AccountDemand, now: timedelta) -> None:
+        """Store the newest value."""
         self.past.append((now, self.current))
         pairs = zip(demand.accounts, demand.tokens_per_second, strict=True)
         self.current = dict(pairs)
         self.at = now
 
-    def forget_past(self, now: timedelta) -> None:
-        """Drop the values that everybody has replaced by now."""
-        while self.past and now - self.past[0][0] > SETTLE:
+    def drop_past(self, now: timedelta) -> None:
+        """Drop the values that all receivers have replaced by now."""
+        while self.past and now - self.past[0][0] > PROPAGATION_LIMIT:
             self.past.popleft()
 
     def least(self, account: AccountKey) -> int:
-        """Return the least demand of an account that may count somewhere."""
+        """Return the least demand of an account that any receiver may still use."""
         now = self.current.get(account, 0)
         return min([now, *(each.get(account, 0) for _, each in self.past)])
 
     def most_of(self, account: AccountKey) -> int:
-        """Return the largest demand of an account that may count somewhere."""
+        """Return the largest demand of an account that any receiver may still use."""
         now = self.current.get(account, 0)
         return max([now, *(each.get(account, 0) for _, each in self.past)])
 
     def most(self) -> dict[AccountKey, int]:
-        """Return the largest demand of each account that may count somewhere."""
+        """Return the largest demand of each account that any receiver may still use."""
         found = dict(self.current)
         for _, earlier in self.past:
             for account, demand in earlier.items():
@@ -82,21 +83,21 @@
 
 
 class Shares:
-    """Keeps what is told of demand and works out shares.
+    """Stores published demand and computes shares.
 
     Attributes
     ----------
-    instances : dict of InstanceId to Told
-        Of the own zone, this one included.
-    zones : dict of AvailabilityZoneId to Told
-        Sums of all zones, the own one as its speaker told it.
+    instances : dict of InstanceId to PublishedDemand
+        Of this instance's zone, this instance included.
+    zones : dict of AvailabilityZoneId to PublishedDemand
+        Sums of all zones; this instance's zone as published for it.
     is_cut_off : bool
-        Nothing is heard of any instance of the own zone: shares stay as they were.
+        No other instance of the zone is reachable: shares stay unchanged.
     """
 
     def __init__(self) -> None:
-        self.instances: dict[InstanceId, Told] = {}
-        self.zones: dict[AvailabilityZoneId, Told] = {}
+        self.instances: dict[InstanceId, PublishedDemand] = {}
+        self.zones: dict[AvailabilityZoneId, PublishedDemand] = {}
         self.silent_zones: frozenset[AvailabilityZoneId] = frozenset()
         self.listed: Counter[AvailabilityZoneId] = Counter()
         self.zone_most: Counter[AccountKey] = Counter()
@@ -104,34 +105,40 @@
         self.last: dict[AccountKey, float] = {}
         self.is_cut_off = False
 
-    def hear(self, message: AccountDemandReceived, context: Context) -> None:
-        """Note what a peer has told."""
+    def receive(self, message: AccountDemandReceived, context: Context) -> None:
+        """Store the demand that a peer has published."""
         origin = message.origin
         if message.of_zone:
-            told = self.zones.setdefault(origin.availability_zone, Told())
+            published = self.zones.setdefault(
+                origin.availability_zone, PublishedDemand()
+            )
         else:
-            told = self.instances.setdefault(origin.instance, Told())
-        told.renew(message.demand, context.now)
+            published = self.instances.setdefault(origin.instance, PublishedDemand())
+        published.replace_current(message.demand, context.now)
 
     def note_own(self, demand: AccountDemand, context: Context) -> None:
-        """Note what this instance tells of itself."""
+        """Store the demand that this instance publishes for itself."""
         own = context.state.identity.instance
-        self.instances.setdefault(own, Told()).renew(demand, context.now)
+        self.instances.setdefault(own, PublishedDemand()).replace_current(
+            demand, context.now
+        )
 
     def note_zone(self, demand: AccountDemand, context: Context) -> None:
-        """Note what this instance tells as its zone's speaker."""
+        """Store the demand that this instance publishes for its zone."""
         zone = context.state.identity.availability_zone
-        self.zones.setdefault(zone, Told()).renew(demand, context.now)
+        self.zones.setdefault(zone, PublishedDemand()).replace_current(
+            demand, context.now
+        )
 
     def zone_sums(self) -> Counter[AccountKey]:
-        """Return the zone's newest demand by account."""
+        """Return the newest total demand of the zone by account."""
         sums: Counter[AccountKey] = Counter()
-        for told in self.instances.values():
-            sums.update(told.current)
+        for published in self.instances.values():
+            sums.update(published.current)
         return sums
 
     def refresh(self, context: Context) -> None:
-        """Sum up anew; at a steady pace, as each decision needs it."""
+        """Recompute the sums; done periodically, since each decision uses them."""
         identity = context.state.identity
         self.listed = Counter(
             each.availability_zone for each in context.state.fleet.instances.values()
@@ -143,62 +150,64 @@
         self.fleet_most = _sum_of(self.zones.values(), context.now)
 
     def _forget_silent(self, context: Context) -> None:
-        """Stop counting what has fallen silent, unless this instance has.
+        """Drop silent instances and zones, unless this instance is isolated.
 
-        An instance that hears nobody would take all others for gone and give out
-        the whole limit, as each of them may do too when a switch fails.
+        An isolated instance would take all others for gone and grant the whole limit.
+        If a switch fails, each of the others may do the same.
         """
         own = context.state.identity
         members = context.state.fleet.members
         others = [each for each in members.values() if each.instance != own.instance]
-        heard = [each for each in others if each.state is not MemberState.SUSPECT]
-        self.is_cut_off = bool(others) and not heard
+        reachable = [each for each in others if each.state is not MemberState.SUSPECT]
+        self.is_cut_off = bool(others) and not reachable
         if self.is_cut_off:
             return
-        kept = {each.instance for each in heard} | {own.instance}
-        old = context.now - FORGET
+        kept = {each.instance for each in reachable} | {own.instance}
+        old = context.now - DEMAND_TTL
         self.instances = {
-            name: told
-            for name, told in self.instances.items()
-            if name in kept or told.at > old
+            name: published
+            for name, published in self.instances.items()
+            if name in kept or published.at > old
         }
         self.zones = {
-            name: told
-            for name, told in self.zones.items()
-            if name not in self.silent_zones or told.at > old
+            name: published
+            for name, published in self.zones.items()
+            if name not in self.silent_zones or published.at > old
         }
 
     def part(self, account: AccountKey, limit: float, context: Context) -> float:
-        """Return which part of an account's limit is this instance's now.
+        """Return this instance's current part of an account's limit.
 
         Parameters
         ----------
         limit : float
-            Tokens a second, of the whole fleet.
+            Tokens per second of the whole fleet.
         """
         count = max(1, self.listed.total())
         if self.is_cut_off:
             return self.last.get(account, 1 / count)
         identity = context.state.identity
-        even = EVEN_PART * limit / count
-        told = self.instances.get(identity.instance, Told())
+        even = EVEN_SHARE * limit / count
+        published = self.instances.get(identity.instance, PublishedDemand())
         zone_even = even * max(1, self.listed[identity.availability_zone])
-        least = told.least(account) + even
-        others = self.zone_most[account] - told.most_of(account) + zone_even - even
+        least = published.least(account) + even
+        others = self.zone_most[account] - published.most_of(account) + zone_even - even
         part = least / (least + others)
         if len(self.listed) > 1:
-            zone_told = self.zones.get(identity.availability_zone, Told())
-            least = zone_told.least(account) + zone_even
-            others = self.fleet_most[account] - zone_told.most_of(account)
+            zone_published = self.zones.get(
+                identity.availability_zone, PublishedDemand()
+            )
+            least = zone_published.least(account) + zone_even
+            others = self.fleet_most[account] - zone_published.most_of(account)
             others += even * count - zone_even
             part *= least / (least + others)
         self.last[account] = part
         return part
 
 
-def _sum_of(sources: Iterable[Told], now: timedelta) -> Counter[AccountKey]:
+def _sum_of(sources: Iterable[PublishedDemand], now: timedelta) -> Counter[AccountKey]:
     total: Counter[AccountKey] = Counter()
-    for told in sources:
-        told.forget_past(now)
-        total.update(told.most())
+    for published in sources:
+        published.drop_past(now)
+        total.update(published.most())
     return total
--- a/src/mimosafork/policies/limits/stage.py
+++ b/src/mimosafork/policies/limits/stage.py
@@ -1,4 +1,4 @@
-"""Holds each client account to its tokens a second, over all entry instances."""
+"""Enforces each client account's tokens per second over all entry instances."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -20,18 +20,18 @@
 from ...kernel.plugins import Proceed, Refuse, RequestConcluded, ReviewDecision, Stage
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
-from .bucket import Bucket, DemandMeter
+from .bucket import AccountBucket, DemandMeter
+from .demand_publisher import DemandPublisher, LocalDemand
 from .shares import Shares
-from .telling import DemandTelling, Wanted
 
 REFRESH = timedelta(seconds=1)
 
-SHORTEST_WAIT_S = 0.1
+MIN_RETRY_AFTER_S = 0.1
 
 
 @dataclass(slots=True)
 class Charge:
-    """What a request in progress has been charged."""
+    """Tokens that a request in progress has been charged."""
 
     account: AccountId
     tokens: int
@@ -39,33 +39,34 @@
 
 
 @dataclass(slots=True)
-class Account:
-    """An account with recent traffic here."""
+class LimitedAccount:
+    """An account with recent traffic at this instance."""
 
-    bucket: Bucket
+    bucket: AccountBucket
     demand: DemandMeter
 
 
 @register("account-limits")
 class AccountLimits(Stage):
-    """Refuses what an account's part here does not cover.
+    """Refuses requests beyond this instance's part of an account's limit.
 
-    It comes after the claims: refused before them, the resend of a call that has
-    run would hear "not run", and its caller would send the draft anew. What joins a
-    run or its kept answer passes this stage by, and is not charged again.
+    It runs after the claims stage: refused before it, the resend of a call that has
+    run would be answered "not run", and its caller would submit the call again.
+    Requests that join a run or its kept answer skip this stage and are not charged
+    again.
     """
 
     order = 40
 
     def __init__(self) -> None:
         self.shares = Shares()
-        self.telling = DemandTelling(self.shares)
-        self.accounts: dict[AccountId, Account] = {}
+        self.publisher = DemandPublisher(self.shares)
+        self.accounts: dict[AccountId, LimitedAccount] = {}
         self.charges: dict[RequestId, Charge] = {}
         self.refreshed_at = DISTANT_PAST
 
     def review(self, record: RequestRecord, context: Context) -> ReviewDecision:
-        """Take the request's tokens, or refuse with the time of their refill."""
+        """Charge the request's tokens, or refuse with the time until the refill."""
         request = record.request
         policy = _policy_of(request.account, context)
         if request.kind is RequestKind.SERVICE or policy is None:
@@ -77,14 +78,14 @@
         if account.bucket.take(tokens, now_s):
             self.charges[request.request_id] = Charge(request.account, tokens)
             return Proceed()
-        wait_s = max(SHORTEST_WAIT_S, account.bucket.wait_s(tokens))
+        wait_s = max(MIN_RETRY_AFTER_S, account.bucket.wait_s(tokens))
         detail = f"the account's {policy.tokens_per_second:g} tokens a second are used"
         wait = timedelta(seconds=round(wait_s, 1))
         return Refuse(Problem(ProblemCode.RATE_LIMITED, detail, wait))
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Keep up with demand, usage and peers."""
+        """Track demand, usage and peers."""
 
     @handle.register
     def _(self, message: AttemptFinished, context: Context) -> None:
@@ -98,11 +99,11 @@
         account = self.accounts.get(charge.account) if charge is not None else None
         if charge is not None and account is not None:
             unused = charge.tokens - _cost(message, charge)
-            account.bucket.give_back(unused, context.now.total_seconds())
+            account.bucket.refund(unused, context.now.total_seconds())
 
     @handle.register
     def _(self, message: AccountDemandReceived, context: Context) -> None:
-        self.shares.hear(message, context)
+        self.shares.receive(message, context)
 
     @handle.register
     def _(self, message: MembersChanged, context: Context) -> None:
@@ -110,7 +111,7 @@
 
     @handle.register
     def _(self, message: PublishForZone, context: Context) -> None:
-        self.telling.tell_zone(context)
+        self.publisher.publish_zone(context)
 
     @handle.register
     def _(self, message: ConfigurationReceived, context: Context) -> None:
@@ -122,9 +123,9 @@
             self._refresh(context)
 
     def _refresh(self, context: Context) -> None:
-        """Tell the demand, and move the buckets by what is told of it."""
+        """Publish the demand here, and resize the buckets by all published demand."""
         self.refreshed_at = context.now
-        self.telling.tell_own(self._wanted(context), context)
+        self.publisher.publish_own(self._local_demands(context), context)
         self.shares.refresh(context)
         now_s = context.now.total_seconds()
         for name, account in list(self.accounts.items()):
@@ -135,9 +136,9 @@
                 continue
             part = self._part(policy, context)
             size = policy.burst_tokens * part
-            account.bucket.move(size, policy.tokens_per_second * part, now_s)
+            account.bucket.resize(size, policy.tokens_per_second * part, now_s)
 
-    def _wanted(self, context: Context) -> list[Wanted]:
+    def _local_demands(self, context: Context) -> list[LocalDemand]:
         now_s = context.now.total_seconds()
         found = []
         for name, account in self.accounts.items():
@@ -145,10 +146,10 @@
             if policy is not None:
                 demand = account.demand.rate(now_s)
                 limit = policy.tokens_per_second
-                found.append(Wanted(account_key(name), demand, limit))
+                found.append(LocalDemand(account_key(name), demand, limit))
         return found
 
-    def _account(self, policy: AccountPolicy, context: Context) -> Account:
+    def _account(self, policy: AccountPolicy, context: Context) -> LimitedAccount:
         known = self.accounts.get(policy.account)
         if known is None:
             if self.refreshed_at == DISTANT_PAST:
@@ -156,8 +157,10 @@
             part = self._part(policy, context)
             size = policy.burst_tokens * part
             rate = policy.tokens_per_second * part
-            bucket = Bucket(size, rate, context.now.total_seconds())
-            known = self.accounts[policy.account] = Account(bucket, DemandMeter())
+            bucket = AccountBucket(size, rate, context.now.total_seconds())
+            known = self.accounts[policy.account] = LimitedAccount(
+                bucket, DemandMeter()
+            )
         return known
 
     def _part(self, policy: AccountPolicy, context: Context) -> float:
@@ -171,10 +174,10 @@
 
 
 def _cost(message: RequestConcluded, charge: Charge) -> int:
-    """Return the tokens that a request has really cost.
+    """Return the tokens that a request has actually used.
 
-    A request that was answered by another call's run costs that one. What a broken
-    run has cost is not told, so its prompt and what the caller got count.
+    A request that was answered by another call's run is charged to that call. The
+    usage of a broken run is unknown, so its prompt and the delivered tokens count.
     """
     record = message.record
     if message.conclusion.outcome is Outcome.NOT_RUN or record.attached_run is not None:
--- a/src/mimosafork/policies/membership.py
+++ b/src/mimosafork/policies/membership.py
@@ -1,8 +1,9 @@
-"""Who takes part, and who watches which endpoint.
+"""Peer membership, and the assignment of endpoint watchers.
 
-Instances that hear of the same members rank them alike for each endpoint, so two
-of them watch it without a word being exchanged. While views differ an endpoint has
-a watcher more or less, which costs a few probes or a second's delay.
+Instances with the same list of members rank them identically for each endpoint, so
+they agree on its two watchers without exchanging messages. While their views differ,
+an endpoint has one watcher more or fewer, which costs a few probes or a second's
+delay.
 """
 
 from dataclasses import dataclass
@@ -26,20 +27,20 @@
 from ..kernel.rendezvous import ranked
 
 WATCHERS = 2
-"""Watchers of an endpoint: one may die, and its endpoints are seen all the same."""
+"""Watchers of an endpoint: with two, it stays watched when one of them fails."""
 
 WARM_UP = timedelta(seconds=10)
-"""A new instance takes the listed ones for live until it has had time to hear of
-them, or it would begin by probing its whole zone alone."""
+"""Time after its start in which an instance counts the listed instances as live.
+Without this, it would start by probing its whole zone alone."""
 
-SPEAK_PERIOD = timedelta(seconds=1)
+ZONE_PUBLISH_INTERVAL = timedelta(seconds=1)
 
 DRAINING_REFUSAL = "draining"
 
 
 @dataclass(frozen=True, slots=True)
-class Assignment:
-    """All that the watching is worked out from."""
+class WatchAssignment:
+    """Inputs of the watcher assignment."""
 
     candidates: tuple[InstanceId, ...]
     endpoints: tuple[EndpointEntry, ...]
@@ -47,26 +48,26 @@
 
 @register("membership")
 class Membership(Plugin):
-    """Keeps the members, and assigns the watching of endpoints.
+    """Maintains the members and assigns the watchers of endpoints.
 
     Attributes
     ----------
-    speaks_for_zone : bool
-        This instance tells the other zones about its own.
+    is_zone_publisher : bool
+        This instance publishes its zone's endpoints to the other zones.
     zone_endpoints : int
-        Endpoints of the own zone.
+        Number of endpoints in the own zone.
     """
 
     def __init__(self) -> None:
-        self.began_at: timedelta | None = None
+        self.started_at: timedelta | None = None
         self.members: tuple[Member, ...] = ()
         self.silent_zones: frozenset[AvailabilityZoneId] = frozenset()
         self.watched: dict[EndpointId, WatchedEndpoint] | None = None
-        self.assigned_for: Assignment | None = None
+        self.last_assignment: WatchAssignment | None = None
         self.zone_endpoints = 0
-        self.warm = False
-        self.speaks_for_zone = False
-        self.spoke_at = timedelta(0)
+        self.is_warm = False
+        self.is_zone_publisher = False
+        self.zone_published_at = timedelta(0)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
@@ -86,7 +87,7 @@
 
     @handle.register
     def _(self, message: AttemptFailed, context: Context) -> None:
-        """Take an endpoint's own refusal for its newest word."""
+        """Treat an endpoint's own refusal as its newest state."""
         if message.refusal != DRAINING_REFUSAL:
             return
         record = context.state.requests.get(message.request_id)
@@ -97,21 +98,24 @@
 
     @handle.register
     def _(self, message: Tick, context: Context) -> None:
-        if self.began_at is None:
-            self.began_at = context.now
-        if not self.warm and context.now - self.began_at >= WARM_UP:
-            self.warm = True
+        if self.started_at is None:
+            self.started_at = context.now
+        if not self.is_warm and context.now - self.started_at >= WARM_UP:
+            self.is_warm = True
             self._assign(context)
-        if self.speaks_for_zone and context.now - self.spoke_at >= SPEAK_PERIOD:
-            self.spoke_at = context.now
+        if (
+            self.is_zone_publisher
+            and context.now - self.zone_published_at >= ZONE_PUBLISH_INTERVAL
+        ):
+            self.zone_published_at = context.now
             zone = context.state.identity.availability_zone
             context.post(PublishForZone(zone))
 
     def candidates(self, context: Context) -> list[InstanceId]:
         """Return the instances of the own zone that share its duties.
 
-        A suspect one is left out, and so watched endpoints get another watcher:
-        if it is alive after all, the endpoint has one too many for a while.
+        Suspected instances are left out, so that their endpoints get another watcher.
+        If a suspected instance is live after all, they have one too many for a while.
         """
         own = context.state.identity.instance
         names = {
@@ -119,14 +123,14 @@
             for member in self.members
             if member.state is MemberState.LIVE
         }
-        if not self.warm:
+        if not self.is_warm:
             names |= self._listed(context)
         if not context.state.draining or not names:
             names.add(own)
         return sorted(names)
 
     def _listed(self, context: Context) -> set[InstanceId]:
-        """Return the zone's listed instances, less those that are known to leave."""
+        """Return the zone's listed instances, except those known to be draining."""
         zone = context.state.identity.availability_zone
         leaving = {
             member.instance
@@ -140,45 +144,48 @@
         } - leaving
 
     def watched_endpoint(self, endpoint: EndpointId) -> WatchedEndpoint | None:
-        """Return how this instance watches an endpoint; None if others do."""
+        """Return how this instance watches an endpoint; None if it does not."""
         return None if self.watched is None else self.watched.get(endpoint)
 
     def _assign(self, context: Context) -> None:
-        """Work out anew what this instance watches, if that may have changed."""
+        """Recompute what this instance watches, if the inputs have changed."""
         zone = context.state.identity.availability_zone
         entries = tuple(
             endpoint.entry
             for endpoint in context.state.fleet.endpoints.values()
-            if self._in_charge(endpoint.entry, zone)
+            if self._is_responsible_for(endpoint.entry, zone)
         )
-        current = Assignment(tuple(self.candidates(context)), entries)
-        if current == self.assigned_for:
+        current = WatchAssignment(tuple(self.candidates(context)), entries)
+        if current == self.last_assignment:
             return
-        self.assigned_for = current
+        self.last_assignment = current
         self.zone_endpoints = sum(each.availability_zone == zone for each in entries)
         own = context.state.identity.instance
-        speaker = ranked(f"speaker {zone}", current.candidates)[0]
-        self.speaks_for_zone = speaker == own
+        publisher = ranked(f"speaker {zone}", current.candidates)[0]
+        self.is_zone_publisher = publisher == own
         watched = _watched_by(own, current)
         if watched != self.watched:
             self.watched = watched
             context.emit(WatchEndpoints(tuple(watched.values())))
 
-    def _in_charge(self, entry: EndpointEntry, zone: AvailabilityZoneId) -> bool:
+    def _is_responsible_for(
+        self, entry: EndpointEntry, zone: AvailabilityZoneId
+    ) -> bool:
         """Return whether this zone's instances watch an endpoint.
 
-        A zone of which nothing is heard may have lost its instances, so every other
-        zone watches its endpoints for itself. If it is only cut off, its own
-        instances still do and the probes from here fail, which is then true here.
+        A zone from which nothing is received may have lost its instances, so every
+        other zone watches its endpoints itself. If that zone is only cut off, its own
+        instances still watch them; probes from here fail, and the endpoints are
+        indeed unreachable from here.
         """
-        home = entry.availability_zone
-        return home == zone or home in self.silent_zones
+        endpoint_zone = entry.availability_zone
+        return endpoint_zone == zone or endpoint_zone in self.silent_zones
 
 
 def _watched_by(
-    own: InstanceId, assignment: Assignment
+    own: InstanceId, assignment: WatchAssignment
 ) -> dict[EndpointId, WatchedEndpoint]:
-    """Return the endpoints that fall to this instance."""
+    """Return the endpoints that are assigned to this instance."""
     watched = {}
     for entry in assignment.endpoints:
         order = ranked(f"watch {entry.endpoint}", assignment.candidates)
--- a/src/mimosafork/policies/quarantine/isolation.py
+++ b/src/mimosafork/policies/quarantine/isolation.py
@@ -1,4 +1,4 @@
-"""Endpoints that are kept free for suspects, by this instance or by peers."""
+"""Isolation of endpoints for suspects, by this instance or by peers."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -9,20 +9,20 @@
 from ...kernel.messages.peers import Publish, Scope
 from ...kernel.messages.quarantine import EndpointIsolation, EndpointIsolationReceived
 
-ISOLATION = timedelta(seconds=6)
-"""For how long an endpoint is kept free at a time."""
+ISOLATION_TIME = timedelta(seconds=6)
+"""Duration of an isolation unless it is renewed."""
 
-RENEWAL = timedelta(seconds=2)
+RENEWAL_INTERVAL = timedelta(seconds=2)
 
-SPREAD = timedelta(seconds=1)
-"""Until peers have heard of an isolation, and this instance of theirs."""
+PROPAGATION_TIME = timedelta(seconds=1)
+"""Time until peers have received an isolation, and this instance has theirs."""
 
 MS = timedelta(milliseconds=1)
 
 
 @dataclass(slots=True)
 class OwnIsolation:
-    """An endpoint that this instance keeps free."""
+    """Isolation of an endpoint by this instance."""
 
     since: timedelta
     renewed_at: timedelta
@@ -30,57 +30,58 @@
 
 @dataclass(slots=True)
 class Isolations:
-    """Who keeps which endpoint free.
+    """Isolated endpoints, and the instances that isolate them.
 
-    Several instances may want the same endpoint, as all rank them alike. Each knows
-    of the others before its first run there, and the smallest name goes first.
+    Several instances may isolate the same endpoint, as all rank them identically.
+    Each knows of the others before its first run there, and the smallest id goes
+    first.
     """
 
     own: dict[EndpointId, OwnIsolation] = field(default_factory=dict)
     others: dict[EndpointId, dict[InstanceId, timedelta]] = field(default_factory=dict)
 
-    def keep_free(self, endpoint: Endpoint, context: Context) -> None:
-        """Keep everybody's new work off an endpoint for a while."""
+    def isolate(self, endpoint: Endpoint, context: Context) -> None:
+        """Exclude an endpoint from the new requests of all instances for a while."""
         name = endpoint.endpoint_id
         known = self.own.get(name)
-        lapsed = known is None or context.now - known.renewed_at >= ISOLATION
+        lapsed = known is None or context.now - known.renewed_at >= ISOLATION_TIME
         if known is None or lapsed:
             known = self.own[name] = OwnIsolation(context.now, context.now)
-        elif context.now - known.renewed_at < RENEWAL:
+        elif context.now - known.renewed_at < RENEWAL_INTERVAL:
             return
         known.renewed_at = context.now
-        isolation = EndpointIsolation(ISOLATION // MS)
+        isolation = EndpointIsolation(ISOLATION_TIME // MS)
         context.emit(Publish(name, isolation, Scope.FLEET, urgent=True))
-        self._mark(name, context)
+        self._update_endpoint(name, context)
 
     def end(self, name: EndpointId, context: Context) -> None:
-        """Give an endpoint back to all work."""
+        """Return an endpoint to general use."""
         if self.own.pop(name, None) is None:
             return
         context.emit(Publish(name, EndpointIsolation(0), Scope.FLEET, urgent=True))
-        self._mark(name, context)
+        self._update_endpoint(name, context)
 
-    def hear(self, message: EndpointIsolationReceived, context: Context) -> None:
-        """Note what a peer keeps free, or no longer does."""
-        left = message.isolation.remaining_ms * MS - message.origin.age
-        group = self.others.setdefault(message.endpoint, {})
-        group[message.origin.instance] = context.now + left
-        self._mark(message.endpoint, context)
+    def receive(self, message: EndpointIsolationReceived, context: Context) -> None:
+        """Record that a peer has isolated an endpoint, or has ended that."""
+        remaining = message.isolation.remaining_ms * MS - message.origin.age
+        expiries = self.others.setdefault(message.endpoint, {})
+        expiries[message.origin.instance] = context.now + remaining
+        self._update_endpoint(message.endpoint, context)
 
-    def is_ours_alone(self, endpoint: Endpoint, context: Context) -> bool:
-        """Return whether nobody else uses an endpoint that is kept free.
+    def is_exclusive(self, endpoint: Endpoint, context: Context) -> bool:
+        """Return whether no other instance uses an isolated endpoint.
 
-        The isolation must have spread, and a report made after that must show
-        nothing. An older report would not show what others sent just before.
+        The isolation must have propagated, and a report made after that must show no
+        requests. An older report would miss what peers sent just before.
         """
         name = endpoint.endpoint_id
         known = self.own.get(name)
         report = endpoint.report
         if known is None or report is None or endpoint.own_requests:
             return False
-        if context.now - known.renewed_at >= ISOLATION:
+        if context.now - known.renewed_at >= ISOLATION_TIME:
             return False
-        if endpoint.reported_at < known.since + SPREAD:
+        if endpoint.reported_at < known.since + PROPAGATION_TIME:
             return False
         if report.running + report.waiting > 0:
             return False
@@ -90,16 +91,18 @@
             for other, until in self.others.get(name, {}).items()
         )
 
-    def _mark(self, name: EndpointId, context: Context) -> None:
-        """Write down at the endpoint until when it is kept free by anybody."""
-        group = self.others.get(name, {})
-        for instance in [each for each, until in group.items() if until <= context.now]:
-            del group[instance]
-        if not group:
+    def _update_endpoint(self, name: EndpointId, context: Context) -> None:
+        """Set the endpoint's isolation end to the latest of all instances."""
+        expiries = self.others.get(name, {})
+        for instance in [
+            each for each, until in expiries.items() if until <= context.now
+        ]:
+            del expiries[instance]
+        if not expiries:
             self.others.pop(name, None)
-        ends = list(group.values())
+        end_times = list(expiries.values())
         if name in self.own:
-            ends.append(self.own[name].renewed_at + ISOLATION)
+            end_times.append(self.own[name].renewed_at + ISOLATION_TIME)
         endpoint = context.state.fleet.endpoints.get(name)
         if endpoint is not None:
-            endpoint.isolated_until = max(ends, default=None)
+            endpoint.isolated_until = max(end_times, default=None)
--- a/src/mimosafork/policies/quarantine/sole_run.py
+++ b/src/mimosafork/policies/quarantine/sole_run.py
@@ -1,4 +1,4 @@
-"""Runs suspects alone, on an endpoint that is kept free for them."""
+"""Runs suspects alone, on an endpoint that is isolated for them."""
 
 from collections.abc import Mapping
 from functools import singledispatchmethod
@@ -20,82 +20,82 @@
 from ...kernel.records import RequestRecord
 from ...kernel.registry import register
 from ...kernel.rendezvous import ranked
-from .crashes import Break
+from .crashes import ConnectionBreak
 from .isolation import Isolations
-from .ledger import SUSPECT_CRASHES, Ledger, Verdict
+from .ledger import SUSPECT_CRASHES, EvidenceLedger, Verdict
 from .stage import Quarantine, condemned_problem
 
-ISOLATED_SHARE = 0.1
-"""Part of a target's endpoints that may be kept free at once; at least one may."""
+MAX_ISOLATED_SHARE = 0.1
+"""Share of a target's endpoints that may be isolated at once; at least one may."""
 
 
 @register("sole-run")
 class SoleRun(Placer):
-    """Places suspects where nothing else runs, and nothing else where they run.
+    """Places suspects on endpoints that run nothing else meanwhile.
 
-    All instances rank the endpoints of a target alike, so that they keep the same
-    one free. A body that has ended lives of two endpoints runs on these two only:
-    whatever it is, it never costs a third one.
+    All instances rank the endpoints of a target identically, so that they isolate
+    the same one. A body that has crashed two endpoints runs on these two only, so
+    that it never crashes a third one.
     """
 
     order = 5
 
     def __init__(self) -> None:
-        self.ledger = Ledger()
-        self.breaks: Mapping[EndpointIncarnation, Break] = {}
+        self.ledger = EvidenceLedger()
+        self.breaks: Mapping[EndpointIncarnation, ConnectionBreak] = {}
         self.isolations = Isolations()
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Share what the plug-in that gathers the evidence knows."""
+        """Share the ledger and the breaks of the quarantine plug-in."""
         quarantine = find(Quarantine)
         if quarantine is not None:
             self.ledger = quarantine.ledger
             self.breaks = quarantine.breaks
 
     def place(self, record: RequestRecord, context: Context) -> Placement:
-        """Return a place for a suspect, or that the request is none."""
+        """Place a suspect and refuse a condemned body; not applicable to others."""
         verdict = self.ledger.verdict(record.request.body_digest)
         if verdict is Verdict.CLEAR:
             return NotApplicable()
         if verdict is Verdict.CONDEMNED:
             return Refuse(condemned_problem())
-        if self.ledger.cases[record.request.body_digest].is_open:
+        if self.ledger.cases[record.request.body_digest].may_be_condemned:
             return Wait("sole-run")
-        return self._place_alone(record, context)
+        return self._place_suspect(record, context)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """React to the ends of sole runs and to peers."""
+        """React to concluded requests and to isolations by peers."""
 
     @handle.register
     def _(self, message: RequestConcluded, context: Context) -> None:
-        if self._suspect_waits(message.record, context):
+        if self._has_waiting_suspect(message.record, context):
             return
         for attempt in message.record.attempts:
             self.isolations.end(attempt.endpoint, context)
 
     @handle.register
     def _(self, message: EndpointIsolationReceived, context: Context) -> None:
-        self.isolations.hear(message, context)
+        self.isolations.receive(message, context)
 
-    def _suspect_waits(self, record: RequestRecord, context: Context) -> bool:
-        """Return whether an endpoint should stay free for the next suspect."""
+    def _has_waiting_suspect(self, record: RequestRecord, context: Context) -> bool:
+        """Return whether an endpoint should stay isolated for the next suspect."""
         return any(
             self.ledger.verdict(waiting.request.body_digest) is Verdict.SUSPECT
             for waiting in context.state.waiting.waiting_for(record.request.target)
         )
 
-    def _place_alone(self, record: RequestRecord, context: Context) -> Placement:
+    def _place_suspect(self, record: RequestRecord, context: Context) -> Placement:
         candidates = self._candidates(record, context)
         if candidates is None:
             return Refuse(condemned_problem())
         for endpoint in candidates:
-            if self.isolations.is_ours_alone(endpoint, context):
-                self.isolations.keep_free(endpoint, context)
+            if self.isolations.is_exclusive(endpoint, context):
+                self.isolations.isolate(endpoint, context)
                 entry = endpoint.entry
                 return PlaceOn(entry.endpoint, entry.incarnation, entry.address)
         if candidates and self._may_isolate(candidates[0], record, context):
-            self.isolations.keep_free(candidates[0], context)
+            self.isolations.isolate(candidates[0], context)
         return Wait("sole-run")
 
     def _candidates(
@@ -113,35 +113,37 @@
         known = context.state.fleet.endpoints
         if not allowed and not any(name in known for name in crashed):
             return None
-        # Another endpoint than before tells more, while one is allowed.
+        # Other endpoints first: a crash of a further one is stronger evidence.
         allowed.sort(key=lambda name: name in crashed)
         return [serving[name] for name in allowed if self._is_usable(serving[name])]
 
     def _is_usable(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint may be alive.
+        """Return whether a suspect may be sent to an endpoint that may be up.
 
         When a suspect has crashed an endpoint, its last report still shows it up and
-        idle, and it is kept free already: the next suspect went there in the same
-        moment. It shows as a bystander that is given up with its attempts used up
-        though hardly one ran. A life whose connection broke in mid-answer gets no
-        suspect until the endpoint's own word has shown whether that was its end.
+        idle, and it is already isolated. Without this check, the next suspect would be
+        sent there at once, and a harmless one would use up its attempts although hardly
+        one ran. An incarnation whose connection broke in mid-answer gets no suspect
+        until the endpoint's own report shows whether it has ended.
         """
         if endpoint.leaving or endpoint.unreachable_since is not None:
             return False
-        life = EndpointIncarnation(endpoint.endpoint_id, endpoint.entry.incarnation)
-        return life not in self.breaks
+        endpoint_incarnation = EndpointIncarnation(
+            endpoint.endpoint_id, endpoint.entry.incarnation
+        )
+        return endpoint_incarnation not in self.breaks
 
     def _may_isolate(
         self, endpoint: Endpoint, record: RequestRecord, context: Context
     ) -> bool:
-        """Return whether an endpoint can be spared for the suspect.
+        """Return whether an endpoint can be isolated for the suspect.
 
-        The only one that serves is spared only while it has nothing to do.
+        The only serving endpoint is isolated only while it is idle.
         """
         serving = list(context.state.fleet.serving(record.request.target))
         others = [each for each in serving if each is not endpoint]
         isolated = sum(_is_isolated(each, context) for each in others)
-        if isolated >= max(1, int(ISOLATED_SHARE * len(serving))):
+        if isolated >= max(1, int(MAX_ISOLATED_SHARE * len(serving))):
             return False
         if any(each.accepts_new_requests(context.now) for each in others):
             return True
--- a/src/mimosafork/policies/retry.py
+++ b/src/mimosafork/policies/retry.py
@@ -1,4 +1,4 @@
-"""What follows a failed attempt."""
+"""Decides whether and when a failed attempt is retried."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -22,32 +22,33 @@
 from ..kernel.registry import register
 from .claims.attach import AttachToRun
 
-BASE_PAUSE = timedelta(milliseconds=50)
-LONGEST_PAUSE = timedelta(seconds=2)
-SHORTEST_PAUSE = timedelta(milliseconds=1)
-"""Above zero, so that plug-ins have seen the failure before the next attempt."""
+BASE_BACKOFF = timedelta(milliseconds=50)
+MAX_BACKOFF = timedelta(seconds=2)
+MIN_BACKOFF = timedelta(milliseconds=1)
+"""Above zero, so that plug-ins process the failure before the next attempt."""
 
-COME_BACK = timedelta(seconds=2)
+RETRY_AFTER = timedelta(seconds=2)
 RESERVE = 20.0
-"""Further attempts that a target may have at once: one endpoint's requests."""
+"""Retries that a target may have in a burst: one endpoint's in-flight requests."""
 
-TRICKLE_PER_S = 0.2
-"""Paid in by time, so that a target with few requests is not left without."""
+REFILL_PER_S = 0.2
+"""Refill over time, so that a target with few requests still has some budget."""
 
 ATTEMPTS_PER_RUN = 3
-"""Attempts that only attach to a stream, and so run nothing, are not counted, but
-they are not endless either."""
+"""Bounds attempts that only attach to a running stream. They start no run and so do
+not count as runs."""
 
 REDIRECTING = frozenset({"draining", "role", "unknown-model"})
-"""Refusals that say "not here" rather than "not now"; they cost no engine work."""
+"""Refusals that redirect to another endpoint rather than report overload; they cost no
+engine work."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Token bucket of further attempts for one target.
+    """Token bucket of retries for one target.
 
-    Answered requests pay in, further attempts take out. A target that answers
-    nothing pays in nothing, so a storm of retries can't feed itself.
+    Answered requests deposit, retries withdraw. A target that answers nothing
+    deposits nothing, so a retry storm can't sustain itself.
     """
 
     tokens: float = RESERVE
@@ -55,13 +56,13 @@
     refilled_at: timedelta = timedelta(0)
 
     def deposit(self, share: float) -> None:
-        """Pay in for one request that has got its first token."""
+        """Deposit for one request that has received its first token."""
         self.tokens = min(self.reserve, self.tokens + share)
 
     def withdraw(self, now: timedelta) -> bool:
-        """Take out one further attempt; return whether there was one."""
+        """Withdraw one retry; return whether the budget allowed it."""
         waited_s = (now - self.refilled_at).total_seconds()
-        self.tokens = min(self.reserve, self.tokens + waited_s * TRICKLE_PER_S)
+        self.tokens = min(self.reserve, self.tokens + waited_s * REFILL_PER_S)
         self.refilled_at = now
         if self.tokens < 1.0:
             return False
@@ -71,12 +72,12 @@
 
 @register("bounded-retry")
 class BoundedRetry(RetryPolicy):
-    """Retries what may safely run again, within a budget and the time left.
+    """Retries requests that may safely run again, within a budget and the deadline.
 
     Without the budget, a zone that is slow for half a minute stays down: each
-    request comes three times, the queues stay longer than the stall timeout, and
-    the work done is thrown away. It shows as timeouts at full load long after the
-    cause is gone. The budget holds because it is paid in by answers only.
+    request is sent three times, queue wait stays above the stall timeout, and the
+    work done is discarded. The symptom is timeouts at full load long after the cause
+    has ended. The budget prevents this because retries are mainly funded by answers.
     """
 
     def __init__(self) -> None:
@@ -84,12 +85,12 @@
         self.attach: AttachToRun | None = None
 
     def resolve_dependencies(self, find: PluginFinder) -> None:
-        """Keep the placer that knows whether an attempt would run nothing."""
+        """Look up the placer that knows whether an attempt would only attach."""
         self.attach = find(AttachToRun)
 
     @singledispatchmethod
     def handle(self, message: Message, context: Context) -> None:
-        """Pay in for requests that are being answered."""
+        """Deposit into the budget for requests that are being answered."""
 
     @handle.register
     def _(self, message: FirstToken, context: Context) -> None:
@@ -102,7 +103,7 @@
     def decide(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> RetryDecision:
-        """Return a jittered pause, or the final problem."""
+        """Return a retry after a jittered backoff, or the final problem."""
         if not self._may_run_again(record, failure, context):
             return GiveUp(Problem(ProblemCode.ENDPOINT_FAILED, failure.kind.value))
         reason = failure.refusal or failure.kind.value
@@ -110,10 +111,10 @@
         most = _fleet_policy(context).max_attempts
         if runs >= most or len(record.attempts) >= most * ATTEMPTS_PER_RUN:
             return _give_up(f"{runs} attempts failed, the last: {reason}")
-        pause = _pause_after(len(record.attempts), context)
+        pause = _backoff_after(len(record.attempts), context)
         if context.now + pause >= record.request.deadline:
             return _give_up(f"no time is left for another attempt: {reason}")
-        if self._costs_nothing(record, failure, context):
+        if self._adds_no_load(record, failure, context):
             return RetryLater(pause)
         if not self._budget_of(record, context).withdraw(context.now):
             return _give_up(f"too many attempts fail just now, the last: {reason}")
@@ -126,28 +127,28 @@
             return False
         if failure.exposure is not Exposure.POSSIBLE:
             return True
-        if self._runs_on(record, context):
+        if self._can_reattach(record, context):
             return True
         return record.request.repeatability is Repeatability.IDEMPOTENT
 
-    def _costs_nothing(
+    def _adds_no_load(
         self, record: RequestRecord, failure: AttemptFailed, context: Context
     ) -> bool:
-        """Return whether a further attempt adds no load to endpoints that work.
+        """Return whether a retry adds no load to working endpoints.
 
-        The budget is against work that is done again. An endpoint that redirects,
-        or that has died, did none; a crash would else let down all but the first
-        twenty of those whose answers it cut.
+        The budget limits repeated work. An endpoint that redirects a request or can't
+        be reached has done none. If such retries were charged, all but the first twenty
+        of the requests that find an endpoint crashed would fail.
         """
         if failure.kind is FailureKind.UNREACHED or failure.refusal in REDIRECTING:
             return True
-        return self._runs_on(record, context)
+        return self._can_reattach(record, context)
 
-    def _runs_on(self, record: RequestRecord, context: Context) -> bool:
+    def _can_reattach(self, record: RequestRecord, context: Context) -> bool:
         """Return whether the next attempt would only attach to a running stream.
 
-        It makes an engine do nothing again. When the connections of hundreds of
-        streams break at once, the budget would let most of their callers down.
+        Attaching repeats no engine work. When the connections of hundreds of streams
+        break at once, charging the budget would fail most of their requests.
         """
         return self.attach is not None and self.attach.can_reattach(record, context)
 
@@ -163,15 +164,15 @@
     return configuration.fleet if configuration is not None else FleetPolicy()
 
 
-def _pause_after(attempts: int, context: Context) -> timedelta:
-    """Return a pause drawn from zero to a bound that doubles with each attempt.
+def _backoff_after(attempts: int, context: Context) -> timedelta:
+    """Return exponential backoff with full jitter.
 
-    The draw spreads requests that failed together; a fixed pause would bring all
-    of them back in the same moment.
+    The jitter spreads requests that failed together; a fixed delay would retry all
+    of them at the same moment.
     """
-    bound = min(BASE_PAUSE * 2 ** (attempts - 1), LONGEST_PAUSE)
-    return max(SHORTEST_PAUSE, bound * context.random.random())
+    bound = min(BASE_BACKOFF * 2 ** (attempts - 1), MAX_BACKOFF)
+    return max(MIN_BACKOFF, bound * context.random.random())
 
 
 def _give_up(detail: str) -> GiveUp:
-    return GiveUp(Problem(ProblemCode.ENDPOINT_FAILED, detail, COME_BACK))
+    return GiveUp(Problem(ProblemCode.ENDPOINT_FAILED, detail, RETRY_AFTER))
--- a/src/mimosafork/watch/documents.py
+++ b/src/mimosafork/watch/documents.py
@@ -1,4 +1,4 @@
-"""What endpoints answer to probes, decoded and checked."""
+"""Decoding and validation of the answers to probes."""
 
 from datetime import timedelta
 from typing import TypeVar
@@ -15,7 +15,7 @@
     LoadReport,
 )
 from ..kernel.messages.requests import PrefixMark
-from .errors import UnansweredError
+from .errors import NoValidAnswerError
 
 T = TypeVar("T")
 
@@ -27,7 +27,7 @@
 
 
 class LoadDocument(msgspec.Struct, frozen=True):
-    """A load report; a plain service leaves most of it out."""
+    """A load report; a plain service omits most of the fields."""
 
     endpoint: str
     incarnation: int
@@ -82,14 +82,14 @@
 
     Raises
     ------
-    UnansweredError
-        If it is none, or comes from another endpoint: an address is given to a new
-        one while the list still has the old one there, and its load and models
-        must not be taken for the old one's.
+    NoValidAnswerError
+        If the body is invalid or names another endpoint. An address may be reused
+        while the instance list still has its previous endpoint, and the load and
+        models of the new one must not be attributed to the previous one.
     """
     document = _decoded(body, LoadDocument)
     if document.endpoint != endpoint:
-        raise UnansweredError(f"{document.endpoint!r} answers at its address")
+        raise NoValidAnswerError(f"{document.endpoint!r} answers at its address")
     checked = document.fencing == FencingMode.CHECKED.value
     return LoadReport(
         endpoint=endpoint,
@@ -114,8 +114,8 @@
 
     Raises
     ------
-    UnansweredError
-        If it is no such answer.
+    NoValidAnswerError
+        If the body is invalid.
     """
     document = _decoded(body, EventsDocument)
     return CacheEventsReported(
@@ -135,8 +135,8 @@
 
     Raises
     ------
-    UnansweredError
-        If it is no such answer.
+    NoValidAnswerError
+        If the body is invalid.
     """
     document = _decoded(body, SnapshotDocument)
     return CacheSnapshotReported(
@@ -151,4 +151,4 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError as error:
-        raise UnansweredError(f"not the protocol's answer: {error}") from error
+        raise NoValidAnswerError(f"not the protocol's answer: {error}") from error
--- a/src/mimosafork/watch/errors.py
+++ b/src/mimosafork/watch/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the watching of endpoints."""
+"""Errors of endpoint probes."""
 
 from ..errors import MimosaforkError
 
@@ -7,9 +7,9 @@
     """Base of failed probes."""
 
 
-class UnreachedError(WatchError):
-    """No connection to the endpoint could be made."""
+class EndpointUnreachableError(WatchError):
+    """The connection to the endpoint could not be established."""
 
 
-class UnansweredError(WatchError):
-    """The endpoint gave no usable answer in time."""
+class NoValidAnswerError(WatchError):
+    """The endpoint returned no valid answer within the timeout."""
--- a/src/mimosafork/watch/task.py
+++ b/src/mimosafork/watch/task.py
@@ -1,4 +1,4 @@
-"""The task that probes the endpoints which fall to this instance."""
+"""Task that probes the endpoints assigned to this instance."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -23,8 +23,8 @@
 from ..runtime.task import Task
 from ..telemetry.catalogue.lifecycle import TASK_FAILED
 from ..telemetry.logs import log_event
-from .errors import UnansweredError, UnreachedError, WatchError
-from .messages import CacheRead, ProbeEnded, Reader, Watch, WatchInput
+from .errors import EndpointUnreachableError, NoValidAnswerError, WatchError
+from .messages import CacheRead, ProbeEnded, ProbeState, Reader, WatchInput
 
 logger = getLogger(__name__)
 
@@ -32,19 +32,19 @@
 
 Post = Callable[[Message], None]
 
-STEADY_THREADS = 4
-DOUBTFUL_THREADS = 2
-"""Probes of endpoints whose last probe failed have threads of their own. A frozen
-endpoint holds a thread for the whole timeout each time; on shared threads a few of
-them would delay the probes of all others, and those would look frozen too."""
+HEALTHY_POOL_THREADS = 4
+FAILING_POOL_THREADS = 2
+"""Endpoints whose last probe failed are probed from a pool of their own. Each probe of
+a frozen endpoint blocks a thread for the whole timeout; in a shared pool a few of them
+would delay the probes of all others, which would then look frozen too."""
 
-MISSES_ALLOWED = 1
-"""An endpoint may let this many probes pass unanswered before it is told as failed;
-a long prefill may hold up one answer. A refused connection is told at once."""
+TOLERATED_TIMEOUTS = 1
+"""Unanswered probes in a row before an endpoint is reported as failed: a long prefill
+may delay one answer. A refused connection is reported immediately."""
 
-SHARE_OF_PERIOD = timedelta(milliseconds=250)
-"""Least time between two probes of one instance, on average: with many endpoints to
-watch each is asked less often, so that probing stays within its budget."""
+MIN_PROBE_SPACING = timedelta(milliseconds=250)
+"""Minimum mean time between two probes by one instance. The more endpoints it watches,
+the less often it probes each, so that probing stays within its traffic budget."""
 
 EVENTS_PERIOD = timedelta(seconds=1)
 LONGEST_IDLE = timedelta(seconds=1)
@@ -52,7 +52,7 @@
 
 
 class WatchTask(Task[WatchInput]):
-    """Probes endpoints in time, whatever one of them does.
+    """Probes endpoints on schedule, even if some of them do not answer.
 
     Parameters
     ----------
@@ -60,11 +60,11 @@
     clock : Clock
     random : random.Random
     post : callable
-        Given messages for the kernel; must not block.
+        Delivers messages to the kernel; must not block.
     period : timedelta
-        Time between two probes of an endpoint, while they are few.
-    share_of_period : timedelta
-        Least mean time between two probes of this instance.
+        Time between two probes of an endpoint, if `min_probe_spacing` allows it.
+    min_probe_spacing : timedelta
+        Minimum mean time between two probes by this instance.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         random: Random,
         post: Post,
         period: timedelta,
-        share_of_period: timedelta = SHARE_OF_PERIOD,
+        min_probe_spacing: timedelta = MIN_PROBE_SPACING,
     ) -> None:
         super().__init__("watch")
         self.reader = reader
@@ -82,43 +82,45 @@
         self.random = random
         self.post = post
         self.period = period
-        self.share_of_period = share_of_period
-        self.watches: dict[EndpointId, Watch] = {}
-        self.steady = ThreadPoolExecutor(STEADY_THREADS, "watch-steady")
-        self.doubtful = ThreadPoolExecutor(DOUBTFUL_THREADS, "watch-doubtful")
+        self.min_probe_spacing = min_probe_spacing
+        self.watches: dict[EndpointId, ProbeState] = {}
+        self.healthy_pool = ThreadPoolExecutor(HEALTHY_POOL_THREADS, "watch-steady")
+        self.failing_pool = ThreadPoolExecutor(FAILING_POOL_THREADS, "watch-doubtful")
 
     def stop(self, timeout: timedelta = timedelta(seconds=5)) -> None:
-        """Stop the thread; calls under way end by their own timeout."""
+        """Stop the thread; calls in flight end by their own timeout."""
         super().stop(timeout)
-        self.steady.shutdown(wait=False, cancel_futures=True)
-        self.doubtful.shutdown(wait=False, cancel_futures=True)
+        self.healthy_pool.shutdown(wait=False, cancel_futures=True)
+        self.failing_pool.shutdown(wait=False, cancel_futures=True)
 
     def wait_time(self) -> timedelta:
         """Return the time until the next call is due."""
         now = self.clock.monotonic()
-        due = [watch.due for watch in self.watches.values() if not watch.busy]
+        due = [
+            watch.due for watch in self.watches.values() if not watch.probe_in_flight
+        ]
         due += [
             watch.events_due
             for watch in self.watches.values()
-            if _reads_cache(watch) and not watch.reading_cache
+            if _reads_cache(watch) and not watch.cache_read_in_flight
         ]
         return min(min(due, default=now + LONGEST_IDLE) - now, LONGEST_IDLE)
 
     def idle(self) -> None:
-        """Start the calls that are due."""
+        """Start the probes and cache reads that are due."""
         now = self.clock.monotonic()
         for watch in self.watches.values():
-            if not watch.busy and watch.due <= now:
+            if not watch.probe_in_flight and watch.due <= now:
                 self._probe(watch, now)
             if (
                 _reads_cache(watch)
-                and not watch.reading_cache
+                and not watch.cache_read_in_flight
                 and watch.events_due <= now
             ):
                 self._read_cache(watch, now)
 
     def receive(self, message: WatchInput) -> None:
-        """Handle a message, and start what has come due meanwhile."""
+        """Handle a message, then start the calls that have become due."""
         self.handle(message)
         if self.wait_time() <= timedelta(0):
             self.idle()
@@ -132,12 +134,12 @@
     def _(self, message: WatchEndpoints) -> None:
         now = self.clock.monotonic()
         wanted = {each.endpoint: each for each in message.endpoints}
-        for gone in [name for name in self.watches if name not in wanted]:
-            del self.watches[gone]
+        for removed in [name for name in self.watches if name not in wanted]:
+            del self.watches[removed]
         for name, target in wanted.items():
             known = self.watches.get(name)
             if known is None or known.target.address != target.address:
-                self.watches[name] = Watch(target, now, now)
+                self.watches[name] = ProbeState(target, now, now)
             else:
                 known.target = target
 
@@ -151,23 +153,23 @@
     @handle.register
     def _(self, message: ProbeEnded) -> None:
         watch = message.watch
-        watch.busy = False
+        watch.probe_in_flight = False
         if self.watches.get(watch.target.endpoint) is not watch:
             return
         if isinstance(message.result, LoadReport):
-            watch.misses = 0
+            watch.consecutive_failures = 0
             self.post(LoadReported(message.result))
             return
-        watch.misses += 1
-        refused = isinstance(message.result, UnreachedError)
-        if refused or watch.misses > MISSES_ALLOWED:
+        watch.consecutive_failures += 1
+        refused = isinstance(message.result, EndpointUnreachableError)
+        if refused or watch.consecutive_failures > TOLERATED_TIMEOUTS:
             logger.debug("%s: %s", watch.target.endpoint, message.result)
             self.post(ProbeFailed(watch.target.endpoint))
 
     @handle.register
     def _(self, message: CacheRead) -> None:
         watch = message.watch
-        watch.reading_cache = False
+        watch.cache_read_in_flight = False
         if self.watches.get(watch.target.endpoint) is not watch:
             return
         result = message.result
@@ -176,13 +178,13 @@
             watch.events_after = result.sequence
             self.post(result)
         elif isinstance(result, CacheEventsReported):
-            self._take_events(watch, result)
+            self._apply_events(watch, result)
 
-    def _take_events(self, watch: Watch, result: CacheEventsReported) -> None:
-        """Pass on events, or read the cache anew if the engine has been restarted.
+    def _apply_events(self, watch: ProbeState, result: CacheEventsReported) -> None:
+        """Post events, or request a snapshot if the engine has restarted.
 
-        A restarted engine numbers its events from one and its cache is empty, so
-        events asked for after the former life's number tell nothing.
+        A restarted engine has an empty cache and numbers its events from one, so a
+        request for events after the previous incarnation's number returns nothing.
         """
         if result.incarnation != watch.incarnation:
             watch.incarnation = result.incarnation
@@ -192,21 +194,21 @@
         watch.events_after = max(watch.events_after, result.newest)
         self.post(result)
 
-    def _probe(self, watch: Watch, now: timedelta) -> None:
-        period = max(self.period, self.share_of_period * len(self.watches))
+    def _probe(self, watch: ProbeState, now: timedelta) -> None:
+        period = max(self.period, self.min_probe_spacing * len(self.watches))
         watch.due = now + period * self.random.uniform(1 - JITTER, 1 + JITTER)
-        watch.busy = True
+        watch.probe_in_flight = True
         target = watch.target
         call = partial(self.reader.load, target.endpoint, target.address)
-        pool = self.doubtful if watch.misses else self.steady
+        pool = self.failing_pool if watch.consecutive_failures else self.healthy_pool
         pool.submit(self._run_probe, watch, call)
 
-    def _run_probe(self, watch: Watch, call: Callable[[], LoadReport]) -> None:
+    def _run_probe(self, watch: ProbeState, call: Callable[[], LoadReport]) -> None:
         self.send(ProbeEnded(watch, _result_of(call)))
 
-    def _read_cache(self, watch: Watch, now: timedelta) -> None:
+    def _read_cache(self, watch: ProbeState, now: timedelta) -> None:
         watch.events_due = now + EVENTS_PERIOD
-        watch.reading_cache = True
+        watch.cache_read_in_flight = True
         target = watch.target
         call: Callable[[], CacheEventsReported | CacheSnapshotReported]
         if watch.wants_snapshot:
@@ -215,22 +217,22 @@
         else:
             after = watch.events_after
             call = partial(self.reader.events, target.endpoint, target.address, after)
-        pool = self.doubtful if watch.misses else self.steady
+        pool = self.failing_pool if watch.consecutive_failures else self.healthy_pool
         pool.submit(self._run_cache_read, watch, call)
 
     def _run_cache_read(
         self,
-        watch: Watch,
+        watch: ProbeState,
         call: Callable[[], CacheEventsReported | CacheSnapshotReported],
     ) -> None:
         self.send(CacheRead(watch, _result_of(call)))
 
 
 def _result_of(call: Callable[[], R]) -> R | WatchError:
-    """Return what a call returned, or its error.
+    """Return the result of a call, or its error.
 
-    An exception that left a pool's thread would go unseen, and the endpoint would
-    count as being asked for ever.
+    An exception that escaped into the thread pool would be lost, and the call would
+    count as in flight forever.
     """
     try:
         return call()
@@ -238,10 +240,10 @@
         return error
     except Exception as error:
         log_event(logger, TASK_FAILED, exc_info=error, task="watch")
-        return UnansweredError(str(error))
+        return NoValidAnswerError(str(error))
 
 
-def _reads_cache(watch: Watch) -> bool:
+def _reads_cache(watch: ProbeState) -> bool:
     """Return whether this instance reads an endpoint's cache events."""
     target = watch.target
     return target.is_primary and target.kind is EndpointKind.MODEL_ENGINE
--- a/tests/support/crashing_fleet.py
+++ b/tests/support/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Kernels and engines in virtual time; a poisoned body crashes what runs it."""
+"""Kernels and engines in virtual time; a poisoned body crashes its engine."""
 
 import heapq
 from collections.abc import Callable
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Run:
+class EngineRun:
     """One attempt on an engine."""
 
     kernel: Kernel
@@ -80,12 +80,12 @@
     up_at_s: float = 0.0
     cut_until_s: float = 0.0
     sequence: int = 0
-    runs: dict[str, Run] = field(default_factory=dict)
+    runs: dict[str, EngineRun] = field(default_factory=dict)
     crashes: list[set[str]] = field(default_factory=list)
 
 
 class CrashingFleet:
-    """Several entry instances that gossip, and engines that can crash.
+    """Several instances that gossip, and engines that can crash.
 
     Parameters
     ----------
@@ -95,15 +95,15 @@
     Attributes
     ----------
     poison : set of str
-        Bodies that crash an engine `strike_s` after they have come there.
-    strike_s : float
+        Bodies that crash an engine `crash_after_s` after their run started there.
+    crash_after_s : float
         The length of a prefill unless set; at most that.
     crash_log : list of set
         The bodies that were in progress at each crash, oldest first.
-    unreached : list of str
+    unreached_bodies : list of str
         The bodies whose new runs were sent to an engine that was down.
-    silenced : bool
-        Nothing is heard from peers.
+    gossip_disabled : bool
+        Nothing is received from peers.
     """
 
     def __init__(self, engines: int, kernels: int = 2, seed: int = 4) -> None:
@@ -112,13 +112,13 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = count()
         self.poison: set[str] = set()
-        self.strike_s = PREFILL_S
+        self.crash_after_s = PREFILL_S
         self.bodies: dict[RequestId, str] = {}
         self.conclusions: dict[RequestId, Conclude] = {}
-        self.kept: list[Effect] = []
-        self.silenced = False
+        self.stored_effects: list[Effect] = []
+        self.gossip_disabled = False
         self.crash_log: list[set[str]] = []
-        self.unreached: list[str] = []
+        self.unreached_bodies: list[str] = []
         self.engines = {f"e{n}": CrashingEngine(f"e{n}") for n in range(engines)}
         self.kernels = [self.kernel(n) for n in range(kernels)]
         for each in self.kernels:
@@ -134,17 +134,17 @@
         """Return the kernel of an instance that has just started."""
         identity = InstanceIdentity(InstanceId(f"i{number}"), Incarnation(1), ZONE)
         kernel = Kernel(identity, self.clock, Random(number), create(PLUGINS))
-        self.tell(kernel, ConfigurationReceived(configuration()))
+        self.handle(kernel, ConfigurationReceived(configuration()))
         entries = tuple(engine_entry(name) for name in self.engines)
-        self.tell(kernel, InstancesListed(entries, ()))
+        self.handle(kernel, InstancesListed(entries, ()))
         return kernel
 
     def at(self, instant_s: float, action: Callable[[], None]) -> None:
-        """Have something done at an instant."""
+        """Schedule an action at an instant."""
         heapq.heappush(self.events, (instant_s, next(self.numbers), action))
 
     def run(self, span_s: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the events that are due."""
         end_s = self.now_s + span_s
         while self.events and self.events[0][0] <= end_s:
             instant_s, _, action = heapq.heappop(self.events)
@@ -153,12 +153,12 @@
         self.clock.instant = timedelta(seconds=end_s)
 
     def submit(self, request: Request, kernel: int = 0) -> None:
-        """Have a caller send a request."""
+        """Submit a request at an instance."""
         self.bodies[request.request_id] = request.body_digest
-        self.tell(self.kernels[kernel], Submit(request))
+        self.handle(self.kernels[kernel], Submit(request))
 
     def crash(self, name: str) -> None:
-        """End an engine's life; it comes back after a while, empty."""
+        """Crash an engine; it restarts after a while without any requests."""
         engine = self.engines[name]
         bodies = {run.body for run in engine.runs.values()}
         engine.crashes.append(bodies)
@@ -171,7 +171,7 @@
             self._fail(run, FailureKind.BROKEN, Exposure.POSSIBLE)
 
     def cut(self, name: str, span_s: float) -> None:
-        """Cut the network to an engine, which lives on; its streams are lost."""
+        """Cut the network to an engine, which stays up; its streams are lost."""
         engine = self.engines[name]
         engine.cut_until_s = self.now_s + span_s
         broken, engine.runs = engine.runs, {}
@@ -187,11 +187,11 @@
             if body in bodies
         ]
 
-    def tell(self, kernel: Kernel, message: Message) -> None:
-        """Hand a kernel a message and carry out its effects."""
+    def handle(self, kernel: Kernel, message: Message) -> None:
+        """Pass a message to a kernel and apply its effects."""
         for effect in kernel.handle(message):
             if isinstance(effect, WakeAt):
-                wake = partial(self.tell, kernel, effect.message)
+                wake = partial(self.handle, kernel, effect.message)
                 self.at(effect.at.total_seconds(), wake)
             elif isinstance(effect, Dispatch):
                 self._dispatch(kernel, effect)
@@ -203,16 +203,16 @@
             elif isinstance(effect, Publish):
                 self._publish(kernel, effect)
             elif isinstance(effect, StoreSuspicion | DropSuspicion):
-                self.kept.append(effect)
+                self.stored_effects.append(effect)
 
     def _tick(self, kernel: Kernel) -> None:
-        self.tell(kernel, Tick())
+        self.handle(kernel, Tick())
         self.at(self.now_s + TICK.total_seconds(), partial(self._tick, kernel))
 
     def _probe(self, kernel: Kernel) -> None:
         for engine in self.engines.values():
             if not self._answers(engine):
-                self.tell(kernel, ProbeFailed(engine_entry(engine.name).endpoint))
+                self.handle(kernel, ProbeFailed(engine_entry(engine.name).endpoint))
                 continue
             engine.sequence += 1
             report = replace(
@@ -221,7 +221,7 @@
                 running=len(engine.runs),
                 lag=timedelta(milliseconds=100),
             )
-            self.tell(kernel, LoadReported(report))
+            self.handle(kernel, LoadReported(report))
         self.at(self.now_s + PROBE_S, partial(self._probe, kernel))
 
     def _answers(self, engine: CrashingEngine) -> bool:
@@ -229,10 +229,10 @@
 
     def _dispatch(self, kernel: Kernel, dispatch: Dispatch) -> None:
         engine = self.engines[dispatch.endpoint]
-        run = Run(kernel, dispatch, self.bodies[dispatch.request_id])
+        run = EngineRun(kernel, dispatch, self.bodies[dispatch.request_id])
         if not self._answers(engine):
             if not dispatch.attach:
-                self.unreached.append(run.body)
+                self.unreached_bodies.append(run.body)
             fail = partial(self._fail, run, FailureKind.UNREACHED, Exposure.NEVER_SENT)
             self.at(self.now_s + 0.001, fail)
         elif dispatch.attach:
@@ -240,35 +240,38 @@
             self.at(self.now_s + 0.001, fail)
         else:
             engine.runs[dispatch.stream_id] = run
-            self.at(self.now_s + self.strike_s, partial(self._strike, engine, run))
-            self.at(self.now_s + PREFILL_S, partial(self._prefilled, engine, run))
-            self.at(self.now_s + RUN_S, partial(self._ended, engine, run))
+            self.at(
+                self.now_s + self.crash_after_s,
+                partial(self._crash_if_poisoned, engine, run),
+            )
+            self.at(self.now_s + PREFILL_S, partial(self._finish_prefill, engine, run))
+            self.at(self.now_s + RUN_S, partial(self._finish_run, engine, run))
 
-    def _strike(self, engine: CrashingEngine, run: Run) -> None:
-        is_there = engine.runs.get(run.dispatch.stream_id) is run
-        if is_there and run.body in self.poison:
+    def _crash_if_poisoned(self, engine: CrashingEngine, run: EngineRun) -> None:
+        is_running = engine.runs.get(run.dispatch.stream_id) is run
+        if is_running and run.body in self.poison:
             self.crash(engine.name)
 
-    def _prefilled(self, engine: CrashingEngine, run: Run) -> None:
+    def _finish_prefill(self, engine: CrashingEngine, run: EngineRun) -> None:
         if engine.runs.get(run.dispatch.stream_id) is not run:
             return
         dispatch = run.dispatch
-        self.tell(run.kernel, FirstToken(dispatch.request_id, dispatch.attempt))
+        self.handle(run.kernel, FirstToken(dispatch.request_id, dispatch.attempt))
 
-    def _ended(self, engine: CrashingEngine, run: Run) -> None:
+    def _finish_run(self, engine: CrashingEngine, run: EngineRun) -> None:
         if engine.runs.get(run.dispatch.stream_id) is not run:
             return
         del engine.runs[run.dispatch.stream_id]
         dispatch = run.dispatch
-        self.tell(run.kernel, AttemptFinished(dispatch.request_id, dispatch.attempt))
+        self.handle(run.kernel, AttemptFinished(dispatch.request_id, dispatch.attempt))
 
-    def _fail(self, run: Run, kind: FailureKind, exposure: Exposure) -> None:
+    def _fail(self, run: EngineRun, kind: FailureKind, exposure: Exposure) -> None:
         dispatch = run.dispatch
         failed = AttemptFailed(dispatch.request_id, dispatch.attempt, kind, exposure)
-        self.tell(run.kernel, failed)
+        self.handle(run.kernel, failed)
 
     def _publish(self, writer: Kernel, published: Publish) -> None:
-        if self.silenced:
+        if self.gossip_disabled:
             return
         kind = kind_of(published.value)
         decoded = kind.decode(kind.encode(published.value))
@@ -283,5 +286,5 @@
         message = kind.message(published.key, decoded, origin)
         for kernel in self.kernels:
             if kernel is not writer:
-                heard = partial(self.tell, kernel, message)
-                self.at(self.now_s + GOSSIP_S, heard)
+                deliver = partial(self.handle, kernel, message)
+                self.at(self.now_s + GOSSIP_S, deliver)
--- a/tests/support/limits.py
+++ b/tests/support/limits.py
@@ -1,4 +1,4 @@
-"""Entry instances that hold client accounts to their limits, in virtual time."""
+"""Simulation of entry instances that enforce account limits, in virtual time."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -41,23 +41,23 @@
 
 PLUGINS = ("known-target", "account-limits", "bounded-retry", "first-come")
 STEP = timedelta(milliseconds=500)
-SLOWEST_WORD_S = 4.0
+MAX_DELAY_S = 4.0
 REQUEST_TOKENS = 1_000
 FOR_EVER = timedelta(days=1)
 
 
 @dataclass
-class LimitWorld:
-    """Instances in zones, words between them that take time, and one account.
+class LimitSimulation:
+    """Instances in zones, delayed messages between them, and one account.
 
     Attributes
     ----------
     granted : Counter of str
-        Tokens that each instance let through.
-    parted : bool
-        Zones do not hear of each other.
-    alone : str
-        Instance that hears nobody and is heard by nobody.
+        Tokens that each instance granted.
+    partitioned : bool
+        Zones receive no messages from each other.
+    isolated : str
+        Instance that neither sends messages to others nor receives any.
     largest_sum : float
         Largest sum of the instances' rates, over the limit.
     """
@@ -66,14 +66,14 @@
     zones: Mapping[str, int]
     clock: ManualClock = field(default_factory=ManualClock)
     granted: Counter[str] = field(default_factory=Counter)
-    parted: bool = False
-    alone: str = ""
+    partitioned: bool = False
+    isolated: str = ""
     largest_sum: float = 0.0
 
     def __post_init__(self) -> None:
         self.random = Random(11)
         self.numbers = count()
-        self.words: list[tuple[timedelta, str, Publish, Origin]] = []
+        self.in_transit: list[tuple[timedelta, str, Publish, Origin]] = []
         self.zone_of = {
             f"{zone}-{number}": zone
             for zone, size in self.zones.items()
@@ -91,21 +91,21 @@
             kernel.handle(ConfigurationReceived(settings))
             kernel.handle(InstancesListed((), listed))
             self.kernels[name] = kernel
-        self.tell_members()
+        self.send_members()
 
-    def hears(self, name: str, other: str) -> bool:
-        """Return whether words of one instance come to another."""
-        if self.alone in (name, other):
+    def reaches(self, name: str, other: str) -> bool:
+        """Return whether messages pass between two instances."""
+        if self.isolated in (name, other):
             return name == other
-        return not self.parted or self.zone_of[name] == self.zone_of[other]
+        return not self.partitioned or self.zone_of[name] == self.zone_of[other]
 
-    def cut(self, parted: bool = False, alone: str = "") -> None:
-        """Change which instances hear of each other."""
-        self.parted, self.alone = parted, alone
-        self.tell_members()
+    def partition(self, partitioned: bool = False, isolated: str = "") -> None:
+        """Change which instances can reach each other."""
+        self.partitioned, self.isolated = partitioned, isolated
+        self.send_members()
 
-    def tell_members(self) -> None:
-        """Tell each instance whom it hears."""
+    def send_members(self) -> None:
+        """Send each instance the list of its members and silent zones."""
         for name, kernel in self.kernels.items():
             zone = self.zone_of[name]
             near = [each for each, home in self.zone_of.items() if home == zone]
@@ -113,21 +113,21 @@
             silent = {
                 home
                 for other, home in self.zone_of.items()
-                if home != zone and not self.hears(name, other)
+                if home != zone and not self.reaches(name, other)
             }
             zones = tuple(AvailabilityZoneId(each) for each in silent)
             kernel.state.fleet.members = {each.instance: each for each in members}
             kernel.handle(MembersChanged(members, zones))
 
     def _member(self, name: str, seen_by: str) -> Member:
-        live = self.hears(seen_by, name)
+        live = self.reaches(seen_by, name)
         state = MemberState.LIVE if live else MemberState.SUSPECT
         zone = AvailabilityZoneId(self.zone_of[name])
         identity = InstanceId(name), Incarnation(1), zone
         return Member(*identity, "10.0.0.1:1", state, Revision(1))
 
     def run(self, seconds: float, demand: Mapping[str, float]) -> int:
-        """Let callers ask at these requests a second; return the tokens granted."""
+        """Send requests at these rates per second; return the tokens granted."""
         before = self.granted.total()
         owed = dict.fromkeys(demand, 0.0)
         for step in range(int(seconds / STEP.total_seconds())):
@@ -152,7 +152,7 @@
         ends = [each for each in effects if isinstance(each, Conclude)]
         if not ends:
             self.granted[name] += tokens
-            # Nothing serves them here; trying them at each tick only takes time.
+            # No endpoint serves them; placing them at each tick only costs time.
             self.kernels[name].state.waiting.by_target.clear()
             return None
         (end,) = ends
@@ -167,7 +167,7 @@
             self._take(name, self.kernels[name].handle(message))
 
     def _take(self, name: str, effects: Iterable[Effect]) -> None:
-        """Send published values on their way, each with a delay of its own."""
+        """Queue published values for delivery, each with its own delay."""
         for effect in effects:
             if not isinstance(effect, Publish):
                 continue
@@ -178,7 +178,7 @@
                 near = self.zone_of[other] == self.zone_of[name]
                 if other == name or (effect.scope is Scope.ZONE and not near):
                     continue
-                age = timedelta(seconds=self.random.uniform(0.1, SLOWEST_WORD_S))
+                age = timedelta(seconds=self.random.uniform(0.1, MAX_DELAY_S))
                 origin = Origin(
                     identity.instance,
                     identity.incarnation,
@@ -186,16 +186,18 @@
                     age,
                 )
                 due = self.clock.monotonic() + age
-                told = replace(effect, value=value)
-                self.words.append((due, other, told, origin))
+                published = replace(effect, value=value)
+                self.in_transit.append((due, other, published, origin))
 
     def _deliver(self) -> None:
         now = self.clock.monotonic()
-        due = [each for each in self.words if each[0] <= now]
-        self.words = [each for each in self.words if each[0] > now]
-        for _, name, word, origin in sorted(due, key=lambda each: each[0]):
-            if self.hears(name, origin.instance):
-                message = kind_of(word.value).message(word.key, word.value, origin)
+        due = [each for each in self.in_transit if each[0] <= now]
+        self.in_transit = [each for each in self.in_transit if each[0] > now]
+        for _, name, published, origin in sorted(due, key=lambda each: each[0]):
+            if self.reaches(name, origin.instance):
+                message = kind_of(published.value).message(
+                    published.key, published.value, origin
+                )
                 self.kernels[name].handle(message)
 
     def _measure(self) -> None:
@@ -209,7 +211,7 @@
 
 
 def entry_instance(name: str, zone: str) -> EntryInstance:
-    """Return an entry instance as the platform lists it."""
+    """Return an entry instance as listed by the platform."""
     return EntryInstance(
         instance=InstanceId(name),
         address="10.0.0.1:2",
--- a/tests/support/simulated_gateway.py
+++ b/tests/support/simulated_gateway.py
@@ -164,8 +164,8 @@
     ----------
     endpoint_by_address : dict
         The endpoint that listens at each address.
-    fates : dict
-        All attempts that have not ended, by their request.
+    open : list of SimulatedAttempt
+        All attempts that have not ended.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -177,7 +177,7 @@
         self.directory = Directory(
             self.tables, FakeEndpointRows(), self.clock, Random(seed)
         )
-        self.directory.listen(self.directory_changed)
+        self.directory.add_listener(self.directory_changed)
         self.random = Random(seed)
         self.share = SlackShare(INSTANCES)
         self.peer = BudgetedRetry()
--- a/tests/unit/policies/test_fair_shares.py
+++ b/tests/unit/policies/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""A large account's queue and the small accounts' requests."""
+"""Fair shares of large and small accounts in the queue."""
 
 from datetime import timedelta
 
@@ -26,13 +26,13 @@
 
 
 def test_largest_account_cannot_starve_the_smallest() -> None:
-    """A parish waits behind eight dossiers of an archive that came a moment before.
+    """A small account waits behind eight slightly older requests of a large one.
 
-    All are long prompts, and only one of them runs at a time. The parish's one goes
-    next, although it came last.
+    All are long prompts, and only one of them runs at a time. The small account's
+    request goes next, although it arrived last.
     """
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
-        submit_dossiers(bench, 8)
+        submit_long_prompts(bench, 8)
         tick(bench, 1.0)
         bench.submit(replace(model_request("one", LONG, MINUTES), account=SMALL))
         assert not bench.dispatches("one")
@@ -41,32 +41,32 @@
         assert len(bench.dispatches("large1")) == 0
 
 
-def test_lone_account_loses_nothing() -> None:
+def test_sole_account_has_no_penalty() -> None:
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
-        submit_dossiers(bench, 8)
+        submit_long_prompts(bench, 8)
         fair_shares = bench.kernel.plugin(FairShares)
         records = bench.kernel.state.requests.values()
-        assert {fair_shares.later_s(each) for each in records} == {0.0}
+        assert {fair_shares.penalty_s(each) for each in records} == {0.0}
 
 
-def test_letters_do_not_wait_for_their_own_account_s_dossier() -> None:
-    """A parish that has one dossier read finds all its letters served last."""
+def test_short_requests_are_not_penalized_for_a_long_one_of_the_account() -> None:
+    """An account that has one long prompt running gets its short ones served last."""
     with policy_kernel(FAIR, [engine_entry("e1")]) as bench:
-        submit_dossiers(bench, 1)
+        submit_long_prompts(bench, 1)
         bench.submit(replace(model_request("other", 1_000), account=SMALL))
         bench.submit(replace(model_request("letter", 1_000), account=LARGE))
         record = bench.kernel.state.requests[RequestId("letter")]
-        assert bench.kernel.plugin(FairShares).later_s(record) == 0
+        assert bench.kernel.plugin(FairShares).penalty_s(record) == 0
 
 
-def test_weight_decides_what_is_a_fair_share() -> None:
-    """The archive has paid for nine tenths of the fleet, and is treated as greedy."""
+def test_weight_sets_the_fair_share() -> None:
+    """An account with nearly all of the weight is penalized for using its share."""
     heavy = AccountPolicy(LARGE, (), 1e9, 10**9, weight=99.0)
     light = AccountPolicy(SMALL, (), 1e9, 10**9, weight=1.0)
     settings = configuration(accounts=[heavy, light])
     with policy_kernel(FAIR, [engine_entry("e1")], settings) as bench:
         bench.submit(replace(model_request("one", LONG, MINUTES), account=SMALL))
-        submit_dossiers(bench, 8)
+        submit_long_prompts(bench, 8)
         bench.submit(replace(model_request("two", LONG, MINUTES), account=SMALL))
         bench.handle(CallerGone(RequestId("one")))
         bench.report("e1")
@@ -75,7 +75,7 @@
         assert not bench.dispatches("two")
 
 
-def submit_dossiers(bench: Bench, number: int) -> None:
+def submit_long_prompts(bench: Bench, number: int) -> None:
     """Let the large account submit long prompts."""
     for each in range(number):
         request = model_request(f"large{each}", LONG, MINUTES)
@@ -83,7 +83,7 @@
 
 
 def end_first(bench: Bench) -> None:
-    """End the one dossier that runs, and let the engine tell that it is free."""
+    """End the one long prompt that runs, and report the engine as idle."""
     bench.handle(CallerGone(RequestId("large0")))
     bench.handle_after(timedelta(seconds=1), Tick())
     bench.report("e1")
--- a/tests/unit/policies/test_gangs.py
+++ b/tests/unit/policies/test_gangs.py
@@ -1,4 +1,4 @@
-"""Prompts beyond one engine's memory run on several, or leave nothing behind."""
+"""Gangs run prompts beyond one engine's memory and release all their holdings."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -22,7 +22,7 @@
 )
 from mimosafork.kernel.messages.problems import ProblemCode
 from mimosafork.kernel.messages.requests import CallerGone, Repeatability
-from mimosafork.policies.gangs.placer import MOST_FAILURES, GangPlacer
+from mimosafork.policies.gangs.placer import MAX_GANG_FAILURES, GangPlacer
 from mimosafork.policies.prediction import Prediction
 from tests.support.functions import function_tests
 from tests.support.gang_engines import GangEngines
@@ -37,21 +37,21 @@
 
 @contextmanager
 def gang_fleet() -> Iterator[tuple[Bench, GangEngines]]:
-    """Give a kernel and four engines that hold a huge prompt together."""
+    """Provide a kernel and four engines that can hold a huge prompt together."""
     with policy_kernel((*ADMITTED, "gangs"), FLEET) as bench:
         yield bench, GangEngines(bench)
 
 
-def nothing_left(bench: Bench, engines: GangEngines) -> None:
-    """Check that no engine and no plug-in holds anything any more."""
+def check_all_released(bench: Bench, engines: GangEngines) -> None:
+    """Check that no engine and no plug-in holds anything for a gang."""
     assert not engines.held, engines.held
     assert not bench.kernel.plugin(GangPlacer).gangs
     loads = bench.kernel.plugin(Prediction).loads.values()
     assert not any(load.sent for load in loads)
 
 
-def again(bench: Bench, engines: GangEngines, seconds: float = 2.0) -> None:
-    """Let the pause of a failed gang pass, with fresh reports."""
+def retry_gang(bench: Bench, engines: GangEngines, seconds: float = 2.0) -> None:
+    """Advance past the pause of a failed gang, with new reports."""
     bench.clock.advance(timedelta(seconds=seconds))
     for name in NAMES:
         bench.report(name)
@@ -76,7 +76,7 @@
         conclusion = bench.conclusion("r")
         assert conclusion is not None
         assert conclusion.outcome is Outcome.COMPLETED
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
 def test_members_are_reserved_in_the_order_of_their_ids() -> None:
@@ -87,7 +87,7 @@
 
 
 def test_prompt_beyond_the_fleet_is_refused_at_once() -> None:
-    """A treasurer waits for an hour for what no fleet of this size can read."""
+    """A caller waits for an hour for a prompt that does not fit into the fleet."""
     fleet = [engine_entry("e1"), engine_entry("e2")]
     with policy_kernel((*ADMITTED, "gangs"), fleet) as bench:
         bench.submit(model_request("r", HUGE, HOUR))
@@ -103,8 +103,8 @@
 def test_refused_reservation_frees_the_others_and_is_tried_again() -> None:
     """A gang holds three engines and waits for a fourth that is never free.
 
-    The last engine refuses. What was reserved has to go at once, and the request
-    waits in the queue with nothing held.
+    The last engine refuses. All reservations have to be freed at once, and the request
+    is queued without holdings.
     """
     with gang_fleet() as (bench, engines):
         engines.hold("e4", "somebody's", 399_000)
@@ -113,15 +113,15 @@
         assert bench.emitted(FreeOwnHolding)
         assert set(engines.held) == {"somebody's"}
         engines.by_engine["e4"].clear()
-        again(bench, engines)
+        retry_gang(bench, engines)
         assert len(bench.dispatches("r")) == 1
 
 
-def test_two_gangs_that_cross_never_block_each_other() -> None:
-    """Two dossiers each hold half of the engines and wait for the other's half.
+def test_two_concurrent_gangs_do_not_deadlock() -> None:
+    """Two gangs each hold half of the engines and wait for the other half.
 
-    Both want engines that can hold only one of them; their steps alternate. One goes
-    through, the other one holds nothing meanwhile and goes through after it.
+    Both need engines that can hold only one of them, and their steps alternate. One
+    completes; the other one holds nothing meanwhile and completes after it.
     """
     with gang_fleet() as (bench, engines):
         engines.holding_back = {ReserveMemory}
@@ -134,7 +134,7 @@
         placed = [name for name in ("r1", "r2") if bench.dispatches(name)]
         assert len(placed) <= 1
         for _ in range(10):
-            again(bench, engines)
+            retry_gang(bench, engines)
             for name in ("r1", "r2"):
                 if bench.dispatches(name) and bench.conclusion(name) is None:
                     done = AttemptFinished(RequestId(name), AttemptNumber(1))
@@ -143,14 +143,14 @@
             conclusion = bench.conclusion(name)
             assert conclusion is not None, name
             assert conclusion.outcome is Outcome.COMPLETED
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
-def test_member_that_dies_between_reserve_and_prefill() -> None:
-    """A reading never ends: its next part waits for an engine that was restarted.
+def test_member_that_restarts_between_reserve_and_prefill() -> None:
+    """A request never ends: its next segment waits for an engine that was restarted.
 
-    The list shows a new incarnation of a member that is reserved, while the first
-    part is still being prefilled elsewhere.
+    The list shows a new incarnation of a reserved member while the first segment is
+    still being prefilled elsewhere.
     """
     with gang_fleet() as (bench, engines):
         engines.holding_back = {PrefillSegment}
@@ -166,15 +166,16 @@
         bench.handle(InstancesListed(tuple(entries), ()))
         engines.held_back.clear()
         engines.serve(bench.handle(Tick()))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
         assert bench.conclusion("r") is None
         assert bench.kernel.state.requests[RequestId("r")].state.value == "waiting"
 
 
 def test_expired_reservation_is_a_failure_like_any_other() -> None:
-    """The prefill is refused as its reservation has expired; nobody cleans up.
+    """A prefill is refused because its reservation has expired, and holdings leak.
 
-    A paused entry instance comes back after the engines have let go.
+    This happens when a paused entry instance resumes after the engines have freed its
+    reservations.
     """
     with gang_fleet() as (bench, engines):
         engines.holding_back = {PrefillSegment}
@@ -189,36 +190,36 @@
             Exposure.REFUSED,
         )
         engines.serve(bench.handle(refused))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
         engines.holding_back.clear()
-        again(bench, engines)
+        retry_gang(bench, engines)
         assert len(bench.dispatches("r")) == 1
 
 
-def test_reservations_outlive_the_parts_before_them_and_not_the_deadline() -> None:
+def test_reservations_last_for_earlier_segments_and_not_past_the_deadline() -> None:
     with gang_fleet() as (bench, engines):
         deadline = timedelta(minutes=20)
         engines.serve(bench.submit(model_request("r", HUGE, deadline)))
-        lives = [each.time_to_live for each in bench.emitted(ReserveMemory)]
-        assert lives == sorted(lives)
-        assert lives[0] == timedelta(seconds=10)
-        assert timedelta(seconds=30) < lives[-1] < deadline
+        times_to_live = [each.time_to_live for each in bench.emitted(ReserveMemory)]
+        assert times_to_live == sorted(times_to_live)
+        assert times_to_live[0] == timedelta(seconds=10)
+        assert timedelta(seconds=30) < times_to_live[-1] < deadline
 
 
-def test_every_step_can_fail_and_leaves_nothing() -> None:
-    """Engines lose memory with every reading that fails half-way, until none is left.
+def test_failure_of_any_step_frees_all_holdings() -> None:
+    """Engines leak memory with every gang that fails half-way, until none is left.
 
-    Each kind of step fails in turn, for the request's whole life.
+    Each kind of step fails in turn until the request ends.
     """
     for kind in (ReserveMemory, ImportKv):
         for failure in GangStepFailure:
             with gang_fleet() as (bench, engines):
                 engines.failing[kind] = failure
                 engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
-                nothing_left(bench, engines)
-                for _ in range(MOST_FAILURES):
-                    again(bench, engines)
-                nothing_left(bench, engines)
+                check_all_released(bench, engines)
+                for _ in range(MAX_GANG_FAILURES):
+                    retry_gang(bench, engines)
+                check_all_released(bench, engines)
                 conclusion = bench.conclusion("r")
                 if failure is GangStepFailure.NO_MEMORY:
                     assert conclusion is None
@@ -229,8 +230,8 @@
                 assert conclusion.outcome is expected
 
 
-def test_part_that_ran_is_never_called_not_run() -> None:
-    """A clerk is told "not run" although an engine has read half of the prompt."""
+def test_request_with_a_prefilled_segment_is_not_reported_as_not_run() -> None:
+    """A caller gets "not run" although an engine has prefilled half of the prompt."""
     with gang_fleet() as (bench, engines):
         engines.failing[ImportKv] = GangStepFailure.LOST
         request = model_request(
@@ -255,11 +256,11 @@
                 else:
                     engines.serve(bench.handle_after(HOUR, Tick()))
                 assert bench.conclusion("r") is not None
-                nothing_left(bench, engines)
+                check_all_released(bench, engines)
 
 
-def test_answers_that_come_after_the_end_are_cleaned_up() -> None:
-    """An export stays until the deadline, as its handle came after the caller left."""
+def test_exports_of_late_answers_are_freed() -> None:
+    """An export stays until the deadline if its answer arrives too late."""
     with gang_fleet() as (bench, engines):
         engines.holding_back = {PrefillSegment}
         engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
@@ -277,7 +278,7 @@
         ]
         for message in late:
             engines.serve(bench.handle(message))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
 def test_failed_last_attempt_frees_the_exports_and_begins_anew() -> None:
@@ -285,12 +286,12 @@
         engines.serve(bench.submit(model_request("r", HUGE, HOUR)))
         assert engines.held
         engines.serve(bench.handle(attempt_failure("r")))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
         engines.serve(bench.handle(RetryDue(RequestId("r"))))
-        again(bench, engines)
+        retry_gang(bench, engines)
         assert len(bench.dispatches("r")) == 2
         engines.serve(bench.handle(AttemptFinished(RequestId("r"), AttemptNumber(2))))
-        nothing_left(bench, engines)
+        check_all_released(bench, engines)
 
 
 def test_long_share_bounds_what_a_gang_takes_of_each_engine() -> None:
@@ -302,7 +303,7 @@
         assert max(engines.most_held.values()) <= 0.5 * 400_000
 
 
-def test_prompt_that_fits_on_one_engine_is_no_gang() -> None:
+def test_prompt_that_fits_on_one_engine_uses_no_gang() -> None:
     with gang_fleet() as (bench, _):
         bench.submit(model_request("r", 300_000, HOUR))
         assert len(bench.dispatches("r")) == 1
--- a/tests/unit/storage/test_instances.py
+++ b/tests/unit/storage/test_instances.py
@@ -1,4 +1,4 @@
-"""The instance list is read at a bounded cost."""
+"""Tests of the traffic limits of the instance list."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -15,8 +15,8 @@
     ListedInstance,
 )
 from mimosafork.storage.instances import (
-    BURST_BYTES,
-    BYTES_PER_S,
+    LIST_BURST_BYTES,
+    LIST_BYTES_PER_S,
     InstanceListClient,
     InstanceListPoller,
     ListReading,
@@ -30,21 +30,20 @@
 
 
 def test_an_unchanged_list_is_not_sent_again() -> None:
-    """A quiet fleet of the design size would spend 168 KB a second on the list.
+    """Unconditional reads of an unchanged list exceed the control traffic budget.
 
-    Each instance reads the whole list every second though nothing changed, until
-    nothing is left of the traffic that control may use. The cause: reads that do
-    not say what is known already.
+    At the design size each instance would transfer 168 KB every second although
+    nothing changed.
     """
     standin = InstanceListStandin(SystemClock(), lag_s=0.0)
     standin.instances.put("e1", ENGINE, 0.0)
     with running(standin) as caller:
         client = InstanceListClient(HttpClient(InstanceId("i")), caller.address)
-        first = client.read_after(None)
-        again = client.read_after(first)
+        first = client.read_if_changed(None)
+        again = client.read_if_changed(first)
         leaving = replace(ENGINE, state=InstanceState.LEAVING)
         standin.instances.put("e1", leaving, 0.0)
-        changed = client.read_after(again)
+        changed = client.read_if_changed(again)
     assert first.size > 0
     assert again.size == 0
     assert again.listed.endpoints == first.listed.endpoints
@@ -52,28 +51,27 @@
     assert changed.listed.endpoints[0].state.value == "leaving"
 
 
-class WholeLists:
-    """A platform that sends a list of one size whole, each time."""
+class UntaggedListClient:
+    """Fake client of a platform that returns the full list on each read."""
 
     def __init__(self, size: int) -> None:
         self.size = size
         self.reads = 0
 
-    def read_after(self, last: ListReading | None) -> ListReading:
-        """Return the whole list."""
+    def read_if_changed(self, last: ListReading | None) -> ListReading:
+        """Return the full list."""
         self.reads += 1
         return ListReading(InstancesListed((), ()), None, self.size)
 
 
-def test_whole_lists_are_read_at_a_bounded_pace() -> None:
-    """A platform without tags costs a node no more than its share of traffic.
+def test_full_lists_are_read_within_the_byte_budget() -> None:
+    """A platform without tags returns the full list of 168 KB on each read.
 
-    A list of 168 KB comes whole with each read, every second. The node's traffic
-    for control is six times over its bound and its callers' streams suffer. The
-    cause: a period that does not look at what a read costs.
+    Read every second regardless of size, the list would take six times the node's
+    budget for control traffic and slow down its callers' streams.
     """
     clock = ManualClock()
-    client = WholeLists(168_000)
+    client = UntaggedListClient(168_000)
     second = timedelta(seconds=1)
     poller = InstanceListPoller(
         client,  # type: ignore[arg-type]
@@ -86,7 +84,7 @@
         if poller.wait_time() <= timedelta(0):
             poller.idle()
         clock.advance(second)
-    bound = BURST_BYTES + 600 * BYTES_PER_S + client.size
+    bound = LIST_BURST_BYTES + 600 * LIST_BYTES_PER_S + client.size
     assert client.reads * client.size <= bound
     assert client.reads >= 20
 
